--- a/benchmarks/deadly_requests.py
+++ b/benchmarks/deadly_requests.py
@@ -71,7 +71,7 @@
         self._way = way
         if not way.is_told:
             for entry in self.entries:
-                entry.contents.take = lambda hub, news: None
+                entry.contents.handle_update = lambda hub, news: None
 
     def _run(self, number, content_id, lasting_s, *, is_apart):
         super()._run(number, content_id, lasting_s, is_apart=is_apart and self._way.is_apart)
--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -66,9 +66,9 @@
         """Tell whether a content was at an instance that ended, and has not ended well since."""
         return self._quarantine.is_suspect(content_id)
 
-    def claim(self, content_id: bytes) -> None:
+    def claim_trial(self, content_id: bytes) -> None:
         """Claim the one run that a held content is given."""
-        self._note(self._quarantine.claim(content_id, self._clock()), "claimed here")
+        self._note(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
 
     def may_try(self, content_id: bytes) -> bool:
         """Tell whether this entry's claim still stands, once."""
@@ -105,7 +105,7 @@
         if record is not None:
             self._note(record, "it ended well here")
 
-    def take(self, hub: str, news: shared_load.ContentNews) -> None:
+    def handle_update(self, hub: str, news: shared_load.ContentNews) -> None:
         """Take what a hub tells."""
         self.take_records(hub, news.records)
         if news.digest == self._quarantine.book.digest:
@@ -123,7 +123,7 @@
 
     def take_records(self, teller: str, items: list[content_record.AgedRecord]) -> None:
         """Take records that another process tells."""
-        for record in self._quarantine.take(items, self._clock()):
+        for record in self._quarantine.merge_records(items, self._clock()):
             self._log(record, f"told by {teller}")
             self._tell_if_held(record)
 
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -99,7 +99,7 @@
         self._on_ended = on_ended
         self._questions: dict[str, _Question] = {}
 
-    def ask(self, asked: Asked) -> None:
+    def query(self, asked: Asked) -> None:
         """Ask an instance that has just lost a request, unless it is being asked."""
         if asked.path:
             self._ask(asked, 1)
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -94,7 +94,7 @@
         self._is_synced = True
         threading.Thread(target=self._run, name="saved-contents", daemon=True).start()
 
-    def note(self) -> None:
+    def record(self) -> None:
         """Have the records saved soon, if they have changed."""
         if self._book.digest == self._digest or self._timer is not None:
             return
@@ -141,7 +141,7 @@
             fields["reason"] = str(error)
             logger.warning("saved contents are left unread", extra={"fields": fields})
             return
-        fields["contents"] = len(self._book.take(items, self._clock()))
+        fields["contents"] = len(self._book.merge(items, self._clock()))
         logger.info("saved contents are known again", extra={"fields": fields})
 
     def _run(self) -> None:
--- a/src/spoolhead/_internal/entry/decision_book.py
+++ b/src/spoolhead/_internal/entry/decision_book.py
@@ -36,7 +36,7 @@
         """Return what was decided on a request, oldest first."""
         return list(self._decisions.get(request_id, ()))
 
-    def note(
+    def record(
         self,
         request: requests.CallerRequest,
         action: str,
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -173,7 +173,7 @@
             else:
                 self._refuse(_Job(request, caller), _make_held_refusal())
 
-        self._contents.claim(request.content_id, _on_settled)
+        self._contents.claim_trial(request.content_id, _on_settled)
 
     def hold_back(self, content_id: bytes) -> None:
         """End what runs of a content that is held from now on."""
@@ -205,7 +205,7 @@
         code: codes.ResultCode,
     ) -> None:
         """Log another attempt of a flow."""
-        self._decisions.note(running.request, action, code, choice=choice)
+        self._decisions.record(running.request, action, code, choice=choice)
 
     def wait_again(self, running: flow.Flow, code: codes.ResultCode) -> bool:
         """Put a flow whose attempt failed back to the head of its queue.
@@ -218,7 +218,7 @@
             return False
         self._flows.discard(running)
         self._admission.finish(request.workspace)
-        self._decisions.note(request, "wait", code, text="no upstream has room for another attempt")
+        self._decisions.record(request, "wait", code, text="no upstream has room for another attempt")
         waiting = self._make_waiting(_Job(request, running.caller, running))
         self._admission.put_back(waiting, clocks.get_s())
         running.caller.on_gone = lambda: self._withdraw(waiting)
@@ -239,7 +239,7 @@
         if request.wants_stream:
             self._gathered.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
-        self._decisions.note(request, "end", result.code, text=text)
+        self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
         self._pump_service(request.service_name)
 
@@ -279,7 +279,7 @@
     def _withdraw(self, waiting: admission.Waiting) -> None:
         request = waiting.owner.request
         self._admission.withdraw(waiting)
-        self._decisions.note(request, "withdraw", codes.ResultCode.OK, text="the caller left")
+        self._decisions.record(request, "withdraw", codes.ResultCode.OK, text="the caller left")
         self._call_on_end(request, flow_context.Result(codes.ResultCode.OK, waiting.owner.ran, 0))
 
     def _resume(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
@@ -287,13 +287,13 @@
         replica = self._pools.get(point.upstream)
         if replica is None:
             item = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
-            self._decisions.note(request, "refuse", item.code, text=item.text)
+            self._decisions.record(request, "refuse", item.code, text=item.text)
             answers.send_error(caller, item, ran=codes.Ran.YES, request_id=request.request_id)
             return
         self._admission.start_unqueued(request.workspace, request.arrived_s)
         running = flow.Flow(request, caller, self._context)
         self._flows.add(running)
-        self._decisions.note(
+        self._decisions.record(
             request, "resume", codes.ResultCode.OK, choice=_make_forced_choice(replica)
         )
         running.resume(replica, point.generation)
@@ -337,7 +337,7 @@
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
         self._gathered.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
-        self._decisions.note(request, "run", codes.ResultCode.OK, choice=choice)
+        self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
         running = job.tried or flow.Flow(request, job.caller, self._context)
         self._flows.add(running)
         running.start(choice)
@@ -389,7 +389,7 @@
 
     def _refuse(self, job: _Job, refused: admission.Refused) -> None:
         request = job.request
-        self._decisions.note(request, "refuse", refused.fault.code, text=refused.fault.text)
+        self._decisions.record(request, "refuse", refused.fault.code, text=refused.fault.text)
         self._call_on_end(request, flow_context.Result(refused.fault.code, job.ran, 0))
         answers.send_error(
             job.caller,
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -71,7 +71,7 @@
         """Return all records."""
         return self._watch.get_all()
 
-    def take(self, teller: str, records: Records) -> None:
+    def merge_records(self, teller: str, records: Records) -> None:
         """Take records that another process tells."""
         self._watch.take_records(teller, records)
         self._save()
@@ -88,12 +88,12 @@
         """Tell whether a content was at an upstream that ended, and has not ended well since."""
         return self._watch.is_suspect(content_id)
 
-    def claim(self, content_id: bytes, on_settled: Callable[[bool], None]) -> None:
+    def claim_trial(self, content_id: bytes, on_settled: Callable[[bool], None]) -> None:
         """Claim the one run that a held content is given.
 
         :param on_settled: called with whether this entry got it.
         """
-        self._watch.claim(content_id)
+        self._watch.claim_trial(content_id)
         self._timers.call_later(
             quarantine.CLAIM_S, lambda: on_settled(self._watch.may_try(content_id))
         )
@@ -134,7 +134,7 @@
             address=replica.row.address,
             path=self._probe_path,
         )
-        self._end_watch.ask(asked)
+        self._end_watch.query(asked)
 
     def note_sound(self, content_id: bytes) -> None:
         """Take note of a request that has ended well."""
@@ -146,7 +146,7 @@
 
     def _save(self) -> None:
         if self._saved is not None:
-            self._saved.note()
+            self._saved.record()
 
     def _note_restart(self, life_id: str) -> None:
         upstream = life_id.rpartition("@")[0]
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -160,7 +160,7 @@
         self._unconfirmed[key] = message
         self._client.send(message)
 
-    def tell_contents(self, records: held_contents.Records) -> None:
+    def send_contents(self, records: held_contents.Records) -> None:
         """Have the keeper pass records of contents on; a keeper that is met later is told all."""
         if records:
             self._client.send(messages.Contents(items=content_record.pack(records)))
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -63,7 +63,7 @@
             calls,
             self._loop.scheduler,
             probe_path=load_reports.REPORT_PATH,
-            tell=lambda records: self._keeper.tell_contents(records),
+            tell=lambda records: self._keeper.send_contents(records),
             on_held=lambda content_id: self._dispatcher.hold_back(content_id),
             folder=pathlib.Path(config.data_dir) if config.data_dir is not None else None,
         )
@@ -128,11 +128,11 @@
 
     def on_keeper(self) -> None:
         """Tell a keeper what is known of contents that may end upstreams; it may be new."""
-        self._keeper.tell_contents(self._contents.get_all())
+        self._keeper.send_contents(self._contents.get_all())
 
     def on_contents(self, records: held_contents.Records) -> None:
         """Take over what a keeper passes on of contents that may end upstreams."""
-        self._contents.take(self._keeper.keeper_address, records)
+        self._contents.merge_records(self._keeper.keeper_address, records)
 
     def get_status(self) -> control.Status:
         """Return the entry's status, for operators and readiness."""
--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -110,7 +110,7 @@
         self._raised = [item for item in self._raised if now_s <= item.until_s]
         return [item.make_remaining(now_s) for item in self._raised]
 
-    def take(self, alarms: Iterable[shared_load.Alarm], now_s: float) -> None:
+    def handle_alarms(self, alarms: Iterable[shared_load.Alarm], now_s: float) -> None:
         """Take what other entries found, each alarm once however often it is sent."""
         for alarm in alarms:
             name = (alarm.finder, alarm.sequence)
--- a/src/spoolhead/_internal/gateway/entry_figures.py
+++ b/src/spoolhead/_internal/gateway/entry_figures.py
@@ -1,7 +1,7 @@
 """Figures of an entry that routes by host and path; their table is in docs/METRICS.md."""
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.utils import figures
+from spoolhead._internal.utils import prometheus_metrics
 
 
 class EntryFigures:
@@ -10,7 +10,7 @@
     :param made: where they are registered.
     """
 
-    def __init__(self, made: figures.Figures) -> None:
+    def __init__(self, made: prometheus_metrics.Figures) -> None:
         self.requests = made.make_counter(
             "spoolhead_requests", "Requests ended, by kind and outcome.", "kind", "outcome"
         )
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -121,7 +121,7 @@
             cut_halls=context.get_cut_halls(now_s),
             now_s=now_s,
             gate=context.gate,
-            claim=self.job.claim,
+            claim=self.job.request_priority,
             permitted=self._permitted,
             chance=context.chance,
         )
@@ -148,8 +148,8 @@
         if not self._context.gate.is_limited(upstream):
             return False
         self._is_asking = True
-        request = permit_exchange.Request(
-            self.job.claim,
+        request = permit_exchange.PermitTerms(
+            self.job.request_priority,
             is_retry=bool(self._tried),
             wait_ms=self._get_permit_wait_ms(choice),
             is_final=len(choice.candidates) == 1,
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -135,7 +135,7 @@
         self._silences: dict[str, int] = {}
         loop.scheduler.call_every(config.health_interval_ms / 1000, self._ask_all)
 
-    def take(self, probe: _Probe, outcome: str, *, is_silent: bool = False) -> None:
+    def handle_probe_end(self, probe: _Probe, outcome: str, *, is_silent: bool = False) -> None:
         """Take the answer to a question, or its loss.
 
         :param is_silent: nothing came at all, not even a refusal.
@@ -159,7 +159,7 @@
             self._silences[life_id] = silences + 1
             return
         now_s = clocks.get_s()
-        kind = shared_load.AlarmKind.SAID if probe.status else shared_load.AlarmKind.UNREACHABLE
+        kind = shared_load.AlarmKind.UNHEALTHY if probe.status else shared_load.AlarmKind.UNREACHABLE
         if probe.upstream.raise_alarm(now_s, kind):
             fields = {"upstream": life_id, "outcome": outcome}
             logger.info("upstream says that it is not well", extra={"fields": fields})
@@ -193,7 +193,7 @@
         for probe in list(self._probes.values()):
             if now_s - probe.began_s > ANSWER_S and probe.call is not None:
                 probe.call.cancel()
-                self.take(probe, "no answer", is_silent=True)
+                self.handle_probe_end(probe, "no answer", is_silent=True)
         listed = [upstream.instance for upstream in self._book.get_all()]
         self._duties.update(self._get_watchers(), listed)
         silent_halls = self._get_silent_halls()
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -164,15 +164,15 @@
         if self._alarms.is_failure_due(life_id, self._clock()):
             self.tell_alarm(life_id, shared_load.AlarmKind.LOST_REQUEST)
 
-    def tell_contents(self) -> None:
+    def broadcast_contents(self) -> None:
         """Tell soon what is new of contents that may end instances."""
-        self.note_change()
+        self.schedule_report()
 
     def tell_limits(self) -> None:
         """Tell all other entries at once that an instance changed its rate limit."""
         self._report()
 
-    def note_change(self) -> None:
+    def schedule_report(self) -> None:
         """Report this entry's work soon."""
         if self._report_timer is not None:
             return
@@ -186,7 +186,7 @@
         self._alarms.take_listed(now_s)
         self._view.rebuild(now_s)
 
-    def take(
+    def handle_datagram(
         self,
         message: shared_load.Report | shared_load.Totals | shared_load.Update,
         sender: endpoints.Endpoint,
@@ -195,14 +195,14 @@
         if isinstance(message, shared_load.Update):
             self._take_update(message, sender)
         else:
-            self._hub_port.take(message, sender)
+            self._hub_port.handle_datagram(message, sender)
 
     def _take_update(self, update: shared_load.Update, sender: endpoints.Endpoint) -> None:
         now_s = self._clock()
-        self._alarms.take(update.alarms, now_s)
-        self._contents.take(update.hub, update.contents)
+        self._alarms.handle_alarms(update.alarms, now_s)
+        self._contents.handle_update(update.hub, update.contents)
         self._limits.merge(update.limits, now_s, reported_by=update.hub)
-        before = self._choice.present
+        before = self._choice.current
         heard = self._choice.note_heard(sender, now_s)
         if heard is hub_choice.Heard.OTHER:
             # A hub that has not heard that this entry left it.
@@ -215,8 +215,8 @@
 
     def _check_hub(self) -> None:
         now_s = self._clock()
-        if self._choice.choose(now_s) and self._choice.trying is not None:
-            self._send(self._make_report(is_reporter=True), self._choice.trying)
+        if self._choice.choose(now_s) and self._choice.probing is not None:
+            self._send(self._make_report(is_reporter=True), self._choice.probing)
         pause_s = REPORT_AGAIN_S if self._view.has_snapshot else CHECK_S
         if now_s - self._reported_s >= pause_s:
             self._report()
@@ -226,7 +226,7 @@
 
     def _change_hub(self, before: endpoints.Endpoint | None, now_s: float) -> None:
         fields = {
-            "hub": _format(self._choice.present),
+            "hub": _format(self._choice.current),
             "before": _format(before),
             "news_age_ms": self._view.get_age_ms(now_s),
         }
@@ -242,7 +242,7 @@
             return
         data = self._make_report(is_reporter=False)
         for address in self._get_known_hubs():
-            if address not in (self._choice.present, self._choice.trying):
+            if address not in (self._choice.current, self._choice.probing):
                 self._send(data, address)
 
     def _report(self) -> None:
@@ -250,14 +250,14 @@
             self._report_timer.cancel()
             self._report_timer = None
         self._reported_s = self._clock()
-        hub = self._choice.present or self._choice.trying
+        hub = self._choice.current or self._choice.probing
         if hub is None:
             return
         data = self._make_report(is_reporter=True)
         self._report_bytes = len(data)
         self._send(data, hub)
         if self._contents.has_more_to_tell:
-            self.note_change()
+            self.schedule_report()
 
     def _make_report(self, *, is_reporter: bool) -> bytes:
         now_s = self._clock()
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -31,21 +31,21 @@
 LEAST_POLL_S = 0.001
 
 
-class Request:
+class PermitTerms:
     """What a granter has to know of a request.
 
-    :ivar claim: its rank and workspace.
+    :ivar request_priority: its rank and workspace.
     :ivar is_retry: it is not the request's first attempt.
     :ivar wait_ms: time for which it may wait for a permit.
     :ivar is_final: there is no other instance that it could ask for.
     """
 
-    __slots__ = ("claim", "is_final", "is_retry", "wait_ms")
+    __slots__ = ("request_priority", "is_final", "is_retry", "wait_ms")
 
     def __init__(
-        self, claim: upstream_gate.Claim, *, is_retry: bool, wait_ms: int, is_final: bool
+        self, claim: upstream_gate.RequestPriority, *, is_retry: bool, wait_ms: int, is_final: bool
     ) -> None:
-        self.claim = claim
+        self.request_priority = claim
         self.is_retry = is_retry
         self.wait_ms = wait_ms
         self.is_final = is_final
@@ -59,7 +59,7 @@
     def __init__(
         self,
         upstream: upstream_book.Upstream,
-        request: Request,
+        request: PermitTerms,
         on_reply: Callable[[bool], None],
         turn: int,
     ) -> None:
@@ -120,10 +120,10 @@
             name: until_s for name, until_s in self._silent_until_s.items() if name in known
         }
 
-    def ask(
+    def request_permit(
         self,
         upstream: upstream_book.Upstream,
-        request: Request,
+        request: PermitTerms,
         on_reply: Callable[[bool], None],
     ) -> None:
         """Ask for a permit to send a request to an instance.
@@ -135,7 +135,7 @@
         self._asks[self._last_id] = ask
         self._try(self._last_id)
 
-    def take(
+    def handle_datagram(
         self, message: permits.PermitAsk | permits.PermitReply, sender: endpoints.Endpoint
     ) -> None:
         """Take a datagram of another entry."""
@@ -274,7 +274,7 @@
     def _take_ask(self, ask: permits.PermitAsk) -> None:
         now_s = self._clock()
         self._limits.merge([ask.stated], now_s, reported_by=ask.sender)
-        self._send_replies(self._granter.take(ask, now_s))
+        self._send_replies(self._granter.handle_request(ask, now_s))
         self._poll_later()
 
     def _poll(self) -> None:
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -134,7 +134,7 @@
         if self._attempts_made >= self.job.route.attempts:
             return False
         allowance = self._context.get_allowance(self.job.service.name)
-        return allowance.take(clocks.get_s())
+        return allowance.try_acquire(clocks.get_s())
 
     def _deliver(self, attempt: attempts.Attempt) -> None:
         head = attempt.head
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -44,7 +44,7 @@
 )
 from spoolhead._internal.policy import hall_reach, request_content, upstream_book
 from spoolhead._internal.routing import matcher, table_checks
-from spoolhead._internal.utils import clocks, endpoints, figures
+from spoolhead._internal.utils import clocks, endpoints, prometheus_metrics
 
 logger = logging.getLogger(__name__)
 
@@ -86,14 +86,14 @@
         self.loop = loop.Loop(self._begin_stop)
         outgoing = links.Links(self.loop, channel="links").register(self.loop)
         calls = upstream_calls.UpstreamCalls(self.loop, outgoing, config.upstreams)
-        made = figures.Figures()
+        made = prometheus_metrics.Figures()
         self._figures = entry_figures.EntryFigures(made)
         self._figures.in_flight.set_function(lambda: len(self._exchanges))
         self._book = upstream_book.UpstreamBook()
         self._contents = content_watch.ContentWatch(
             config.name,
             clock=clocks.get_s,
-            tell=lambda: self._sharing.tell_contents(),
+            tell=lambda: self._sharing.broadcast_contents(),
             on_held=self._hold_back,
         )
         self._figures.held_contents.set_function(lambda: self._contents.held_count)
@@ -119,7 +119,7 @@
             self._contents,
             self._limits,
             send=sock.send,
-            on_alarm=lambda upstream: self._news.empty(upstream),
+            on_alarm=lambda upstream: self._news.drain(upstream),
             on_news=self._on_news,
         )
         self._figures.news_age_ms.set_function(self._sharing.get_news_age_ms)
@@ -237,16 +237,16 @@
 
     def _take_load(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
         if isinstance(message, permits.PermitAsk | permits.PermitReply):
-            self._permits.take(message, sender)
+            self._permits.handle_datagram(message, sender)
         else:
-            self._sharing.take(message, sender)
+            self._sharing.handle_datagram(message, sender)
 
     def _on_news(self) -> None:
-        self._context.queue.note_change()
+        self._context.queue.schedule_check()
 
     def _on_limit_change(self, key: int) -> None:
         self._permits.backoff.clear(key)
-        self._context.queue.note_change()
+        self._context.queue.schedule_check()
 
     def _take_health(self, upstream: upstream_book.Upstream, head: dialects.AnswerHead) -> None:
         self._limits.take_health(upstream, head, clocks.get_s())
@@ -254,8 +254,8 @@
             self._news.take_announced_end(upstream)
 
     def _on_own_change(self) -> None:
-        self._sharing.note_change()
-        self._context.queue.note_change()
+        self._sharing.schedule_report()
+        self._context.queue.schedule_check()
 
     def _answer_probe(self, request: request_reader.WireRequest) -> small_server.SmallAnswer:
         del request
@@ -363,7 +363,7 @@
             address=upstream.instance.address,
             path=service.health_path if service is not None else "",
         )
-        self._end_watch.ask(asked)
+        self._end_watch.query(asked)
 
     def _hold_back(self, content_id: bytes) -> None:
         """Refuse what waits of a content that is held from now on, and end what runs of it."""
--- a/src/spoolhead/_internal/gateway/routed_job.py
+++ b/src/spoolhead/_internal/gateway/routed_job.py
@@ -61,7 +61,7 @@
         return self.route.priority
 
     @property
-    def claim(self) -> upstream_gate.Claim:
+    def request_priority(self) -> upstream_gate.RequestPriority:
         """What the request may claim where not all get something."""
         rank = self.workspace_rank * RANKS_PER_WORKSPACE + min(self.route.priority, LEAST_URGENT)
-        return upstream_gate.Claim(rank, self.workspace_name)
+        return upstream_gate.RequestPriority(rank, self.workspace_name)
--- a/src/spoolhead/_internal/gateway/run_guard.py
+++ b/src/spoolhead/_internal/gateway/run_guard.py
@@ -77,7 +77,7 @@
         self._is_asking = False
         self._refusers: set[str] = set()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Do what the present state asks for; called when instances leave."""
         running_at = self._run.upstream
         if self._run.is_over or running_at is None:
@@ -92,12 +92,12 @@
                 "is_evacuated": holder.is_evacuated,
             }
             logger.info("copy lost", extra={"fields": fields})
-            self.drop()
+            self.drop_copy()
         must_move = running_at.is_departing(now_s) and self._context.config.moves_runs
         if must_move and self._holder is None:
             self._make_copy(running_at)
 
-    def take(self) -> Copy | None:
+    def pop_copy(self) -> Copy | None:
         """Take the copy, if there is one, for the run to go on from it."""
         holder, move = self._holder, self._move
         if holder is None or holder.is_gone or holder.is_evacuated:
@@ -111,7 +111,7 @@
         move.abandon(must_free=False)
         return Copy(holder, move.source_address, move.handle)
 
-    def drop(self) -> None:
+    def drop_copy(self) -> None:
         """Give up the copy."""
         holder, move = self._holder, self._move
         self._holder = self._move = None
@@ -130,7 +130,7 @@
         if running_at is not None and running_at.is_departing(clocks.get_s()):
             self._run.on_copy_ready()
         else:
-            self.drop()
+            self.drop_copy()
 
     def on_move_failed(self, move: run_move.RunMove) -> None:
         """Try elsewhere, or again a little later."""
@@ -143,10 +143,10 @@
         logger.info("copy failed", extra={"fields": fields})
         self._context.figures.copies.labels("failed").inc()
         holder = self._holder
-        self.drop()
+        self.drop_copy()
         if move.status == NO_ROOM and holder is not None:
             self._refusers.add(holder.instance.life_id)
-            self.look()
+            self.check()
         else:
             self._look_later(TRY_AGAIN_S)
 
@@ -168,7 +168,7 @@
     def _ask(self, running_at: upstream_book.Upstream, holder: upstream_book.Upstream) -> None:
         """Ask for a permit for the run to go on at a limited instance."""
         self._is_asking = True
-        request = permit_exchange.Request(
+        request = permit_exchange.PermitTerms(
             self._job.claim, is_retry=False, wait_ms=0, is_final=False
         )
 
@@ -246,7 +246,7 @@
 
     def _look_later(self, delay_s: float) -> None:
         self._cancel_timer()
-        self._timer = self._context.timers.call_later(delay_s, self.look)
+        self._timer = self._context.timers.call_later(delay_s, self.check)
 
     def _cancel_timer(self) -> None:
         if self._timer is not None:
--- a/src/spoolhead/_internal/gateway/run_queue.py
+++ b/src/spoolhead/_internal/gateway/run_queue.py
@@ -51,7 +51,7 @@
         if item in self._waiting:
             self._waiting.remove(item)
 
-    def note_change(self) -> None:
+    def schedule_check(self) -> None:
         """Take note that an engine may have got room."""
         if self._waiting:
             self._look_within(self._chance.uniform(0.0, SPREAD_S))
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -115,12 +115,12 @@
     def release(self) -> None:
         """Cancel the run and give up its copy."""
         self._context.queue.remove(self)
-        self._guard.drop()
+        self._guard.drop_copy()
         self.drop_attempt()
 
     def on_instances_changed(self) -> None:
         """See whether the run or its copy must move."""
-        self._guard.look()
+        self._guard.check()
 
     def on_copy_ready(self) -> None:
         """Go on at the copy, before the instance that leaves is gone."""
@@ -129,7 +129,7 @@
         if self._context.contents.is_held(self.job.content_id):
             # It would end the instance that has the copy, too.
             return
-        copy = self._guard.take()
+        copy = self._guard.pop_copy()
         if copy is not None:
             self._resume(copy)
 
@@ -171,7 +171,7 @@
             return
         self._log_attempt_failure(attempt, reason)
         if not attempt.call.may_have_arrived and not attempt.is_resumed:
-            self._guard.drop()
+            self._guard.drop_copy()
             self.drop_attempt()
             self._begin_run()
             return
@@ -213,13 +213,13 @@
             self._break(f"the run could not go on: status {head.status}")
             return
         if head.has_not_run:
-            self._guard.drop()
+            self._guard.drop_copy()
             self.drop_attempt()
             allowance = self._context.get_allowance(self.job.service.name)
             # One that never reached the instance it was meant for is no attempt.
             self._misdirected += head.is_misdirected
             may_repeat = len(self._tried) - self._misdirected < self.job.route.attempts
-            if may_repeat and allowance.take(clocks.get_s()):
+            if may_repeat and allowance.try_acquire(clocks.get_s()):
                 self._begin_run()
             else:
                 self.fail(codes.ResultCode.UPSTREAM_REFUSED, "the upstream has no room")
--- a/src/spoolhead/_internal/gateway/upstream_news.py
+++ b/src/spoolhead/_internal/gateway/upstream_news.py
@@ -55,7 +55,7 @@
             if upstream.has_started_again:
                 self._end_at(upstream)
             else:
-                self.empty(upstream)
+                self.drain(upstream)
 
     def _note_ended(self, before: list[upstream_book.Upstream]) -> None:
         """Take note of instances that are gone without a word: they have ended."""
@@ -83,7 +83,7 @@
         """Take what this entry found bad, and tell the others."""
         self._context.figures.alarms.inc()
         self._sharing.tell_alarm(upstream.instance.life_id, kind)
-        self.empty(upstream)
+        self.drain(upstream)
 
     def take_cold(self, upstream: upstream_book.Upstream, cold_ms: int) -> None:
         """Tell the others of an instance that has said to be cold."""
@@ -116,7 +116,7 @@
         fields = {"upstream": life_id, "reported_by": ""}
         logger.info("upstream announced that it leaves", extra={"fields": fields})
         self._sharing.tell_alarm(life_id, shared_load.AlarmKind.LEAVING)
-        self.empty(upstream)
+        self.drain(upstream)
 
     def _take_rest(self, upstream: upstream_book.Upstream, rest_ms: int, now_s: float) -> None:
         """Send an instance nothing while it rests, and report that unless enough others did."""
@@ -135,7 +135,7 @@
         self._sharing.tell_alarm(upstream.instance.life_id, kind)
         self._context.queue.note_change()
 
-    def empty(self, upstream: upstream_book.Upstream) -> None:
+    def drain(self, upstream: upstream_book.Upstream) -> None:
         """Have runs leave an instance that leaves or may do so."""
         fields = {
             "upstream": upstream.instance.life_id,
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -47,8 +47,8 @@
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
             raise messages.MessageError(f"records of contents: {error}") from error
-        changed = self._book.take(records, clocks.get_s())
-        self._saved.note()
+        changed = self._book.merge(records, clocks.get_s())
+        self._saved.record()
         self._tell([record.content_id for record in changed], except_to=session)
 
     def order(self, session: peer_server.PeerSession, message: messages.HoldContent) -> None:
@@ -62,7 +62,7 @@
             is_by_hand=message.is_held,
         )
         self._book.set(record, clocks.get_s())
-        self._saved.note()
+        self._saved.record()
         fields = {
             "content": message.content_id.hex(),
             "is_held": message.is_held,
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -76,13 +76,13 @@
         self._totals_s = 0.0
         self._updates_s = 0.0
 
-    def take(
+    def handle_datagram(
         self, message: shared_load.Report | shared_load.Totals, sender: endpoints.Endpoint
     ) -> None:
         """Take a datagram of an entry or of another hub."""
         now_s = self._clock()
         if self._hub.is_idle:
-            self._hub.rest(now_s)
+            self._hub.become_idle(now_s)
         if isinstance(message, shared_load.Totals):
             self._hub.take_totals(message, sender, now_s)
         else:
--- a/src/spoolhead/_internal/models/permits.py
+++ b/src/spoolhead/_internal/models/permits.py
@@ -6,7 +6,7 @@
 
 from spoolhead._internal.models import rate_limit
 
-ASK = 4
+REQUEST = 4
 REPLY = 5
 """Tags of the datagrams."""
 
@@ -112,7 +112,7 @@
     """Write an ask."""
     fields = [ask.sender, ask.hall, ask.ask_id, ask.turn, ask.rank, ask.is_retry]
     fields += [ask.workspace, ask.wait_ms, ask.is_final]
-    return msgpack.packb([ASK, *fields, rate_limit.pack([ask.stated])])
+    return msgpack.packb([REQUEST, *fields, rate_limit.pack([ask.stated])])
 
 
 def encode_reply(reply: PermitReply) -> bytes:
--- a/src/spoolhead/_internal/models/shared_load.py
+++ b/src/spoolhead/_internal/models/shared_load.py
@@ -77,7 +77,7 @@
 class AlarmKind(enum.IntEnum):
     """What is wrong with an instance."""
 
-    SAID = 1
+    UNHEALTHY = 1
     """It says itself that it is not well."""
     UNREACHABLE = 2
     """Its health could not be asked."""
@@ -333,7 +333,7 @@
             return _read_totals(*fields)
         if tag == _UPDATE:
             return _read_update(*fields, int(values[1]))
-        if tag == permits.ASK:
+        if tag == permits.REQUEST:
             return permits.read_ask(*fields)
         if tag == permits.REPLY:
             return permits.read_reply(*fields)
--- a/src/spoolhead/_internal/policy/content_book.py
+++ b/src/spoolhead/_internal/policy/content_book.py
@@ -106,7 +106,7 @@
         self._forget_old(now_s)
         return is_changed
 
-    def take(
+    def merge(
         self, items: Iterable[content_record.AgedRecord], now_s: float
     ) -> list[content_record.ContentRecord]:
         """Take what another process tells.
--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -57,8 +57,8 @@
     """The choice of one entry. A hub is left for another only once that one has answered.
 
     :param name: name of the entry; entries spread over hubs at the same distance.
-    :ivar present: the hub; None for none.
-    :ivar trying: a candidate that has been sent a report and has not answered; None for none.
+    :ivar current: the hub; None for none.
+    :ivar probing: a candidate that has been sent a report and has not answered; None for none.
     """
 
     def __init__(self, name: str) -> None:
@@ -67,8 +67,8 @@
         self._states: dict[endpoints.Endpoint, _State] = {}
         self._heard_s = -math.inf
         self._tried_s = -math.inf
-        self.present: endpoints.Endpoint | None = None
-        self.trying: endpoints.Endpoint | None = None
+        self.current: endpoints.Endpoint | None = None
+        self.probing: endpoints.Endpoint | None = None
 
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
         """Take over which processes can be the hub."""
@@ -80,12 +80,12 @@
 
     def note_heard(self, address: endpoints.Endpoint, now_s: float) -> Heard:
         """Take note of an update."""
-        if address not in (self.present, self.trying):
+        if address not in (self.current, self.probing):
             return Heard.OTHER
-        is_new = address == self.trying
+        is_new = address == self.probing
         if is_new:
-            self.present = address
-            self.trying = None
+            self.current = address
+            self.probing = None
         self._heard_s = now_s
         self._get_state(address).rest_s = FIRST_REST_S
         return Heard.NEW if is_new else Heard.PRESENT
@@ -93,25 +93,25 @@
     def note_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
         """Take note that a process is known to be out of reach."""
         self._rest(address, now_s)
-        if address == self.present:
-            self.present = None
-        if address == self.trying:
-            self.trying = None
+        if address == self.current:
+            self.current = None
+        if address == self.probing:
+            self.probing = None
 
     def choose(self, now_s: float) -> bool:
         """Look for a better hub; True if a report should go to one that is tried from now on."""
-        if self.present is not None and now_s - self._heard_s > SILENCE_S:
-            self._rest(self.present, now_s)
-            self.present = None
-        if self.trying is not None:
+        if self.current is not None and now_s - self._heard_s > SILENCE_S:
+            self._rest(self.current, now_s)
+            self.current = None
+        if self.probing is not None:
             if now_s - self._tried_s < TRY_S:
                 return False
-            self._rest(self.trying, now_s)
-            self.trying = None
+            self._rest(self.probing, now_s)
+            self.probing = None
         best = self._find_best(now_s)
-        if best is None or best == self.present:
+        if best is None or best == self.current:
             return False
-        self.trying = best
+        self.probing = best
         self._tried_s = now_s
         return True
 
@@ -119,8 +119,8 @@
         for item in self._candidates:
             if self._get_state(item.address).rest_until_s <= now_s:
                 return item.address
-        if self.present is not None:
-            return self.present
+        if self.current is not None:
+            return self.current
         return min(
             (item.address for item in self._candidates),
             key=lambda address: self._get_state(address).rest_until_s,
--- a/src/spoolhead/_internal/policy/latest_starts.py
+++ b/src/spoolhead/_internal/policy/latest_starts.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._born_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
 
-    def note(self, instance: instances.Instance) -> bool:
+    def record(self, instance: instances.Instance) -> bool:
         """Take note of an instance's start; False if a later one is known."""
         if self.is_former(instance):
             return False
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -226,7 +226,7 @@
             if now_s - taken_s <= ALARM_REMEMBERED_S
         }
 
-    def rest(self, now_s: float) -> None:
+    def become_idle(self, now_s: float) -> None:
         """Forget what a hub without reporters need not know any more, as telling it would."""
         self.forget_silent(now_s)
         self._own.take_part()
@@ -315,7 +315,7 @@
 
     def _take_contents(self, contents: shared_load.ContentNews, now_s: float) -> list[bytes]:
         """Take what a process tells of contents; returns those that this changed."""
-        changed = self._contents.take(contents.records, now_s)
+        changed = self._contents.merge(contents.records, now_s)
         changed_ids = [record.content_id for record in changed]
         for content_id in changed_ids:
             self._to_reporters.note_changed(content_id)
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -56,10 +56,10 @@
 class _Waiting:
     """An ask that waits for a token."""
 
-    __slots__ = ("arrived_s", "ask", "expires_s")
+    __slots__ = ("arrived_s", "request", "expires_s")
 
     def __init__(self, ask: permits.PermitAsk, now_s: float) -> None:
-        self.ask = ask
+        self.request = ask
         self.arrived_s = now_s
         self.expires_s = now_s + max(0, ask.wait_ms) / 1000
 
@@ -102,7 +102,7 @@
         self._book = book
         self._shares: dict[int, _Share] = {}
 
-    def take(self, ask: permits.PermitAsk, now_s: float) -> list[AddressedReply]:
+    def handle_request(self, ask: permits.PermitAsk, now_s: float) -> list[AddressedReply]:
         """Take an ask; returns the replies that are due, to this one or to others."""
         share = self._shares.get(ask.key)
         if share is None:
@@ -168,7 +168,7 @@
         share.bucket.update(rate_per_s, 1.0 + limit_per_s * BURST_S, now_s)
         replies = []
         share.waiting.sort(key=lambda item: _get_order(share, item))
-        while share.waiting and share.bucket.take():
+        while share.waiting and share.bucket.try_acquire():
             item = share.waiting.pop(0)
             share.granted.append((item.ask.workspace, item.ask.hall))
             _remember(share, item.ask, permits.Verdict.GRANTED)
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -96,7 +96,7 @@
             return Verdict.REFUSE
         return Verdict.CLAIM
 
-    def claim(self, content_id: bytes, now_s: float) -> content_record.ContentRecord:
+    def claim_trial(self, content_id: bytes, now_s: float) -> content_record.ContentRecord:
         """Claim the one run that a held content is given; :meth:`may_try` tells who got it."""
         record = self.book.get(content_id)
         assert record is not None
@@ -143,14 +143,14 @@
         self._forget_former(content_id)
         return self._change(content_record.begin_epoch(content_id, record), now_s)
 
-    def take(
+    def merge_records(
         self, items: list[content_record.AgedRecord], now_s: float
     ) -> list[content_record.ContentRecord]:
         """Take what other processes tell.
 
         :returns: the records that this changed.
         """
-        changed = self.book.take(items, now_s)
+        changed = self.book.merge(items, now_s)
         for record in changed:
             if record.ends:
                 self._learnt_s[record.content_id] = now_s
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -66,7 +66,7 @@
         """Earn a part of a retry with a new request."""
         self.tokens = min(LARGEST_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Spend one retry; False if there is none left."""
         if self.tokens < 1:
             return False
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -33,7 +33,7 @@
         """Count a caller's request."""
         self._requests.append(now_s)
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Take one second attempt, if there is one left."""
         self._forget(now_s)
         own_slack = self._slack * USED_PART / max(1, self.entry_count)
--- a/src/spoolhead/_internal/policy/run_safety.py
+++ b/src/spoolhead/_internal/policy/run_safety.py
@@ -27,7 +27,7 @@
     excluded: Collection[str],
     now_s: float,
     gate: upstream_gate.Gate,
-    claim: upstream_gate.Claim,
+    claim: upstream_gate.RequestPriority,
 ) -> upstream_book.Upstream | None:
     """Choose the instance that gets a copy of a run's memory.
 
--- a/src/spoolhead/_internal/policy/token_bucket.py
+++ b/src/spoolhead/_internal/policy/token_bucket.py
@@ -23,7 +23,7 @@
         self._updated_s = max(self._updated_s, now_s)
         self.tokens = min(burst, self.tokens + passed_s * rate_per_s)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one token, if there is one."""
         if self.tokens < 1.0:
             return False
--- a/src/spoolhead/_internal/policy/upstream_book.py
+++ b/src/spoolhead/_internal/policy/upstream_book.py
@@ -227,7 +227,7 @@
         :returns: whether it is a new one; a false one of the same kind before makes this one
             count for nothing.
         """
-        is_said = kind is shared_load.AlarmKind.SAID
+        is_said = kind is shared_load.AlarmKind.UNHEALTHY
         last_s = self._last_reported_s if is_said else self._last_detected_s
         if now_s - last_s < ALARM_S + ALARM_COOLDOWN_S:
             return False
@@ -311,7 +311,7 @@
         """Return all instances."""
         return list(self._upstreams.values())
 
-    def take_list(self, listed: Iterable[instances.Instance], now_s: float) -> list[Upstream]:
+    def update_instances(self, listed: Iterable[instances.Instance], now_s: float) -> list[Upstream]:
         """Take over a reading of the platform's list.
 
         A former run of an instance that was started again is passed over: such a reading is
@@ -323,7 +323,7 @@
         self._upstreams = {}
         leaving: list[Upstream] = []
         for instance in listed:
-            if self._starts.note(instance):
+            if self._starts.record(instance):
                 self._take_listed(instance, before, leaving, now_s)
             else:
                 self._keep_present(instance, before)
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -97,7 +97,7 @@
     :ivar silent_halls: halls from which nothing has been heard for a while.
     :ivar cut_halls: halls that cannot be reached just now.
     :ivar now_s: monotonic time in seconds.
-    :ivar claim: what the request may claim where not all get something.
+    :ivar request_priority: what the request may claim where not all get something.
     :ivar permitted: run of a limited instance for which the request has a permit; empty for none.
     :ivar gate: what bounds this entry's requests to instances.
     :ivar chance: source of random numbers.
@@ -105,7 +105,7 @@
 
     __slots__ = (
         "chance",
-        "claim",
+        "request_priority",
         "cut_halls",
         "gate",
         "hall",
@@ -122,7 +122,7 @@
         cut_halls: Collection[str],
         now_s: float,
         gate: upstream_gate.Gate,
-        claim: upstream_gate.Claim,
+        claim: upstream_gate.RequestPriority,
         permitted: str = "",
         chance: random.Random,
     ) -> None:
@@ -131,7 +131,7 @@
         self.cut_halls = cut_halls
         self.now_s = now_s
         self.gate = gate
-        self.claim = claim
+        self.request_priority = claim
         self.permitted = permitted
         self.chance = chance
 
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -33,7 +33,7 @@
         return self is not Bar.SUSPECTED
 
 
-class Claim:
+class RequestPriority:
     """What a request may claim where not all get something.
 
     :ivar rank: its rank, 0 for the most urgent.
@@ -73,7 +73,7 @@
         upstream: upstream_book.Upstream,
         now_s: float,
         *,
-        claim: Claim,
+        claim: RequestPriority,
         has_permit: bool = False,
         cut_halls: Collection[str] = (),
     ) -> Bar | None:
@@ -103,7 +103,7 @@
             return Bar.SUSPECTED
         return None
 
-    def _must_back_off(self, upstream: upstream_book.Upstream, claim: Claim, now_s: float) -> bool:
+    def _must_back_off(self, upstream: upstream_book.Upstream, claim: RequestPriority, now_s: float) -> bool:
         if not self.is_limited(upstream):
             return False
         return self.backoff.blocks(upstream.key, claim.rank, claim.workspace, now_s)
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -29,7 +29,7 @@
 from spoolhead._internal.policy import content_book, load_hub
 from spoolhead._internal.quorum import feed, keeper_figures, member, mesh, questions
 from spoolhead._internal.routing import table_checks
-from spoolhead._internal.utils import clocks, endpoints, figures
+from spoolhead._internal.utils import clocks, endpoints, prometheus_metrics
 from spoolhead.coordination import consensus_messages
 
 logger = logging.getLogger(__name__)
@@ -98,7 +98,7 @@
         self._front = caller_front.CallerFront(
             self.loop, config, take=self._take, refuse=self._refuse
         ).register(self.loop)
-        made = figures.Figures()
+        made = prometheus_metrics.Figures()
         self._figures = keeper_figures.KeeperFigures(made)
         self._figures.table_version.set_function(lambda: self._member.register.version)
         self._figures.is_leader.set_function(lambda: int(self._member.is_leader))
@@ -130,8 +130,8 @@
             fields = {"kind": type(message).__name__}
             logger.warning("datagram that is not for a keeper", extra={"fields": fields})
             return
-        self._hub_port.take(message, sender)
-        self._saved_contents.note()
+        self._hub_port.handle_datagram(message, sender)
+        self._saved_contents.record()
 
     def _get_other_hubs(self) -> list[endpoints.Endpoint]:
         own = f"{self._config.host}:{self._config.peer_port}"
--- a/src/spoolhead/_internal/quorum/keeper_figures.py
+++ b/src/spoolhead/_internal/quorum/keeper_figures.py
@@ -1,6 +1,6 @@
 """Figures of a keeper that agrees with others; their table is in docs/METRICS.md."""
 
-from spoolhead._internal.utils import figures
+from spoolhead._internal.utils import prometheus_metrics
 
 
 class KeeperFigures:
@@ -9,7 +9,7 @@
     :param made: where they are registered.
     """
 
-    def __init__(self, made: figures.Figures) -> None:
+    def __init__(self, made: prometheus_metrics.Figures) -> None:
         self.orders = made.make_counter(
             "spoolhead_table_orders", "Operators' tables, by outcome.", "outcome"
         )
--- a/tests/lib/cold_fleet.py
+++ b/tests/lib/cold_fleet.py
@@ -26,7 +26,7 @@
     def __init__(self, process, known, instance):
         self.process = process
         self.book = upstream_book.UpstreamBook()
-        self.book.take_list([instance], 0.0)
+        self.book.update_instances([instance], 0.0)
         (self.upstream,) = self.book.get_all()
         self.upstream.note_cold(10**9, 0.0)
         self.quotas = cold_start.ColdStarts(process.name, process.hall)
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -75,7 +75,7 @@
         if verdict is quarantine.Verdict.REFUSE:
             self.refused.append((content_id, number, self.clock.now_s))
         elif verdict is quarantine.Verdict.CLAIM:
-            entry.contents.claim(content_id)
+            entry.contents.claim_trial(content_id)
             self.clock.call_later(
                 quarantine.CLAIM_S, lambda: self._try(number, entry, content_id, lasting_s)
             )
@@ -160,7 +160,7 @@
         self.hub_books[number] = content_book.ContentBook()
         if disk is not None:
             items = saved_contents.decode(disk, self.clock())
-            self.hub_books[number].take(items, self.clock())
+            self.hub_books[number].merge(items, self.clock())
         self.hub_ports[number] = self._make_hub(number)
 
     def lose_all_power(self, *, down_s, lost_disks=()):
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -31,7 +31,7 @@
     upstream_book,
     upstream_gate,
 )
-from spoolhead._internal.utils import clocks, figures
+from spoolhead._internal.utils import clocks, prometheus_metrics
 from spoolhead.platform import dialect
 
 REQUEST_ID = "9c41d07be2a35f68"
@@ -203,7 +203,7 @@
     )
 
 
-CLAIM = upstream_gate.Claim(1, "w")
+CLAIM = upstream_gate.RequestPriority(1, "w")
 
 
 def make_gate(name, hall):
@@ -328,7 +328,7 @@
             ask_lost=self.asked.append,
             get_silent_halls=frozenset,
             get_news_age_ms=lambda: 20,
-            figures=entry_figures.EntryFigures(figures.Figures()),
+            figures=entry_figures.EntryFigures(prometheus_metrics.Figures()),
         )
         self.exchanges = set()
         self.news = upstream_news.UpstreamNews(
@@ -355,7 +355,7 @@
             for name in self.names
             if name not in gone
         ]
-        return self.book.take_list(listed, clocks.get_s())
+        return self.book.update_instances(listed, clocks.get_s())
 
     def leave(self, name):
         self.list(leaving=[name])
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -59,7 +59,7 @@
     def __init__(self, number, came_s, rank, workspace):
         self.number = number
         self.came_s = came_s
-        self.claim = upstream_gate.Claim(rank, workspace)
+        self.claim = upstream_gate.RequestPriority(rank, workspace)
 
 
 class LimitFleet(load_fleet.LoadFleet):
@@ -154,7 +154,7 @@
         gate = self.gates[request.number]
         left_s = request.came_s + WAIT_S - self.clock()
         can_wait = all(gate.is_limited(upstream) for upstream in open_ones)
-        asked = permit_exchange.Request(
+        asked = permit_exchange.PermitTerms(
             request.claim,
             is_retry=False,
             wait_ms=max(0, int(left_s * 1000)) if can_wait else 0,
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -100,13 +100,13 @@
         self.process = process
         self.clock = fleet_.clock
         self.book = upstream_book.UpstreamBook()
-        self.book.take_list(listed, fleet_.clock())
+        self.book.update_instances(listed, fleet_.clock())
         self.alarms = []
         self.held = []
         self.contents = gateway_setting.make_contents(
             process.name,
             clock=fleet_.clock,
-            tell=lambda: self.sharing.tell_contents(),
+            tell=lambda: self.sharing.broadcast_contents(),
             on_held=self.held.append,
         )
         config = gateway_setting.make_settings(name=process.name, hall=process.hall)
@@ -142,7 +142,7 @@
         self.set_fleet(known)
 
     def take_list(self, listed):
-        self.book.take_list(listed, self.clock())
+        self.book.update_instances(listed, self.clock())
         self.sharing.refresh()
 
     def set_fleet(self, known):
@@ -151,18 +151,18 @@
 
     def take(self, message, sender):
         if isinstance(message, permits.PermitAsk | permits.PermitReply):
-            self.permits.take(message, sender)
+            self.permits.handle_datagram(message, sender)
         else:
-            self.sharing.take(message, sender)
+            self.sharing.handle_datagram(message, sender)
 
     def hold(self, instance_id, request_id, tokens):
         work = upstream_book.Work(request_id, tokens, reading_tokens=0)
         self.book.get(instance_id).works[request_id] = work
-        self.sharing.note_change()
+        self.sharing.schedule_report()
 
     def drop(self, instance_id, request_id):
         self.book.get(instance_id).works.pop(request_id)
-        self.sharing.note_change()
+        self.sharing.schedule_report()
 
 
 class LoadFleet:
@@ -214,7 +214,7 @@
             bytes_per_s=2_000_000,
             clock=self.clock,
         )
-        process.take = port.take
+        process.take = port.handle_datagram
         return port
 
     def run(self, for_s):
@@ -236,8 +236,8 @@
         former = self.entries[number]
         # What still runs of the former one reaches nobody.
         former.process.is_up = False
-        former.sharing.take = lambda message, sender: None
-        former.permits.take = lambda message, sender: None
+        former.sharing.handle_datagram = lambda message, sender: None
+        former.permits.handle_datagram = lambda message, sender: None
         process = Process(
             self.net, former.process.name, former.process.hall, former.process.address
         )
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -66,7 +66,7 @@
             gateway_setting.make_instance(f"i-{number}", hall=self.halls[number % halls])
             for number in range(engines)
         ]
-        self.book.take_list(listed, 0.0)
+        self.book.update_instances(listed, 0.0)
         self.service = route_table.Service(
             name="s", health_path="/h", max_connections=1_000, engine=gateway_setting.ENGINE
         )
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -53,7 +53,7 @@
 
 
 def test_an_alarm_that_does_not_hold_for_a_time_is_not_repeated():
-    assert _get_later(_make(_make_alarm(KINDS.SAID)), 8.0) == []
+    assert _get_later(_make(_make_alarm(KINDS.UNHEALTHY)), 8.0) == []
 
 
 def test_a_datagram_repeats_so_many_and_the_others_follow():
@@ -85,7 +85,7 @@
         (KINDS.COLD, 1_500, [(0.0, 1_500), (1.0, 500)]),
         (KINDS.RESTING, 9_000, [(number / 1.0, 9_000 - 1_000 * number) for number in range(5)]),
         (KINDS.LEAVING, 0, [(number / 1.0, 0) for number in range(5)]),
-        (KINDS.SAID, 0, [(0.0, 0)]),
+        (KINDS.UNHEALTHY, 0, [(0.0, 0)]),
     ],
 )
 def test_reports_carry_an_alarm_while_it_holds_and_no_longer(kind, for_ms, carried):
--- a/tests/unit/test_cold_start.py
+++ b/tests/unit/test_cold_start.py
@@ -20,8 +20,8 @@
 def test_one_reading_that_is_taken_again_makes_no_other_start():
     book = upstream_book.UpstreamBook()
     listed = [gateway_setting.make_instance("i-1", cold_ms=800)]
-    book.take_list(listed, 100.0)
-    book.take_list(listed, 101.0)
+    book.update_instances(listed, 100.0)
+    book.update_instances(listed, 101.0)
     assert not book.get("i-1").is_cold(101.0)
 
 
--- a/tests/unit/test_evacuations.py
+++ b/tests/unit/test_evacuations.py
@@ -149,7 +149,7 @@
     setting.book.set_evacuated(frozenset(["hall-b"]))
     far = gateway_setting.make_instance("far", hall="hall-b")
     near = gateway_setting.make_instance("near")
-    setting.book.take_list([far, near], 0.0)
+    setting.book.update_instances([far, near], 0.0)
     assert setting.book.get("far").is_evacuated
     assert not setting.book.get("far").is_usable(0.0)
     assert setting.book.get("near").is_usable(0.0)
@@ -176,7 +176,7 @@
     setting = gateway_setting.Setting(REPEATABLE)
     near = gateway_setting.make_instance("near")
     far = gateway_setting.make_instance("far", hall="hall-b")
-    setting.book.take_list([near, far], 0.0)
+    setting.book.update_instances([near, far], 0.0)
     everything = setting.book.get_all()
     assert not hall_reach.is_out_of_reach(everything, {"hall-b"})
     setting.book.set_evacuated(frozenset(["hall-a"]))
--- a/tests/unit/test_figures.py
+++ b/tests/unit/test_figures.py
@@ -3,11 +3,11 @@
 from spoolhead._internal.gateway import entry_figures
 from spoolhead._internal.models import route_table
 from spoolhead._internal.quorum import keeper_figures
-from spoolhead._internal.utils import figures
+from spoolhead._internal.utils import prometheus_metrics
 
 
 def test_counters_and_histograms_are_served_as_text():
-    made = figures.Figures()
+    made = prometheus_metrics.Figures()
     entry = entry_figures.EntryFigures(made)
     entry.note_end(route_table.RequestKind.ONCE, "answered", 42.0)
     entry.first_event_ms.observe(450.0)
@@ -18,7 +18,7 @@
 
 
 def test_two_programs_figures_do_not_meet():
-    first, second = figures.Figures(), figures.Figures()
+    first, second = prometheus_metrics.Figures(), prometheus_metrics.Figures()
     keeper_figures.KeeperFigures(first).table_version.set(7)
     keeper_figures.KeeperFigures(second)
     assert "spoolhead_table_version 7.0" in first.answer(None).body.decode()
@@ -26,6 +26,6 @@
 
 
 def test_an_answer_states_its_length():
-    data = figures.Figures().answer(None).pack()
+    data = prometheus_metrics.Figures().answer(None).pack()
     head, _, body = data.partition(b"\r\n\r\n")
     assert f"Content-Length: {len(body)}".encode() in head
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -159,7 +159,7 @@
     setting = _start(tokens="3000,2000")
     first = setting.last
     first.answer(200, SIGNED, make_events(1, 3), whole=False)
-    kind = shared_load.AlarmKind.SAID
+    kind = shared_load.AlarmKind.UNHEALTHY
     assert setting.exchange.upstream.raise_alarm(clocks.get_s(), kind)
     setting.exchange.on_instances_changed()
     monkeypatch.setattr(upstream_book, "ALARM_S", 0.0)
--- a/tests/unit/test_hall_reach.py
+++ b/tests/unit/test_hall_reach.py
@@ -68,9 +68,9 @@
     book = upstream_book.UpstreamBook()
     near = gateway_setting.make_instance("near")
     far = gateway_setting.make_instance("far", hall="hall-b")
-    book.take_list([near, far], 0.0)
+    book.update_instances([near, far], 0.0)
     assert not hall_reach.is_out_of_reach(book.get_service("s"), {"hall-b"})
-    book.take_list([gateway_setting.make_instance("near", is_leaving=True), far], 0.0)
+    book.update_instances([gateway_setting.make_instance("near", is_leaving=True), far], 0.0)
     assert hall_reach.is_out_of_reach(book.get_service("s"), {"hall-b"})
     assert not hall_reach.is_out_of_reach(book.get_service("none"), {"hall-b"})
 
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -29,7 +29,7 @@
     def __init__(self, *, silent=(), watchers=("entry-1",)):
         self.calls = gateway_setting.GatewayCalls()
         self.book = upstream_book.UpstreamBook()
-        self.book.take_list([gateway_setting.make_instance("i-1", hall="hall-b")], 0.0)
+        self.book.update_instances([gateway_setting.make_instance("i-1", hall="hall-b")], 0.0)
         self.alarms = []
         self.colds = []
         self.replaced_ids = []
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -58,7 +58,7 @@
 def test_what_it_was_told_outlasts_it_too(tmp_path):
     setting = Setting(tmp_path)
     record = content_record.ContentRecord(content_id=CONTENT, ends=(1, 2), waves=2)
-    setting.contents.take("keeper-1", [content_record.AgedRecord(record, 0)])
+    setting.contents.merge_records("keeper-1", [content_record.AgedRecord(record, 0)])
     assert setting.contents._saved.wait_until_synced(SAVED_S)
     assert Setting(tmp_path).contents.is_held(CONTENT)
 
@@ -135,7 +135,7 @@
         content_id = request_content.get_content_id(request, "", request.workspace)
         record = content_record.ContentRecord(content_id=content_id, ends=(1, 2), waves=2)
         aged = content_record.AgedRecord(record, int(since_s * 1000))
-        self.contents.take("keeper-1", [aged])
+        self.contents.merge_records("keeper-1", [aged])
         return content_id
 
     def submit(self, request):
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -226,7 +226,7 @@
 
     def ask(self):
         asked = end_watch.Asked("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
-        self.watch.ask(asked)
+        self.watch.query(asked)
 
     @property
     def is_suspect(self):
@@ -458,17 +458,17 @@
     """Nobody else may have lost anything there, and its health alone shows no end."""
     setting = _abandon(_make_contents(clock))
     upstream = setting.book.get("i-1")
-    _make_news(setting).empty(upstream)
+    _make_news(setting).drain(upstream)
     assert setting.asked == [upstream]
 
 
 def test_an_instance_is_not_asked_long_after_or_when_it_leaves(clock):
     leaving = _abandon(_make_contents(clock), leave=["i-1"])
-    _make_news(leaving).empty(leaving.book.get("i-1"))
+    _make_news(leaving).drain(leaving.book.get("i-1"))
     assert not leaving.asked
     former = _abandon(_make_contents(clock))
     clock.now_s += lost_runs.ABANDONED_S + 0.1
-    _make_news(former).empty(former.book.get("i-1"))
+    _make_news(former).drain(former.book.get("i-1"))
     assert not former.asked
 
 
--- a/tests/unit/test_list_memory.py
+++ b/tests/unit/test_list_memory.py
@@ -54,7 +54,7 @@
     for keeper in keepers:
         _tell(keeper, listed, [other.listed for other in keepers if other.listed])
     book = upstream_book.UpstreamBook()
-    book.take_list(keepers[0].listed.values(), 1.0)
+    book.update_instances(keepers[0].listed.values(), 1.0)
     taken_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert len(book.get_all()) == INSTANCES
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize("loss", [0.0, 0.1])
 def test_an_alarm_reaches_all_entries_soon_and_once(loss):
     made = _make(loss=loss)
-    made.entries[0].sharing.tell_alarm("i-00000003", shared_load.AlarmKind.SAID)
+    made.entries[0].sharing.tell_alarm("i-00000003", shared_load.AlarmKind.UNHEALTHY)
     made.run(0.3)
     told = [entry for entry in made.entries[1:] if entry.alarms == ["i-00000003"]]
     assert len(told) >= len(made.entries) - 2
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -154,13 +154,13 @@
     for number in range(500):
         held = shared_load.Held(5, 1, 0) if number < 3 else shared_load.Held()
         alarm = shared_load.Alarm(
-            "i-1", shared_load.AlarmKind.SAID, finder="e9", sequence=number + 1
+            "i-1", shared_load.AlarmKind.UNHEALTHY, finder="e9", sequence=number + 1
         )
         totals = shared_load.Totals(
             hub="k2", sequence=number + 1, rows={number % 3: held}, ages=[], alarms=[alarm]
         )
-        port.take(totals, ADDRESS)
-    port.take(_make_report(tokens=0), ADDRESS)
+        port.handle_datagram(totals, ADDRESS)
+    port.handle_datagram(_make_report(tokens=0), ADDRESS)
     (update,) = sent
     assert not update.rows
     assert not update.alarms
@@ -169,7 +169,7 @@
 
 def test_an_alarm_is_told_some_times_and_taken_once():
     hub = load_hub.LoadHub("k1", 1)
-    alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.SAID, finder="e1", sequence=5)
+    alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=5)
     _take(hub, alarms=[alarm])
     _take(hub, sequence=2, alarms=[alarm])
     told = [len(hub.make_update(0.0).alarms) for _ in range(5)]
@@ -201,7 +201,7 @@
     resting = shared_load.AlarmKind.RESTING
     _take(there, alarms=[_make_alarm(resting, for_ms=2_000)])
     here.take_totals(there.make_totals(0.0), ADDRESS, 0.0)
-    here.rest(0.5)
+    here.become_idle(0.5)
     assert _get_told(here, 0.5) == [(resting, 1_500)]
 
 
@@ -266,8 +266,8 @@
 
 def test_a_reporter_restarted_with_its_clock_set_back_is_taken_at_once():
     hub = load_hub.LoadHub("k1", 1)
-    old = shared_load.Alarm("i-1", shared_load.AlarmKind.SAID, finder="e1", sequence=9_000_000)
-    new = shared_load.Alarm("i-1", shared_load.AlarmKind.SAID, finder="e1", sequence=5_000_001)
+    old = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=9_000_000)
+    new = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=5_000_001)
     _take(hub, sequence=9_000_000, tokens=100, alarms=[old])
     assert len(hub.make_update(0.0).alarms) == 1
     _take(hub, sequence=5_000_000, tokens=7, alarms=[new])
@@ -318,7 +318,7 @@
 
     def __init__(self):
         self.book = upstream_book.UpstreamBook()
-        self.book.take_list([gateway_setting.make_instance("i-1")], 0.0)
+        self.book.update_instances([gateway_setting.make_instance("i-1")], 0.0)
         self.view = load_view.LoadView("a", self.book)
         self.hub = load_hub.LoadHub("k1", 1)
         self.sequence = 0
@@ -374,7 +374,7 @@
     report.rows = {key: shared_load.Held(70, 1, 0)}
     side.hub.take_report(report, ADDRESS, 0.0)
     side.view.take_update(side.update(), 0.0)
-    side.book.take_list([gateway_setting.make_instance("i-9")], 0.0)
+    side.book.update_instances([gateway_setting.make_instance("i-9")], 0.0)
     side.view.rebuild(0.1)
     assert side.book.get("i-9").tokens == 70
 
@@ -433,24 +433,24 @@
     choice = _make_choice()
     silent_s = 0.01 + hub_choice.SILENCE_S + 0.01
     assert choice.choose(silent_s)
-    assert (choice.present, choice.trying) == (None, FAR)
+    assert (choice.current, choice.probing) == (None, FAR)
     assert choice.note_heard(FAR, silent_s) is hub_choice.Heard.NEW
     assert not choice.choose(silent_s + 0.1)
     later_s = silent_s + hub_choice.FIRST_REST_S
     choice.note_heard(FAR, later_s)
     assert choice.choose(later_s)
     # The present one stays until the other answers.
-    assert (choice.present, choice.trying) == (FAR, NEAR)
+    assert (choice.current, choice.probing) == (FAR, NEAR)
     choice.note_heard(FAR, later_s + hub_choice.TRY_S)
     assert not choice.choose(later_s + hub_choice.TRY_S + 0.01)
-    assert (choice.present, choice.trying) == (FAR, None)
+    assert (choice.current, choice.probing) == (FAR, None)
 
 
 def test_a_hub_whose_connection_ended_is_left_at_once():
     choice = _make_choice()
     choice.note_lost(NEAR, 0.02)
     assert choice.choose(0.03)
-    assert choice.trying == FAR
+    assert choice.probing == FAR
 
 
 def test_entries_spread_over_hubs_at_the_same_distance():
@@ -460,5 +460,5 @@
         choice = hub_choice.HubChoice(f"e{number}")
         choice.set_candidates(hub_choice.Candidate(address, 1) for address in addresses)
         choice.choose(0.0)
-        chosen.add(choice.trying)
+        chosen.add(choice.probing)
     assert chosen == set(addresses)
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -50,58 +50,58 @@
     _, granter = _make_granter()
     granted = 0
     for step in range(1_000):
-        replies = granter.take(_make_ask(step), step * 0.01)
+        replies = granter.handle_request(_make_ask(step), step * 0.01)
         granted += replies[0].reply.verdict is V.GRANTED
     assert 19 <= granted <= 20
 
 
 def test_an_ask_that_may_wait_is_granted_when_its_token_comes():
     _, granter = _make_granter()
-    assert _list(granter.take(_make_ask(1, wait_ms=600), 0.0)) == [(1, V.QUEUED)]
+    assert _list(granter.handle_request(_make_ask(1, wait_ms=600), 0.0)) == [(1, V.QUEUED)]
     assert granter.get_due_s(0.0) == pytest.approx(0.5)
     assert _list(granter.poll(0.51)) == [(1, V.GRANTED)]
 
 
 def test_an_ask_that_can_not_be_granted_in_time_is_rejected_at_once():
     _, granter = _make_granter()
-    ((_, verdict),) = _list(granter.take(_make_ask(1, wait_ms=400), 0.0))
+    ((_, verdict),) = _list(granter.handle_request(_make_ask(1, wait_ms=400), 0.0))
     assert verdict is V.REJECTED
 
 
 def test_a_more_urgent_ask_takes_the_place_of_one_that_waits():
     _, granter = _make_granter()
-    granter.take(_make_ask(1, wait_ms=600), 0.0)
-    replies = granter.take(_make_ask(2, rank=0, wait_ms=600), 0.1)
+    granter.handle_request(_make_ask(1, wait_ms=600), 0.0)
+    replies = granter.handle_request(_make_ask(2, rank=0, wait_ms=600), 0.1)
     assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_a_first_attempt_goes_before_a_second_one():
     _, granter = _make_granter()
-    granter.take(_make_ask(1, wait_ms=600, is_retry=True), 0.0)
-    replies = granter.take(_make_ask(2, wait_ms=600), 0.1)
+    granter.handle_request(_make_ask(1, wait_ms=600, is_retry=True), 0.0)
+    replies = granter.handle_request(_make_ask(2, wait_ms=600), 0.1)
     assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_an_ask_that_comes_again_takes_no_second_token():
     """Guards against a lost reply that costs the instance's limit a request."""
     _, granter = _make_granter()
-    granter.take(_make_ask(0), 0.0)
-    first = granter.take(_make_ask(1), 1.0)
-    again = granter.take(_make_ask(1), 1.1)
+    granter.handle_request(_make_ask(0), 0.0)
+    first = granter.handle_request(_make_ask(1), 1.0)
+    again = granter.handle_request(_make_ask(1), 1.1)
     assert _list(first) == _list(again) == [(1, V.GRANTED)]
-    assert _list(granter.take(_make_ask(2), 1.6)) == [(2, V.GRANTED)]
+    assert _list(granter.handle_request(_make_ask(2), 1.6)) == [(2, V.GRANTED)]
 
 
 def test_callers_that_are_refused_come_back_one_after_the_other():
     _, granter = _make_granter()
-    waits_ms = [granter.take(_make_ask(n), 0.0)[0].reply.retry_after_ms for n in range(4)]
+    waits_ms = [granter.handle_request(_make_ask(n), 0.0)[0].reply.retry_after_ms for n in range(4)]
     assert waits_ms == [500, 1_000, 1_500, 2_000]
 
 
 def test_what_goes_elsewhere_does_not_put_off_those_that_come_back():
     _, granter = _make_granter()
-    granter.take(_make_ask(1, is_final=False), 0.0)
-    (item,) = granter.take(_make_ask(2), 0.0)
+    granter.handle_request(_make_ask(1, is_final=False), 0.0)
+    (item,) = granter.handle_request(_make_ask(2), 0.0)
     assert item.reply.retry_after_ms == 500
 
 
@@ -109,7 +109,7 @@
     _, granter = _make_granter(limit_per_s=10.0)
     granted = 0
     for step in range(1_000):
-        replies = granter.take(_make_ask(step, turn=1), step * 0.01)
+        replies = granter.handle_request(_make_ask(step, turn=1), step * 0.01)
         granted += replies[0].reply.verdict is V.GRANTED
     assert 37 <= granted <= 40
 
@@ -117,20 +117,20 @@
 def test_the_more_entries_ask_the_longer_each_backs_off():
     _, granter = _make_granter()
     for number in range(240):
-        (item,) = granter.take(_make_ask(number, sender=f"e-{number}"), 0.0)
+        (item,) = granter.handle_request(_make_ask(number, sender=f"e-{number}"), 0.0)
     assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.ASKS_PER_S
 
 
 def test_what_waits_goes_once_the_limit_is_lifted():
     book, granter = _make_granter()
-    granter.take(_make_ask(1, wait_ms=600), 0.0)
+    granter.handle_request(_make_ask(1, wait_ms=600), 0.0)
     book.record(KEY, None, 0.1)
     assert _list(granter.poll(0.2)) == [(1, V.UNLIMITED)]
 
 
 def test_idle_buckets_are_forgotten():
     _, granter = _make_granter()
-    granter.take(_make_ask(1), 0.0)
+    granter.handle_request(_make_ask(1), 0.0)
     granter.expire(permit_granter.IDLE_KEPT_S + 1)
     assert granter._shares == {}
 
@@ -235,7 +235,7 @@
     """Guards against permits that come to nothing: the entry backs off for all but this request."""
     setting = _make(kind)
     (ask,) = setting.permits._asks.values()
-    claim = setting.exchange.job.claim
+    claim = setting.exchange.job.request_priority
     setting.permits.backoff.record(
         ask.upstream.key,
         claim.rank,
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -424,12 +424,12 @@
 
 def test_retries_are_a_part_of_all_requests():
     budget = retry.RetryBudget()
-    while budget.take():
+    while budget.try_acquire():
         pass
     for _ in range(1_000):
         budget.note_request()
     spent = 0
-    while budget.take():
+    while budget.try_acquire():
         spent += 1
     assert spent <= retry.LARGEST_BUDGET
     assert retry.decide(retry.FailedAttempt(**FAILED), budget) is retry.NextStep.GIVE_UP
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -99,7 +99,7 @@
     _hold(made)
     assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S - 0.1) is Verdict.REFUSE
     assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.CLAIM
-    made.claim(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
+    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
     assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.REFUSE
     assert made.may_try(DEADLY)
     assert not made.may_try(DEADLY)
@@ -110,8 +110,8 @@
     _hold(one)
     _tell(one, other, NOW_S)
     later_s = NOW_S + quarantine.TRIAL_AFTER_S + 1.0
-    one.claim(DEADLY, later_s)
-    other.claim(DEADLY, later_s)
+    one.claim_trial(DEADLY, later_s)
+    other.claim_trial(DEADLY, later_s)
     _tell(one, other, later_s + 0.1)
     _tell(other, one, later_s + 0.1)
     assert [one.may_try(DEADLY), other.may_try(DEADLY)] == [True, False]
@@ -121,7 +121,7 @@
     made = _make()
     _hold(made)
     later_s = NOW_S + quarantine.TRIAL_AFTER_S
-    made.claim(DEADLY, later_s)
+    made.claim_trial(DEADLY, later_s)
     assert made.may_try(DEADLY)
     made.note_end(DEADLY, 3, later_s + 0.5, later_s + 1.0)
     assert made.judge(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
@@ -130,7 +130,7 @@
 def test_a_former_trial_says_nothing_of_a_content_that_was_let_go():
     made = _make()
     _hold(made)
-    made.claim(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
+    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
     assert made.may_try(DEADLY)
     _order(made, is_held=False)
     made.note_end(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
@@ -144,7 +144,7 @@
     for _ in range(quarantine.MOST_TRIALS):
         at_s += quarantine.TRIAL_AFTER_S
         assert made.judge(DEADLY, at_s) is Verdict.CLAIM
-        made.claim(DEADLY, at_s)
+        made.claim_trial(DEADLY, at_s)
     assert made.judge(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
 
 
@@ -222,7 +222,7 @@
             trier=record.trier,
             is_by_hand=record.is_by_hand,
         )
-        book.take([content_record.AgedRecord(item, 5)], NOW_S)
+        book.merge([content_record.AgedRecord(item, 5)], NOW_S)
     expected = 0
     for record in book.get_all():
         expected ^= record.digest
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -29,7 +29,7 @@
     (former,) = book.get_all()
     former.works["r"] = upstream_book.Work("r", 50, reading_tokens=0)
     former.others = shared_load.Held(9_000, 3, 0)
-    former.raise_alarm(100.0, shared_load.AlarmKind.SAID)
+    former.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
     former.note_sent(100.0)
     assert _take(book, _make(2_000)) == [former]
     (present,) = book.get_all()
@@ -113,10 +113,10 @@
     source = setting.exchange.upstream.instance.instance_id
     other = "i-2" if source == "i-1" else "i-1"
     leaving = [_make(1_000, source, is_leaving=True), _make(1_000, other)]
-    setting.book.take_list(leaving, 100.0)
+    setting.book.update_instances(leaving, 100.0)
     setting.exchange.on_instances_changed()
     (order,) = setting.calls.copies
-    setting.book.take_list([_make(2_000, source), _make(1_000, other)], 100.0)
+    setting.book.update_instances([_make(2_000, source), _make(1_000, other)], 100.0)
     setting.exchange.on_upstream_ended()
     order.answer(200, [], b'{"handle": "h1", "made": 3}')
     assert not any("/kv-handle/" in call.target for call in setting.calls.made)
@@ -150,7 +150,7 @@
     @stateful.rule(data=strategies.data())
     def take_list(self, data):
         listed = data.draw(strategies.sampled_from(self.lists))
-        self.book.take_list(listed, 0.0)
+        self.book.update_instances(listed, 0.0)
         for item in listed:
             known_ms = self.seen_ms.get(item.instance_id, 0)
             self.seen_ms[item.instance_id] = max(known_ms, item.born_ms)
@@ -216,7 +216,7 @@
     made = _make_fleet(1_000)
     name = made.instances[0]
     _list_everywhere(made, made.entries, 2_000)
-    made.entries[0].sharing.tell_alarm(f"{name}@1000", shared_load.AlarmKind.SAID)
+    made.entries[0].sharing.tell_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
     made.run(1.0)
     for entry in made.entries:
         assert entry.alarms == []
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -101,7 +101,7 @@
     assert len(queue) == 2
     queue.remove(late)
     log.clear()
-    queue.note_change()
+    queue.schedule_check()
     timers.run_due(run_queue.SPREAD_S)
     assert log == [early]
 
@@ -112,7 +112,7 @@
     )
     assert setting.calls.attempts == []
     setting.book.get("i-1").works.clear()
-    setting.exchange._context.queue.note_change()
+    setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(run_queue.SPREAD_S)
     assert len(setting.calls.attempts) == 1
 
@@ -123,7 +123,7 @@
     )
     setting.caller.on_gone()
     setting.book.get("i-1").works.clear()
-    setting.exchange._context.queue.note_change()
+    setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(5.0)
     assert setting.calls.attempts == []
     assert setting.ended == [setting.exchange]
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -37,7 +37,7 @@
         self.save()
 
     def save(self):
-        self.saved.note()
+        self.saved.record()
         assert self.saved.wait_until_synced(WAIT_S)
 
 
@@ -128,7 +128,7 @@
     for number in range(200):
         record = content_record.ContentRecord(content_id=b"%016d" % number, ends=(1,), waves=1)
         process.book.set(record, process.clock.now_s)
-        process.saved.note()
+        process.saved.record()
         process.clock.run(0.01)
     assert process.saved.wait_until_synced(WAIT_S)
     assert len(made) <= 2.0 / saved_contents.SAVE_PAUSE_S + 2
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -59,7 +59,7 @@
 
 def _make(limit_per_s=2.0):
     book = upstream_book.UpstreamBook()
-    book.take_list([gateway_setting.make_instance("i-1")], 0.0)
+    book.update_instances([gateway_setting.make_instance("i-1")], 0.0)
     (upstream,) = book.get_all()
     limits = limit_book.LimitBook()
     limits.record(upstream.key, limit_per_s, NOW_S)
@@ -114,7 +114,7 @@
     )
     assert _get_bar(gate, upstream) is Bar.LIMITED
     assert _get_bar(gate, upstream, has_permit=True) is None
-    urgent = upstream_gate.Claim(claim.rank - 1, claim.workspace)
+    urgent = upstream_gate.RequestPriority(claim.rank - 1, claim.workspace)
     assert gate.get_bar(SERVICE, upstream, NOW_S, claim=urgent) is None
 
 
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -18,14 +18,14 @@
 MODEL = route_table.Service(
     name="s", health_path="/h", max_connections=9, engine=gateway_setting.ENGINE
 )
-SAID = shared_load.AlarmKind.SAID
+SAID = shared_load.AlarmKind.UNHEALTHY
 UNREACHABLE = shared_load.AlarmKind.UNREACHABLE
 PLAIN = route_table.Service(name="s", health_path="/h", max_connections=9, engine=None)
 
 
 def _make_book(*items):
     book = upstream_book.UpstreamBook()
-    book.take_list(items, 0.0)
+    book.update_instances(items, 0.0)
     return book
 
 
@@ -129,10 +129,10 @@
     book = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
     b = book.get("b")
     _work(b, 10)
-    leaving = book.take_list([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
+    leaving = book.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
     assert [item.instance.instance_id for item in leaving] == ["a", "b"]
     assert b.is_gone
-    assert book.take_list([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
+    assert book.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
 
 
 def test_each_instance_is_watched_by_exactly_one_entry_of_its_hall():
@@ -275,5 +275,5 @@
         allowance.entry_count = entries
         for step in range(200):
             allowance.note_request(step * 0.01)
-            taken += allowance.take(step * 0.01)
+            taken += allowance.try_acquire(step * 0.01)
     assert 0 < taken <= 0.2 * 200 * entries + 56
