--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -203,7 +203,7 @@
         # A hall has 107 replicas; smaller fleets stand in one hall.
         row = rows.UpstreamRow(address="1.2.3.4:5", hall=f"h{number // 107}", service="m")
         replica = replicas.Replica(f"r{number}", row, 0.0, is_new=False)
-        replica.take_report(
+        replica.handle_report(
             load_report.LoadReport(
                 running=20,
                 waiting=0,
@@ -274,7 +274,7 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="spoolhead-") as folder:
         path = pathlib.Path(folder)
-        figures = {
+        metrics = {
             "cores": os.cpu_count(),
             "table": measure_table(path),
             "followers": measure_followers(path),
@@ -285,9 +285,9 @@
             "report": measure_report_parsing(),
         }
     if options.json:
-        print(json.dumps(figures, indent=2))
+        print(json.dumps(metrics, indent=2))
         return
-    for name, value in figures.items():
+    for name, value in metrics.items():
         for item in value if isinstance(value, list) else [value]:
             print(f"{name:10} {item}")
 
--- a/benchmarks/deadly_requests.py
+++ b/benchmarks/deadly_requests.py
@@ -106,7 +106,7 @@
     fleet.run(2.0)
 
     def _ask():
-        fleet.send(fleet.chance.randrange(len(fleet.entries)), READ, lasting_s=1.0)
+        fleet.send(fleet.rng.randrange(len(fleet.entries)), READ, lasting_s=1.0)
         fleet.clock.call_later(0.05, _ask)
 
     _ask()
@@ -168,10 +168,10 @@
         self._clears = clears
 
     def _run(self, number, content_id, lasting_s, *, is_apart):
-        if self.chance.random() >= GREY_PART:
+        if self.rng.random() >= GREY_PART:
             super()._run(number, content_id, lasting_s, is_apart=is_apart)
         elif self._clears:
-            self.entries[number].contents.note_sound(content_id)
+            self.entries[number].contents.record_harmless(content_id)
 
 
 def play_grey(clears, pause_s, seed):
--- a/benchmarks/entry.py
+++ b/benchmarks/entry.py
@@ -68,10 +68,10 @@
 def measure_streams(running: fleet.Fleet, rounds: int) -> dict[str, float]:
     """Measure processor time a token and the latency added."""
     pid = running.processes["entry-1"].pid
-    figures: dict[str, list[float]] = {}
+    metrics: dict[str, list[float]] = {}
 
     def _note(name: str, value: float) -> None:
-        figures.setdefault(name, []).append(value)
+        metrics.setdefault(name, []).append(value)
 
     for _ in range(rounds):
         direct = run_streams(running.addresses["engine-1"], "")
@@ -91,7 +91,7 @@
             _note(f"between_tokens_{name}_ms_added", gaps[1] - gaps[0])
             _note(f"first_token_{name}_ms_direct", firsts[0])
             _note(f"first_token_{name}_ms_added", firsts[1] - firsts[0])
-    return {name: statistics.median(values) for name, values in figures.items()}
+    return {name: statistics.median(values) for name, values in metrics.items()}
 
 
 def measure_requests(running: fleet.Fleet) -> dict[str, float]:
@@ -165,13 +165,13 @@
         )
         table["services"][MODEL]["max_running_per_upstream"] = 4_000
         running.apply_table(table)
-        figures = measure_streams(running, options.rounds)
-        figures.update(measure_requests(running))
-        figures.update(measure_memory(running))
+        metrics = measure_streams(running, options.rounds)
+        metrics.update(measure_requests(running))
+        metrics.update(measure_memory(running))
     if options.json:
-        print(json.dumps(figures))
+        print(json.dumps(metrics))
         return
-    for name, value in figures.items():
+    for name, value in metrics.items():
         print(f"{name:36} {value:10.2f}")
 
 
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -236,8 +236,8 @@
     """Print medians, and ratios seed by seed."""
     print(f"{'figure':22} {'real':>10} {other:>16} {'ratio':>8} {'least':>8} {'greatest':>8}")
     for name in results["real"][0]:
-        real = [figures[name] for figures in results["real"]]
-        against = [figures[name] for figures in results[other]]
+        real = [metrics[name] for metrics in results["real"]]
+        against = [metrics[name] for metrics in results[other]]
         ratios = [a / b for a, b in zip(real, against, strict=True) if b]
         cells = [f"{statistics.median(real):10.2f}", f"{statistics.median(against):16.2f}"]
         if ratios:
--- a/benchmarks/rate_sharing.py
+++ b/benchmarks/rate_sharing.py
@@ -36,8 +36,8 @@
 
     name = "fixed senders"
 
-    def __init__(self, entries, limit_per_s, chance):
-        senders = chance.sample(range(entries), min(entries, max(1, int(limit_per_s))))
+    def __init__(self, entries, limit_per_s, rng):
+        senders = rng.sample(range(entries), min(entries, max(1, int(limit_per_s))))
         self._pause_s = dict.fromkeys(senders, len(senders) / limit_per_s)
         self._sent_s = {}
 
@@ -55,10 +55,10 @@
 
     name = "equal parts"
 
-    def __init__(self, entries, limit_per_s, chance):
-        super().__init__(entries, limit_per_s, chance)
+    def __init__(self, entries, limit_per_s, rng):
+        super().__init__(entries, limit_per_s, rng)
         self._pause_s = dict.fromkeys(range(entries), entries / limit_per_s)
-        self._sent_s = {n: -chance.uniform(0, entries / limit_per_s) for n in range(entries)}
+        self._sent_s = {n: -rng.uniform(0, entries / limit_per_s) for n in range(entries)}
 
 
 class SharesByDemand:
@@ -67,11 +67,11 @@
     name = "shares by demand"
     WINDOW_S = 2.0
 
-    def __init__(self, entries, limit_per_s, chance):
+    def __init__(self, entries, limit_per_s, rng):
         self._limit_per_s = limit_per_s
         self._wanted = [collections.deque() for _ in range(entries)]
         self._all = collections.deque()
-        self._tokens = [chance.random() for _ in range(entries)]
+        self._tokens = [rng.random() for _ in range(entries)]
         self._updated_s = [0.0] * entries
 
     def may_send(self, number, now_s):
@@ -95,13 +95,13 @@
 
 
 def _play(cls, entries, limit_per_s, seed):
-    chance = random.Random(seed)
-    way = cls(entries, limit_per_s, chance)
+    rng = random.Random(seed)
+    way = cls(entries, limit_per_s, rng)
     weights = _make_weights(entries)
     now_s, sent = 0.0, []
     while now_s < PLAY_S + limit_fleet.CONTACT_S:
-        now_s += chance.expovariate(_get_requests_per_s(entries))
-        number = chance.choices(range(entries), weights)[0]
+        now_s += rng.expovariate(_get_requests_per_s(entries))
+        number = rng.choices(range(entries), weights)[0]
         if way.may_send(number, now_s) and now_s >= limit_fleet.CONTACT_S:
             sent.append((now_s, number))
     return sent
--- a/src/spoolhead/_internal/commands/explain.py
+++ b/src/spoolhead/_internal/commands/explain.py
@@ -19,7 +19,7 @@
         except exceptions.PeerError as error:
             output.print_error(str(error))
     if not decisions:
-        text = codes.FACTS[codes.ResultCode.DECISION_NOT_FOUND].meaning
+        text = codes.CODE_INFO[codes.ResultCode.DECISION_NOT_FOUND].meaning
         output.print_error(f"{text} [{int(codes.ResultCode.DECISION_NOT_FOUND)}]")
         return exit_codes.ExitCode.NOT_FOUND
     if as_json:
--- a/src/spoolhead/_internal/commands/explain_logs.py
+++ b/src/spoolhead/_internal/commands/explain_logs.py
@@ -6,7 +6,7 @@
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.models import codes
-from spoolhead._internal.utils import log_story, logs
+from spoolhead._internal.utils import log_trace, logs
 
 STANDARD_INPUT = "-"
 
@@ -17,12 +17,12 @@
     :param paths: files, one a process or merged; ``-`` for standard input.
     """
     try:
-        story = log_story.tell(read(paths), request_id)
+        story = log_trace.tell(read(paths), request_id)
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
     if not story.own:
-        text = codes.FACTS[codes.ResultCode.DECISION_NOT_FOUND].meaning
+        text = codes.CODE_INFO[codes.ResultCode.DECISION_NOT_FOUND].meaning
         output.print_error(f"{text} [{int(codes.ResultCode.DECISION_NOT_FOUND)}]")
         return exit_codes.ExitCode.NOT_FOUND
     if as_json:
@@ -39,7 +39,7 @@
     return exit_codes.ExitCode.OK
 
 
-def read(paths: list[str]) -> Iterator[log_story.Line]:
+def read(paths: list[str]) -> Iterator[log_trace.Line]:
     """Read the lines of some files.
 
     :param paths: files, one a process or merged; ``-`` for standard input.
@@ -48,7 +48,7 @@
     for path in paths:
         name = "" if path == STANDARD_INPUT else pathlib.Path(path).stem
         for text in _get_texts(path):
-            line = log_story.read_line(name, text)
+            line = log_trace.read_line(name, text)
             if line is not None:
                 yield line
 
@@ -61,14 +61,14 @@
         yield from stream
 
 
-def _print_line(line: log_story.Line, began_s: float) -> None:
+def _print_line(line: log_trace.Line, began_s: float) -> None:
     fields = " ".join(
         f"{name}={logs.get_text(value)}" for name, value in line.fields.items() if name != "request"
     )
     print(f"{(line.time_s - began_s) * 1000:+8.0f} ms  {line.process}  {line.text}  {fields}")
 
 
-def _as_dict(line: log_story.Line) -> dict[str, object]:
+def _as_dict(line: log_trace.Line) -> dict[str, object]:
     return {
         "process": line.process,
         "time_s": line.time_s,
--- a/src/spoolhead/_internal/commands/held.py
+++ b/src/spoolhead/_internal/commands/held.py
@@ -8,7 +8,7 @@
 
 def run(config: settings.OperatorSettings, *, as_json: bool) -> exit_codes.ExitCode:
     """Print what a keeper knows of contents that may end upstreams."""
-    with peer_call.open_first(config.keepers, config) as call:
+    with peer_call.open_to_any(config.keepers, config) as call:
         answer = call.ask(messages.GetContents(request=1), messages.ContentsAnswer)
     _print(answer, as_json=as_json)
     return exit_codes.ExitCode.OK
@@ -27,7 +27,7 @@
         output.print_error(f"{content} is no content's name")
         return exit_codes.ExitCode.BAD_INPUT
     message = messages.HoldContent(request=1, content_id=content_id, is_held=is_held)
-    with peer_call.open_first(config.keepers, config) as call:
+    with peer_call.open_to_any(config.keepers, config) as call:
         answer = call.ask(message, messages.ContentsAnswer)
     _print(answer, as_json=as_json)
     return exit_codes.ExitCode.OK
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -10,7 +10,7 @@
 
 def run(config: settings.OperatorSettings, *, limit: int, as_json: bool) -> exit_codes.ExitCode:
     """Print the last changes, newest first."""
-    with peer_call.open_first(config.keepers, config) as call:
+    with peer_call.open_to_any(config.keepers, config) as call:
         question = messages.GetHistory(request=1, limit=limit)
         answer = call.ask(question, messages.HistoryAnswer)
     changes = [versioned_table.Change.unpack(packed) for packed in answer.changes]
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -37,13 +37,13 @@
 
 def get_table(config: settings.OperatorSettings) -> messages.TableAnswer:
     """Read the table from the first keeper that answers."""
-    with peer_call.open_first(config.keepers, config) as call:
+    with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetTable(request=1), messages.TableAnswer)
 
 
 def get_keeper_status(config: settings.OperatorSettings) -> dict:
     """Read the status of the first keeper that answers."""
-    with peer_call.open_first(config.keepers, config) as call:
+    with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
 
 
@@ -90,7 +90,7 @@
     # The edit id makes a resend harmless, so a lost answer is simply asked for again.
     for left in range(SEND_ATTEMPTS - 1, -1, -1):
         try:
-            with peer_call.open_first(config.keepers, config) as call:
+            with peer_call.open_to_any(config.keepers, config) as call:
                 return call.ask(message, messages.ProposeAnswer)
         except exceptions.PeerError as error:
             if error.code is not codes.ResultCode.PEER_UNREACHABLE:
@@ -123,7 +123,7 @@
         output.print_json(report)
         return
     if code is not codes.ResultCode.OK:
-        output.print_error(f"refused, nothing changed: {codes.FACTS[code].meaning} [{int(code)}]")
+        output.print_error(f"refused, nothing changed: {codes.CODE_INFO[code].meaning} [{int(code)}]")
         for item in report["faults"]:
             output.print_error(f"  {item['path']}: {item['text']}")
         for item in report["conflicts"]:
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -16,38 +16,38 @@
 """Longest wait for an answer: many times the usual few milliseconds. Without one the list of
 instances, or another entry, has to tell."""
 
-ASK_AGAIN_S = 0.1
+RETRY_INTERVAL_S = 0.1
 """Pause before a question is put again whose connection was made and lost: a process that is just
 ending still takes connections for a moment, and by then refuses them."""
-MOST_QUESTIONS = 4
+MAX_QUERIES = 4
 """Questions about one loss, within 0.3 s. A connection was seen to be taken 3 ms after a loss,
 beside six busy processes; where an end stays unseen, its requests are not suspected."""
 
 
-class Asked:
+class EndQuery:
     """An instance to be asked.
 
-    :ivar life_id: which run of which instance lost the request.
+    :ivar incarnation_id: which run of which instance lost the request.
     :ivar instance_id: id by which the instance names itself; empty if it does not.
     :ivar address: ``IP:PORT``.
     :ivar path: what to ask for.
     """
 
-    __slots__ = ("address", "instance_id", "life_id", "path")
+    __slots__ = ("address", "instance_id", "incarnation_id", "path")
 
-    def __init__(self, life_id: str, *, instance_id: str, address: str, path: str) -> None:
-        self.life_id = life_id
+    def __init__(self, incarnation_id: str, *, instance_id: str, address: str, path: str) -> None:
+        self.incarnation_id = incarnation_id
         self.instance_id = instance_id
         self.address = address
         self.path = path
 
 
-class _Question:
+class _Query:
     """One question."""
 
     __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
 
-    def __init__(self, owner: "EndWatch", asked: Asked, number: int) -> None:
+    def __init__(self, owner: "EndWatch", asked: EndQuery, number: int) -> None:
         self.number = number
         self.owner = owner
         self.asked = asked
@@ -62,15 +62,15 @@
         pass
 
     def on_answer_end(self) -> None:
-        self.owner.take_answer(self)
+        self.owner.handle_answer(self)
 
     def on_call_lost(self, reason: str) -> None:
-        self.owner.take_loss(self, reason)
+        self.owner.handle_loss(self, reason)
 
     def give_up(self) -> None:
         if self.call is not None:
             self.call.cancel()
-        self.owner.take_silence(self)
+        self.owner.handle_silence(self)
 
 
 class EndWatch:
@@ -97,63 +97,63 @@
         self._timers = timers
         self._contents = contents
         self._on_ended = on_ended
-        self._questions: dict[str, _Question] = {}
+        self._pending_operations: dict[str, _Query] = {}
 
-    def query(self, asked: Asked) -> None:
+    def query(self, asked: EndQuery) -> None:
         """Ask an instance that has just lost a request, unless it is being asked."""
         if asked.path:
             self._ask(asked, 1)
 
-    def _ask(self, asked: Asked, number: int) -> None:
-        if asked.life_id in self._questions:
+    def _ask(self, asked: EndQuery, number: int) -> None:
+        if asked.incarnation_id in self._pending_operations:
             return
-        question = self._questions[asked.life_id] = _Question(self, asked, number)
+        question = self._pending_operations[asked.incarnation_id] = _Query(self, asked, number)
         question.timer = self._timers.call_later(ANSWER_S, question.give_up)
         request = upstream_calls.make_request("GET", asked.path, asked.address, (), b"")
         question.call = self._calls.open(asked.address, request, question, fresh=True)
 
-    def take_answer(self, question: _Question) -> None:
+    def handle_answer(self, question: _Query) -> None:
         """Take an answer: the instance lives, or another one stands in its place."""
         self._drop(question)
         asked = question.asked
         if question.instance_id and question.instance_id != asked.instance_id:
-            self._take_end(question, f"{question.instance_id} answers")
+            self._handle_end(question, f"{question.instance_id} answers")
         elif question.instance_id or not asked.instance_id:
             self._log(question, "it answers")
-            self._contents.note_alive(asked.life_id)
+            self._contents.record_alive(asked.incarnation_id)
         else:
             self._log(question, "it does not say which instance answers")
 
-    def take_loss(self, question: _Question, reason: str) -> None:
+    def handle_loss(self, question: _Query, reason: str) -> None:
         """Take the loss of a question; refused, the instance has ended."""
         self._drop(question)
         if reason == links.REFUSED:
-            self._take_end(question, reason)
+            self._handle_end(question, reason)
             return
         self._log(question, reason)
-        if question.number < MOST_QUESTIONS:
+        if question.number < MAX_QUERIES:
             asked, number = question.asked, question.number + 1
-            self._timers.call_later(ASK_AGAIN_S, lambda: self._ask(asked, number))
+            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(asked, number))
 
-    def take_silence(self, question: _Question) -> None:
+    def handle_silence(self, question: _Query) -> None:
         """Take the want of an answer, which another question would not change."""
         self._drop(question)
         self._log(question, "no answer")
 
-    def _take_end(self, question: _Question, evidence: str) -> None:
+    def _handle_end(self, question: _Query, evidence: str) -> None:
         self._log(question, evidence, has_ended=True)
-        life_id = question.asked.life_id
-        self._on_ended(life_id)
-        self._contents.note_ended(life_id, evidence)
+        incarnation_id = question.asked.incarnation_id
+        self._on_ended(incarnation_id)
+        self._contents.record_ended(incarnation_id, evidence)
 
-    def _drop(self, question: _Question) -> None:
-        self._questions.pop(question.asked.life_id, None)
+    def _drop(self, question: _Query) -> None:
+        self._pending_operations.pop(question.asked.incarnation_id, None)
         if question.timer is not None:
             question.timer.cancel()
 
-    def _log(self, question: _Question, outcome: str, *, has_ended: bool = False) -> None:
+    def _log(self, question: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": question.asked.life_id,
+            "upstream": question.asked.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -17,7 +17,7 @@
 from spoolhead._internal import exceptions
 from spoolhead._internal.models import content_record
 from spoolhead._internal.network import scheduler
-from spoolhead._internal.policy import content_book
+from spoolhead._internal.policy import content_registry
 from spoolhead._internal.utils import clocks, disk_refusals, files
 from spoolhead.coordination import changelog
 
@@ -64,7 +64,7 @@
     """Fills a book from the disk, and keeps the disk up to date with it.
 
     :param folder: the process's data folder.
-    :param book: the records.
+    :param registry: the records.
     :param timers: calls back.
     :param clock: monotonic time in seconds, by which the book counts.
     :param wall_clock: the time of day in seconds.
@@ -73,20 +73,20 @@
     def __init__(
         self,
         folder: pathlib.Path,
-        book: content_book.ContentBook,
+        registry: content_registry.ContentRegistry,
         timers: scheduler.Scheduler,
         *,
         clock: clocks.Clock = clocks.get_s,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._path = folder / FILE_NAME
-        self._book = book
+        self._registry = registry
         self._timers = timers
         self._clock = clock
         self._wall_clock = wall_clock
         self._refusals = disk_refusals.DiskRefusals(self._path)
         self._read()
-        self._digest = book.digest
+        self._digest = registry.digest
         self._earliest_s = clock()
         self._timer: scheduler.Timer | None = None
         self._condition = threading.Condition()
@@ -96,7 +96,7 @@
 
     def record(self) -> None:
         """Have the records saved soon, if they have changed."""
-        if self._book.digest == self._digest or self._timer is not None:
+        if self._registry.digest == self._digest or self._timer is not None:
             return
         delay_s = self._earliest_s - self._clock()
         if delay_s > 0:
@@ -123,8 +123,8 @@
             self._timer = None
         now_s = self._clock()
         self._earliest_s = now_s + SAVE_PAUSE_S
-        self._digest = self._book.digest
-        items = self._book.get_all_aged(self._book.get_ids(), now_s)
+        self._digest = self._registry.digest
+        items = self._registry.get_all_aged(self._registry.get_ids(), now_s)
         data = encode(items, self._wall_clock())
         with self._condition:
             self._waiting = data
@@ -141,7 +141,7 @@
             fields["reason"] = str(error)
             logger.warning("saved contents are left unread", extra={"fields": fields})
             return
-        fields["contents"] = len(self._book.merge(items, self._clock()))
+        fields["contents"] = len(self._registry.merge(items, self._clock()))
         logger.info("saved contents are known again", extra={"fields": fields})
 
     def _run(self) -> None:
@@ -164,7 +164,7 @@
         try:
             files.replace_file(self._path, data)
         except exceptions.DiskError as error:
-            self._refusals.note_refused(error)
+            self._refusals.record_refused(error)
             return False
-        self._refusals.note_taken()
+        self._refusals.record_success()
         return True
--- a/src/spoolhead/_internal/discovery/list_reader.py
+++ b/src/spoolhead/_internal/discovery/list_reader.py
@@ -94,7 +94,7 @@
             self._has_failed = False
             logger.info("instance list is readable again")
         self._note_faults()
-        listed = instances.keep_one_each(self._found, self._before)
+        listed = instances.remove_duplicates(self._found, self._before)
         if len(listed) < len(self._found):
             fields = {"entries": len(self._found), "ids": len(listed)}
             logger.warning("instance list names ids more than once", extra={"fields": fields})
--- a/src/spoolhead/_internal/entry/control.py
+++ b/src/spoolhead/_internal/entry/control.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from spoolhead._internal.entry import decision_book
+from spoolhead._internal.entry import decision_history
 from spoolhead._internal.entry import neighbours as entry_neighbours
 from spoolhead._internal.network import messages, peer_server
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        decisions: decision_book.DecisionBook,
+        decisions: decision_history.DecisionHistory,
         neighbours: entry_neighbours.Neighbours,
         get_status: Callable[[], Status],
     ) -> None:
--- a/src/spoolhead/_internal/entry/decision_book.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -11,7 +11,7 @@
 logger = logging.getLogger("spoolhead.decisions")
 
 
-class DecisionBook:
+class DecisionHistory:
     """Decisions on the newest requests, for operators who ask.
 
     :param config: the entry's settings.
@@ -64,7 +64,7 @@
             )
         )
 
-    def note_refusal(
+    def record_refusal(
         self, request_id: str, workspace: str, item: fault.Fault, arrived_s: float
     ) -> None:
         """Take note of a refusal before there was anything to choose from."""
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -6,7 +6,7 @@
 
 from spoolhead._internal.entry import (
     answers,
-    decision_book,
+    decision_history,
     flow,
     flow_context,
     held_contents,
@@ -76,7 +76,7 @@
         calls: upstream_calls.UpstreamCalls,
         gathered: metrics.Metrics,
         policies: policy_set.PolicySet,
-        decisions: decision_book.DecisionBook,
+        decisions: decision_history.DecisionHistory,
         contents: held_contents.HeldContents,
     ) -> None:
         self._contents = contents
@@ -150,12 +150,12 @@
         if on_end is not None:
             self._on_end[request.request_id] = on_end
         now_s = request.arrived_s
-        self._context.budget.note_request()
+        self._context.budget.record_request()
         if request.resume is not None:
             self._resume(request, caller)
             return
         request.content_id = request_content.get_content_id(request, "", request.workspace)
-        match self._contents.judge(request.content_id):
+        match self._contents.evaluate(request.content_id):
             case quarantine.Verdict.REFUSE:
                 self._refuse(_Job(request, caller), _make_held_refusal())
             case quarantine.Verdict.CLAIM:
@@ -175,12 +175,12 @@
 
         self._contents.claim_trial(request.content_id, _on_settled)
 
-    def hold_back(self, content_id: bytes) -> None:
+    def reject_held(self, content_id: bytes) -> None:
         """End what runs of a content that is held from now on."""
         for running in list(self._flows):
             request = running.request
             if request.content_id == content_id and not request.is_trial:
-                running.hold_back()
+                running.reject_held()
 
     def _take(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
@@ -197,7 +197,7 @@
         """Choose an upstream for another attempt of a flow."""
         return self._choose(running.request, excluded)
 
-    def note_attempt(
+    def record_attempt(
         self,
         running: flow.Flow,
         action: str,
@@ -298,9 +298,9 @@
         )
         running.resume(replica, point.generation)
 
-    def take_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
+    def handle_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
         """Take an upstream's load report, and start what it makes room for."""
-        replica.take_report(report)
+        replica.handle_report(report)
         if self._admission.waiting_count:
             self._pump_service(replica.row.service)
 
@@ -363,7 +363,7 @@
         for running in list(self._flows):
             running.tick()
         now_s = clocks.get_s()
-        for waiting in self._admission.take_overdue(now_s):
+        for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
             text = "the deadline passed while the request was waiting"
             item = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
@@ -384,7 +384,7 @@
             refusal = _make_refusal(
                 codes.ResultCode.NO_UPSTREAM, f"no upstream of {service} answers"
             )
-            for waiting in self._admission.take_all(service):
+            for waiting in self._admission.pop_all(service):
                 self._refuse(waiting.owner, refusal)
 
     def _refuse(self, job: _Job, refused: admission.Refused) -> None:
@@ -411,7 +411,7 @@
 
 def _make_held_refusal() -> admission.Refused:
     """Return a refusal that does not say when to come back: the next run would end an upstream."""
-    return admission.Refused(fault.make_held(), None)
+    return admission.Refused(fault.make_held_fault(), None)
 
 
 def _make_forced_choice(replica: replicas.Replica) -> placement.Choice:
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -43,7 +43,7 @@
     ) -> None:
         self.request = request
         self.caller = caller
-        self.work = replicas.RunningWork(
+        self.work = replicas.RunningRequest(
             request.workspace, request.prompt_tokens, request.limit_tokens
         )
         self.is_over = False
@@ -106,11 +106,11 @@
         elif self._has_stalled(now_s):
             self._fail_attempt(codes.ResultCode.UPSTREAM_SILENT, "the stream has stalled")
 
-    def hold_back(self) -> None:
+    def reject_held(self) -> None:
         """Give the request up, since it ends what runs it, unless a part was delivered."""
         if self.is_over or self._relay.order.has_delivered or self.request.resume is not None:
             return
-        held, ran = fault.make_held(), self._get_ran_now()
+        held, ran = fault.make_held_fault(), self._get_ran_now()
         # Only what has not run may be told so by the status of a held request.
         code = held.code if ran is codes.Ran.NO else codes.ResultCode.UPSTREAM_LOST
         self._give_up(code, held.text, ran, comes_back=False)
@@ -119,7 +119,7 @@
         """Tell whether the request ran, while no attempt is being made."""
         return codes.Ran.UNKNOWN if self._may_have_run else codes.Ran.NO
 
-    def take_head(
+    def handle_head(
         self, attempt: flow_attempt.Attempt, status: int, headers: upstream_calls.Headers
     ) -> None:
         """Take the head of an attempt's answer."""
@@ -152,7 +152,7 @@
         fields = {"upstream": attempt.replica.name, "for_ms": int(rest_s * 1000)}
         logger.info("upstream asked for rest", extra={"fields": fields})
 
-    def take_body(self, attempt: flow_attempt.Attempt, data: bytes) -> None:
+    def handle_body(self, attempt: flow_attempt.Attempt, data: bytes) -> None:
         """Take a part of an attempt's answer."""
         if attempt is not self._attempt:
             return
@@ -166,7 +166,7 @@
             text = f"the answer exceeds {self._context.answer_bytes} bytes"
             self._give_up(codes.ResultCode.ANSWER_TOO_LARGE, text, codes.Ran.YES)
 
-    def take_end(self, attempt: flow_attempt.Attempt) -> None:
+    def handle_end(self, attempt: flow_attempt.Attempt) -> None:
         """Take the end of an attempt's answer."""
         if attempt is not self._attempt:
             return
@@ -175,7 +175,7 @@
             return
         self._finish_whole(attempt)
 
-    def take_loss(self, attempt: flow_attempt.Attempt, reason: str) -> None:
+    def handle_loss(self, attempt: flow_attempt.Attempt, reason: str) -> None:
         """Take the loss of an attempt's connection."""
         if attempt is not self._attempt:
             return
@@ -183,10 +183,10 @@
         if attempt.call is not None and not attempt.call.may_have_arrived:
             code = codes.ResultCode.UPSTREAM_UNREACHABLE
             if reason == links.REFUSED:
-                self._context.contents.note_unreachable(attempt.replica)
+                self._context.contents.record_unreachable(attempt.replica)
         else:
-            self._context.contents.note_lost(
-                attempt.replica, attempt.life_id, self.request.content_id, attempt.sent_s
+            self._context.contents.record_lost(
+                attempt.replica, attempt.incarnation_id, self.request.content_id, attempt.sent_s
             )
         if attempt is not self._attempt:
             # The loss was what has its content held.
@@ -200,7 +200,7 @@
             self,
             replica,
             generation,
-            life_id=self._context.contents.get_life_id(replica.name),
+            incarnation_id=self._context.contents.get_life_id(replica.name),
             sent_s=self._context.clock(),
         )
         self._attempt = attempt
@@ -230,7 +230,7 @@
     def _relay_data(self, attempt: flow_attempt.Attempt, data: bytes) -> None:
         relayed = self._relay.feed(data)
         if relayed.tokens:
-            self._note_tokens(relayed.tokens)
+            self._record_tokens(relayed.tokens)
         if relayed.data and not self._send(attempt, relayed.data):
             return
         if relayed.fault is not None:
@@ -258,9 +258,9 @@
         self._give_up(codes.ResultCode.CALLER_TOO_SLOW, text, codes.Ran.YES)
         return False
 
-    def _note_tokens(self, count: int) -> None:
+    def _record_tokens(self, count: int) -> None:
         now_s = self._context.clock()
-        gap_s = self._pace.note_tokens(count, now_s)
+        gap_s = self._pace.record_tokens(count, now_s)
         gathered = self._context.gathered
         if self._first_token_s is None:
             self._first_token_s = now_s
@@ -286,33 +286,33 @@
             and self._pace.is_stalled(now_s)
         )
 
-    def _note_whole(self, status: int) -> None:
+    def _record_whole_answer(self, status: int) -> None:
         """Take note of an upstream's whole answer."""
-        if quarantine.shows_sound(status, is_trial=self.request.is_trial):
-            self._context.contents.note_sound(self.request.content_id)
+        if quarantine.shows_harmless(status, is_trial=self.request.is_trial):
+            self._context.contents.record_harmless(self.request.content_id)
 
     def _finish_stream(self, attempt: flow_attempt.Attempt) -> None:
-        self._note_whole(attempt.status)
+        self._record_whole_answer(attempt.status)
         self.caller.end_stream()
         # The done mark comes a little before the end of the message; a connection closed in
         # between could not be used again.
         self._attempt = None
         attempt.replica.finish(self.work)
-        self._context.calls.let_end(attempt.call)
-        attempt.replica.health.note_success(self._context.clock())
+        self._context.calls.finish_in_background(attempt.call)
+        attempt.replica.health.record_success(self._context.clock())
         result = flow_context.Result(codes.ResultCode.OK, codes.Ran.YES, self.work.generated_tokens)
         result.is_natural_end = self.request.resume is None
         self._end(result)
 
     def _finish_whole(self, attempt: flow_attempt.Attempt) -> None:
-        self._note_whole(attempt.status)
+        self._record_whole_answer(attempt.status)
         body = b"".join(self._body)
         if self.request.is_model:
             self.work.generated_tokens = passed_answers.get_usage_tokens(body)
             self._context.host.charge(self, self.work.generated_tokens)
         headers = passed_answers.make_whole_headers(attempt.headers, self.request.request_id)
         self.caller.send_whole(attempt.status, headers, body)
-        attempt.replica.health.note_success(self._context.clock())
+        attempt.replica.health.record_success(self._context.clock())
         self._drop_attempt(cancel=False)
         result = flow_context.Result(codes.ResultCode.OK, codes.Ran.YES, self.work.generated_tokens)
         result.is_natural_end = self.request.is_model and attempt.status == _OK
@@ -339,9 +339,9 @@
             # It cost no upstream anything, so it does not count as one of the attempts; but a
             # generation can be resumed at one upstream only, which may be gone for good.
             self._attempts_made -= 0 if has_begun else 1
-            attempt.replica.health.note_unreachable(now_s)
+            attempt.replica.health.record_unreachable(now_s)
         elif not refused:
-            attempt.replica.health.note_failure(now_s)
+            attempt.replica.health.record_failure(now_s)
         self._may_have_run = self._may_have_run or (arrived and not refused)
         failed = retry.FailedAttempt(
             may_have_arrived=self._may_have_run or arrived,
@@ -367,9 +367,9 @@
 
     def _resume_again(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> None:
         choice = placement.Choice(attempt.replica, 0.0, ())
-        self._context.host.note_attempt(self, "resume", choice, code)
+        self._context.host.record_attempt(self, "resume", choice, code)
         self._context.gathered.count(metrics.Metric.RESUMES)
-        self._pace.note_resume(self._context.clock())
+        self._pace.record_resume(self._context.clock())
         self.resume(attempt.replica, attempt.generation)
 
     def _try_again(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> bool:
@@ -383,7 +383,7 @@
             # by now; so after a wait it may be asked again.
             self._failed_upstreams.clear()
             return self._context.host.wait_again(self, code)
-        self._context.host.note_attempt(self, "retry", choice, code)
+        self._context.host.record_attempt(self, "retry", choice, code)
         self.start(choice)
         return True
 
@@ -428,8 +428,8 @@
             return
         arrived = call.may_have_arrived
         if cancel and arrived and not call.is_over:
-            self._context.contents.note_abandoned(
-                attempt.replica, attempt.life_id, self.request.content_id, attempt.sent_s
+            self._context.contents.record_abandoned(
+                attempt.replica, attempt.incarnation_id, self.request.content_id, attempt.sent_s
             )
         if not call.is_over:
             call.cancel()
--- a/src/spoolhead/_internal/entry/flow_attempt.py
+++ b/src/spoolhead/_internal/entry/flow_attempt.py
@@ -9,16 +9,16 @@
 class AttemptUser(Protocol):
     """The flow that made an attempt."""
 
-    def take_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
+    def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
         """Take the head of its answer."""
 
-    def take_body(self, attempt: "Attempt", data: bytes) -> None:
+    def handle_body(self, attempt: "Attempt", data: bytes) -> None:
         """Take a part of its answer."""
 
-    def take_end(self, attempt: "Attempt") -> None:
+    def handle_end(self, attempt: "Attempt") -> None:
         """Take the end of its answer."""
 
-    def take_loss(self, attempt: "Attempt", reason: str) -> None:
+    def handle_loss(self, attempt: "Attempt", reason: str) -> None:
         """Take the loss of its connection."""
 
 
@@ -28,7 +28,7 @@
     :ivar flow: the flow that made it.
     :ivar replica: the upstream.
     :ivar generation: id of the generation there.
-    :ivar life_id: which run of the upstream it went to.
+    :ivar incarnation_id: which run of the upstream it went to.
     :ivar sent_s: when it was sent.
     :ivar call: the call; None until it is made.
     :ivar status: status of its answer; 0 before it.
@@ -40,7 +40,7 @@
         "flow",
         "generation",
         "headers",
-        "life_id",
+        "incarnation_id",
         "replica",
         "sent_s",
         "status",
@@ -52,10 +52,10 @@
         replica: replicas.Replica,
         generation: str,
         *,
-        life_id: str,
+        incarnation_id: str,
         sent_s: float,
     ) -> None:
-        self.life_id = life_id
+        self.incarnation_id = incarnation_id
         self.sent_s = sent_s
         self.flow = flow
         self.replica = replica
@@ -66,16 +66,16 @@
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
         """Pass on the head."""
-        self.flow.take_head(self, status, headers)
+        self.flow.handle_head(self, status, headers)
 
     def on_answer_body(self, data: bytes) -> None:
         """Pass on a part of the body."""
-        self.flow.take_body(self, data)
+        self.flow.handle_body(self, data)
 
     def on_answer_end(self) -> None:
         """Pass on the end."""
-        self.flow.take_end(self)
+        self.flow.handle_end(self)
 
     def on_call_lost(self, reason: str) -> None:
         """Pass on the loss."""
-        self.flow.take_loss(self, reason)
+        self.flow.handle_loss(self, reason)
--- a/src/spoolhead/_internal/entry/flow_context.py
+++ b/src/spoolhead/_internal/entry/flow_context.py
@@ -50,7 +50,7 @@
     ) -> upstream_calls.UpstreamCall:
         """Begin a request."""
 
-    def let_end(self, call: upstream_calls.UpstreamCall) -> None:
+    def finish_in_background(self, call: upstream_calls.UpstreamCall) -> None:
         """Let a call end whose answer is no longer needed."""
 
 
@@ -63,20 +63,20 @@
     def get_life_id(self, upstream: str) -> str:
         """Name the present run of an upstream."""
 
-    def note_lost(
-        self, replica: replicas.Replica, life_id: str, content_id: bytes, sent_s: float
+    def record_lost(
+        self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
         """Take note of a request that an upstream took and lost."""
 
-    def note_abandoned(
-        self, replica: replicas.Replica, life_id: str, content_id: bytes, sent_s: float
+    def record_abandoned(
+        self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
         """Take note of a request that an upstream took and this entry has abandoned."""
 
-    def note_unreachable(self, replica: replicas.Replica) -> None:
+    def record_unreachable(self, replica: replicas.Replica) -> None:
         """Ask an upstream that refuses connections, if a request was abandoned there just now."""
 
-    def note_sound(self, content_id: bytes) -> None:
+    def record_harmless(self, content_id: bytes) -> None:
         """Take note of a request that has ended well."""
 
 
@@ -86,7 +86,7 @@
     def choose_again(self, flow: "flow.Flow", excluded: frozenset[str]) -> placement.Choice:
         """Choose an upstream for another attempt."""
 
-    def note_attempt(
+    def record_attempt(
         self, flow: "flow.Flow", action: str, choice: placement.Choice, code: codes.ResultCode
     ) -> None:
         """Log that another attempt is made because the last one ended with a code."""
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -53,7 +53,7 @@
         )
         self._saved: saved_contents.SavedContents | None = None
         if folder is not None:
-            self._saved = saved_contents.SavedContents(folder, self._watch.book, timers)
+            self._saved = saved_contents.SavedContents(folder, self._watch.registry, timers)
         self._end_watch = end_watch.EndWatch(
             calls,
             timers,
@@ -73,12 +73,12 @@
 
     def merge_records(self, teller: str, records: Records) -> None:
         """Take records that another process tells."""
-        self._watch.take_records(teller, records)
+        self._watch.merge_records(teller, records)
         self._save()
 
-    def judge(self, content_id: bytes) -> quarantine.Verdict:
+    def evaluate(self, content_id: bytes) -> quarantine.Verdict:
         """Decide on a request that has just come."""
-        return self._watch.judge(content_id)
+        return self._watch.evaluate(content_id)
 
     def is_held(self, content_id: bytes) -> bool:
         """Tell whether a content is held."""
@@ -95,59 +95,59 @@
         """
         self._watch.claim_trial(content_id)
         self._timers.call_later(
-            quarantine.CLAIM_S, lambda: on_settled(self._watch.may_try(content_id))
+            quarantine.CLAIM_S, lambda: on_settled(self._watch.may_run_trial(content_id))
         )
 
     def get_life_id(self, upstream: str) -> str:
         """Name the present run of an upstream, as far as this entry tells its runs apart."""
         return f"{upstream}@{self._name}.{self._starts.get(upstream, 0)}"
 
-    def note_abandoned(
-        self, replica: replicas.Replica, life_id: str, content_id: bytes, sent_s: float
+    def record_abandoned(
+        self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
         """Take note of a request that an upstream took and this entry has abandoned."""
         if replica.row.state is not rows.UpstreamState.LEAVING:
-            self._watch.note_abandoned(life_id, content_id, sent_s)
+            self._watch.record_abandoned(incarnation_id, content_id, sent_s)
 
-    def note_unreachable(self, replica: replicas.Replica) -> None:
+    def record_unreachable(self, replica: replicas.Replica) -> None:
         """Ask an upstream that refuses connections, if a request was abandoned there just now."""
-        life_id = self.get_life_id(replica.name)
+        incarnation_id = self.get_life_id(replica.name)
         if replica.row.state is rows.UpstreamState.LEAVING or not self._watch.has_abandoned(
-            life_id
+            incarnation_id
         ):
             return
-        self._ask(replica, life_id)
+        self._ask(replica, incarnation_id)
 
-    def note_lost(
-        self, replica: replicas.Replica, life_id: str, content_id: bytes, sent_s: float
+    def record_lost(
+        self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
         """Take note of a request that an upstream took and lost, and ask the upstream."""
         if replica.row.state is rows.UpstreamState.LEAVING:
             return
-        self._watch.note_lost(life_id, content_id, sent_s)
-        self._ask(replica, life_id)
+        self._watch.record_lost(incarnation_id, content_id, sent_s)
+        self._ask(replica, incarnation_id)
 
-    def _ask(self, replica: replicas.Replica, life_id: str) -> None:
-        asked = end_watch.Asked(
-            life_id,
+    def _ask(self, replica: replicas.Replica, incarnation_id: str) -> None:
+        asked = end_watch.EndQuery(
+            incarnation_id,
             instance_id="",
             address=replica.row.address,
             path=self._probe_path,
         )
         self._end_watch.query(asked)
 
-    def note_sound(self, content_id: bytes) -> None:
+    def record_harmless(self, content_id: bytes) -> None:
         """Take note of a request that has ended well."""
-        self._watch.note_sound(content_id)
+        self._watch.record_harmless(content_id)
 
     def _tell_changed(self) -> None:
-        self._tell(self._watch.take_changed())
+        self._tell(self._watch.pop_changed())
         self._save()
 
     def _save(self) -> None:
         if self._saved is not None:
             self._saved.record()
 
-    def _note_restart(self, life_id: str) -> None:
-        upstream = life_id.rpartition("@")[0]
+    def _note_restart(self, incarnation_id: str) -> None:
+        upstream = incarnation_id.rpartition("@")[0]
         self._starts[upstream] = self._starts.get(upstream, 0) + 1
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -189,21 +189,21 @@
             case messages.Snapshot():
                 self._take_snapshot(message)
             case messages.ChangeMade():
-                self._take_change(message)
+                self._handle_change(message)
             case messages.Current():
                 self._confirm()
             case messages.Members():
                 self._user.on_members([neighbours.Member(*entry) for entry in message.entries])
             case messages.Contents():
-                self._take_contents(message)
+                self._handle_contents(message)
             case messages.ClaimAnswer():
-                self._take_claim_answer(message)
+                self._handle_claim_answer(message)
             case messages.FinishNoted():
                 self._unconfirmed.pop(message.key, None)
             case _:
                 self._client.reconnect(f"unexpected {type(message).__name__}")
 
-    def _take_contents(self, message: messages.Contents) -> None:
+    def _handle_contents(self, message: messages.Contents) -> None:
         try:
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
@@ -230,7 +230,7 @@
             self._put_in_force()
         self._confirm()
 
-    def _take_change(self, message: messages.ChangeMade) -> None:
+    def _handle_change(self, message: messages.ChangeMade) -> None:
         change = versioned_table.Change.unpack(message.change)
         taken = self._followed.take_change(message.log_id, change)
         if taken.is_error():
@@ -268,7 +268,7 @@
         self._lost_s = None
         self._client.send(messages.InForce(version=self._table.version))
 
-    def _take_claim_answer(self, message: messages.ClaimAnswer) -> None:
+    def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
         pending = self._claims.pop(message.request, None)
         if pending is None:
             return
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -142,16 +142,16 @@
             amount = report.preemptions - known.preemptions
             self._gathered.count(metrics.Metric.PREEMPTIONS, amount)
         self._fetched.append(entry_neighbours.NamedReport(replica.name, report))
-        self._owner.take_report(replica, report)
+        self._owner.handle_report(replica, report)
 
-    def take_from_neighbour(self, reports: Sequence[entry_neighbours.NamedReport]) -> None:
+    def handle_neighbour_report(self, reports: Sequence[entry_neighbours.NamedReport]) -> None:
         """Take reports that a neighbour has fetched, those newer than what is known."""
         for item in reports:
             replica = self._owner.get_upstream(item.upstream)
             if replica is None:
                 continue
             if replica.report is None or item.report.received_s > replica.report.received_s:
-                self._owner.take_report(replica, item.report)
+                self._owner.handle_report(replica, item.report)
 
     def fail(self, replica: replicas.Replica, reason: str) -> None:
         """Note a fetch that failed; the last report grows old."""
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -8,7 +8,7 @@
 import hashlib
 import logging
 
-from spoolhead._internal.entry import answers, api, decision_book, flow_context, keeper_link
+from spoolhead._internal.entry import answers, api, decision_history, flow_context, keeper_link
 from spoolhead._internal.entry import dispatcher as dispatchers
 from spoolhead._internal.models import codes, fault, requests
 from spoolhead._internal.network import caller_front
@@ -37,7 +37,7 @@
     def __init__(
         self,
         dispatcher: dispatchers.Dispatcher,
-        decisions: decision_book.DecisionBook,
+        decisions: decision_history.DecisionHistory,
         keeper: keeper_link.KeeperLink,
     ) -> None:
         self._dispatcher = dispatcher
@@ -52,11 +52,11 @@
 
         def _on_answer(result: keeper_link.ClaimResult) -> None:
             self.claiming_count -= 1
-            self._take_answer(request, caller, key, result)
+            self._handle_answer(request, caller, key, result)
 
         self._keeper.claim(key, make_fingerprint(request), _on_answer)
 
-    def _take_answer(
+    def _handle_answer(
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
@@ -112,8 +112,8 @@
             code, ran = _REFUSALS[state], codes.Ran.UNKNOWN
         if code is codes.ResultCode.ONCE_KEY_REUSED:
             ran = codes.Ran.NO
-        item = fault.Fault(code, codes.FACTS[code].meaning, path=api.ONCE_KEY_HEADER)
-        self._decisions.note_refusal(request.request_id, request.workspace, item, request.arrived_s)
+        item = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
+        self._decisions.record_refusal(request.request_id, request.workspace, item, request.arrived_s)
         may_come_back = code in (
             codes.ResultCode.ONCE_CLAIM_UNAVAILABLE,
             codes.ResultCode.ONCE_IN_PROGRESS,
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -9,7 +9,7 @@
     answers,
     api,
     control,
-    decision_book,
+    decision_history,
     dispatcher,
     held_contents,
     keeper_link,
@@ -57,14 +57,14 @@
         self._table = view.TableView()
         outgoing = links.Links(self._loop, channel="links").register(self._loop)
         calls = upstream_calls.UpstreamCalls(self._loop, outgoing, config.upstreams)
-        self._decisions = decision_book.DecisionBook(config, self._metrics, clocks.get_s)
+        self._decisions = decision_history.DecisionHistory(config, self._metrics, clocks.get_s)
         self._contents = held_contents.HeldContents(
             config.name,
             calls,
             self._loop.scheduler,
             probe_path=load_reports.REPORT_PATH,
             tell=lambda records: self._keeper.send_contents(records),
-            on_held=lambda content_id: self._dispatcher.hold_back(content_id),
+            on_held=lambda content_id: self._dispatcher.reject_held(content_id),
             folder=pathlib.Path(config.data_dir) if config.data_dir is not None else None,
         )
         self._dispatcher = dispatcher.Dispatcher(
@@ -78,7 +78,7 @@
             self._contents,
         )
         self._neighbours = neighbours.Neighbours(
-            self._loop, outgoing, config, lambda reports: self._reports.take_from_neighbour(reports)
+            self._loop, outgoing, config, lambda reports: self._reports.handle_neighbour_report(reports)
         )
         self._reports = load_reports.LoadReports(
             self._loop,
@@ -276,8 +276,8 @@
         Callers take that as final. While no keeper confirms the table, as after a start from the
         saved copy, the key or the model may be new, and they are told to come back instead.
         """
-        if item.code in codes.BY_THE_TABLE and self._keeper.unconfirmed_ms:
-            unconfirmed = fault.make_unconfirmed(item)
+        if item.code in codes.TABLE_REFUSALS and self._keeper.unconfirmed_ms:
+            unconfirmed = fault.make_unconfirmed_fault(item)
             after_ms = UNCONFIRMED_RETRY_AFTER_MS
             self._refuse(caller, request_id, workspace, unconfirmed, now_s, after_ms)
         else:
@@ -292,7 +292,7 @@
         now_s: float,
         retry_after_ms: int | None = None,
     ) -> None:
-        self._decisions.note_refusal(request_id, workspace, item, now_s)
+        self._decisions.record_refusal(request_id, workspace, item, now_s)
         answers.send_error(
             caller,
             item,
--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from spoolhead._internal.models import shared_load
-from spoolhead._internal.policy import standing_alarms, upstream_book
+from spoolhead._internal.policy import standing_alarms, upstream_registry
 
 logger = logging.getLogger(__name__)
 
@@ -13,9 +13,9 @@
 the same time does not lose it."""
 STANDING_KEPT_S = 4.0
 """The same for an alarm that holds for a time, so that a short cut does not lose it either."""
-TELL_AGAIN_S = 0.3
+FAILURE_REPORT_INTERVAL_S = 0.3
 """Pause between two words about one instance that lost requests; a rest begins with 0.5 s."""
-TOLD_KEPT = 1_000
+MAX_REPORTED_FAILURES = 1_000
 """Instances for which that pause is kept."""
 TAKEN_KEPT_S = 10.0
 """Time for which an alarm that was taken is passed over when it comes again: longer than reports
@@ -41,9 +41,9 @@
             return alarm
         left_ms = alarm.for_ms - int((now_s - self._raised_s) * 1000)
         return shared_load.Alarm(
-            alarm.life_id,
+            alarm.incarnation_id,
             alarm.kind,
-            finder=alarm.finder,
+            reporter=alarm.reporter,
             sequence=alarm.sequence,
             for_ms=max(0, left_ms),
         )
@@ -61,7 +61,7 @@
 
     :param name: the entry's name.
     :param first_sequence: above every number that a former run of the entry gave out.
-    :param book: the instances.
+    :param registry: the instances.
     :param on_alarm: called with an instance that another entry found bad.
     :param on_ended: called with the run of an instance that another entry found to have ended, and
         with what shows it.
@@ -71,38 +71,38 @@
         self,
         name: str,
         first_sequence: int,
-        book: upstream_book.UpstreamBook,
-        on_alarm: Callable[[upstream_book.Upstream], None],
+        registry: upstream_registry.UpstreamRegistry,
+        on_alarm: Callable[[upstream_registry.Upstream], None],
         on_ended: Callable[[str, str], None],
     ) -> None:
         self._name = name
         self._first_sequence = first_sequence
         self._sequence = first_sequence
-        self._book = book
+        self._registry = registry
         self._on_alarm = on_alarm
         self._on_ended = on_ended
         self._raised: list[_Raised] = []
-        self._told_s: dict[str, float] = {}
+        self._reported_failure_s: dict[str, float] = {}
         self._unlisted = standing_alarms.StandingAlarms()
         self._taken_s: dict[tuple[str, int], float] = {}
 
     def raise_alarm(
-        self, life_id: str, kind: shared_load.AlarmKind, now_s: float, *, for_ms: int = 0
+        self, incarnation_id: str, kind: shared_load.AlarmKind, now_s: float, *, for_ms: int = 0
     ) -> None:
         """Have an alarm told to all other entries."""
         self._sequence += 1
         alarm = shared_load.Alarm(
-            life_id, kind, finder=self._name, sequence=self._sequence, for_ms=for_ms
+            incarnation_id, kind, reporter=self._name, sequence=self._sequence, for_ms=for_ms
         )
         self._raised.append(_Raised(alarm, now_s))
 
-    def is_failure_due(self, life_id: str, now_s: float) -> bool:
+    def is_failure_due(self, incarnation_id: str, now_s: float) -> bool:
         """Tell whether an instance that lost a request should be told of again."""
-        if now_s - self._told_s.get(life_id, 0.0) < TELL_AGAIN_S:
+        if now_s - self._reported_failure_s.get(incarnation_id, 0.0) < FAILURE_REPORT_INTERVAL_S:
             return False
-        if len(self._told_s) > TOLD_KEPT:
-            self._told_s.clear()
-        self._told_s[life_id] = now_s
+        if len(self._reported_failure_s) > MAX_REPORTED_FAILURES:
+            self._reported_failure_s.clear()
+        self._reported_failure_s[incarnation_id] = now_s
         return True
 
     def get_raised(self, now_s: float) -> list[shared_load.Alarm]:
@@ -113,13 +113,13 @@
     def handle_alarms(self, alarms: Iterable[shared_load.Alarm], now_s: float) -> None:
         """Take what other entries found, each alarm once however often it is sent."""
         for alarm in alarms:
-            name = (alarm.finder, alarm.sequence)
+            name = (alarm.reporter, alarm.sequence)
             if self._is_own(alarm) or name in self._taken_s:
                 continue
             self._taken_s[name] = now_s
-            self._take_new(alarm, now_s)
+            self._handle_new(alarm, now_s)
 
-    def take_listed(self, now_s: float) -> None:
+    def handle_listed(self, now_s: float) -> None:
         """Take what was found of instances before they were listed here."""
         self._taken_s = {
             name: taken_s
@@ -127,62 +127,62 @@
             if now_s - taken_s <= TAKEN_KEPT_S
         }
         for alarm in self._unlisted.get_all(now_s):
-            if self._book.get(alarm.life_id) is not None:
+            if self._registry.get(alarm.incarnation_id) is not None:
                 self._unlisted.remove(alarm)
-                self._take_new(alarm, now_s)
+                self._handle_new(alarm, now_s)
 
-    def _take_new(self, alarm: shared_load.Alarm, now_s: float) -> None:
+    def _handle_new(self, alarm: shared_load.Alarm, now_s: float) -> None:
         if alarm.kind in _ENDS:
-            self._on_ended(alarm.life_id, f"told by {alarm.finder}")
+            self._on_ended(alarm.incarnation_id, f"told by {alarm.reporter}")
         if alarm.kind is shared_load.AlarmKind.ENDED:
             return
-        upstream = self._book.get(alarm.life_id)
+        upstream = self._registry.get(alarm.incarnation_id)
         if upstream is None:
             self._unlisted.record(alarm, now_s)
         elif not upstream.is_leaving:
-            self._take_one(alarm, upstream, now_s)
+            self._apply_alarm(alarm, upstream, now_s)
 
     def _is_own(self, alarm: shared_load.Alarm) -> bool:
         """Tell whether this run of the entry raised an alarm; a former run may have."""
-        return alarm.finder == self._name and alarm.sequence > self._first_sequence
+        return alarm.reporter == self._name and alarm.sequence > self._first_sequence
 
-    def _take_one(
-        self, alarm: shared_load.Alarm, upstream: upstream_book.Upstream, now_s: float
+    def _apply_alarm(
+        self, alarm: shared_load.Alarm, upstream: upstream_registry.Upstream, now_s: float
     ) -> None:
-        fields = {"upstream": alarm.life_id, "told_by": alarm.finder}
+        fields = {"upstream": alarm.incarnation_id, "told_by": alarm.reporter}
         match alarm.kind:
             case shared_load.AlarmKind.LOST_REQUEST:
-                if upstream.record_peer_failure(alarm.finder, now_s):
-                    fields = {"upstream": alarm.life_id, "reason": f"told by {alarm.finder}"}
+                if upstream.record_peer_failure(alarm.reporter, now_s):
+                    fields = {"upstream": alarm.incarnation_id, "reason": f"told by {alarm.reporter}"}
                     logger.warning("upstream ejected", extra={"fields": fields})
             case shared_load.AlarmKind.COLD:
-                if upstream.note_cold(alarm.for_ms, now_s):
+                if upstream.record_cold(alarm.for_ms, now_s):
                     cold_fields = {**fields, "for_ms": alarm.for_ms}
                     logger.info("upstream is cold", extra={"fields": cold_fields})
             case shared_load.AlarmKind.LEAVING:
-                if upstream.record_announced_end():
-                    leaving_fields = {"upstream": alarm.life_id, "reported_by": alarm.finder}
+                if upstream.record_announced_leaving():
+                    leaving_fields = {"upstream": alarm.incarnation_id, "reported_by": alarm.reporter}
                     logger.info(
                         "upstream announced that it leaves", extra={"fields": leaving_fields}
                     )
                     self._on_alarm(upstream)
             case shared_load.AlarmKind.RESTING:
-                self._take_rest(alarm, upstream, now_s)
-                rest_fields = {"upstream": alarm.life_id, "for_ms": alarm.for_ms}
-                rest_fields["reported_by"] = alarm.finder
+                self._handle_rest(alarm, upstream, now_s)
+                rest_fields = {"upstream": alarm.incarnation_id, "for_ms": alarm.for_ms}
+                rest_fields["reported_by"] = alarm.reporter
                 logger.info("upstream asked for rest", extra={"fields": rest_fields})
             case shared_load.AlarmKind.REPLACED:
-                if upstream.note_replaced(now_s):
+                if upstream.record_replaced(now_s):
                     logger.info("upstream is said to be replaced", extra={"fields": fields})
             case _:
                 if upstream.raise_alarm(now_s, alarm.kind):
                     logger.info("peer reported upstream unhealthy", extra={"fields": fields})
                     self._on_alarm(upstream)
 
-    def _take_rest(
-        self, alarm: shared_load.Alarm, upstream: upstream_book.Upstream, now_s: float
+    def _handle_rest(
+        self, alarm: shared_load.Alarm, upstream: upstream_registry.Upstream, now_s: float
     ) -> None:
-        if alarm.finder == self._name:
+        if alarm.reporter == self._name:
             upstream.rest.record(alarm.for_ms, now_s)
         else:
-            upstream.rest.record_report(alarm.finder, alarm.for_ms, now_s)
+            upstream.rest.record_report(alarm.reporter, alarm.for_ms, now_s)
--- a/src/spoolhead/_internal/gateway/attempts.py
+++ b/src/spoolhead/_internal/gateway/attempts.py
@@ -4,23 +4,23 @@
 
 from spoolhead._internal.models import dialects
 from spoolhead._internal.network import upstream_calls
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 from spoolhead._internal.utils import clocks
 
 
 class AttemptUser(Protocol):
     """The exchange that made an attempt."""
 
-    def take_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
+    def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
         """Take the head of its answer."""
 
-    def take_body(self, attempt: "Attempt", data: bytes) -> None:
+    def handle_body(self, attempt: "Attempt", data: bytes) -> None:
         """Take a part of its answer."""
 
-    def take_end(self, attempt: "Attempt") -> None:
+    def handle_end(self, attempt: "Attempt") -> None:
         """Take the end of its answer."""
 
-    def take_loss(self, attempt: "Attempt", reason: str) -> None:
+    def handle_loss(self, attempt: "Attempt", reason: str) -> None:
         """Take the loss of its connection."""
 
 
@@ -50,7 +50,7 @@
     )
 
     def __init__(
-        self, owner: AttemptUser, upstream: upstream_book.Upstream, *, is_resumed: bool = False
+        self, owner: AttemptUser, upstream: upstream_registry.Upstream, *, is_resumed: bool = False
     ) -> None:
         self._owner = owner
         self.upstream = upstream
@@ -64,18 +64,18 @@
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
         """Pass on the head."""
-        self._owner.take_head(self, status, headers)
+        self._owner.handle_head(self, status, headers)
 
     def on_answer_body(self, data: bytes) -> None:
         """Pass on a part of the body."""
-        self._owner.take_body(self, data)
+        self._owner.handle_body(self, data)
 
     def on_answer_end(self) -> None:
         """Pass on the end."""
         self.has_ended = True
-        self._owner.take_end(self)
+        self._owner.handle_end(self)
 
     def on_call_lost(self, reason: str) -> None:
         """Pass on the loss."""
         self.has_ended = True
-        self._owner.take_loss(self, reason)
+        self._owner.handle_loss(self, reason)
--- a/src/spoolhead/_internal/gateway/entry_figures.py
+++ b/src/spoolhead/_internal/gateway/entry_metrics.py
@@ -4,13 +4,13 @@
 from spoolhead._internal.utils import prometheus_metrics
 
 
-class EntryFigures:
+class EntryMetrics:
     """Counters and histograms.
 
     :param made: where they are registered.
     """
 
-    def __init__(self, made: prometheus_metrics.Figures) -> None:
+    def __init__(self, made: prometheus_metrics.PrometheusMetrics) -> None:
         self.requests = made.make_counter(
             "spoolhead_requests", "Requests ended, by kind and outcome.", "kind", "outcome"
         )
@@ -58,7 +58,7 @@
             "spoolhead_longest_pause_ms", "Longest pause between events of a stream."
         )
 
-    def note_end(self, kind: route_table.RequestKind, outcome: str, age_ms: float) -> None:
+    def record_end(self, kind: route_table.RequestKind, outcome: str, age_ms: float) -> None:
         """Take note of a request that has ended.
 
         :param outcome: ``answered``, ``refused``, ``failed`` or ``left``.
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -12,7 +12,7 @@
 )
 from spoolhead._internal.models import codes, dialects, fault
 from spoolhead._internal.network import caller_front, links, upstream_calls
-from spoolhead._internal.policy import quarantine, run_admission, upstream_book, upstream_choice
+from spoolhead._internal.policy import quarantine, run_admission, upstream_registry, upstream_choice
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -62,7 +62,7 @@
         self._attempt: attempts.Attempt | None = None
         self._runs_apart = False
         self._is_trial = False
-        self._is_asking = False
+        self._is_awaiting_permit = False
         self._permitted = ""
         caller.on_gone = self._on_caller_gone
 
@@ -89,26 +89,26 @@
     def begin(self) -> None:
         """Make the first attempt, unless the request is held since it ends what runs it."""
         content_id = self.job.content_id
-        match self._context.contents.judge(content_id):
+        match self._context.contents.evaluate(content_id):
             case quarantine.Verdict.REFUSE:
-                self.hold_back()
+                self.reject_held()
             case quarantine.Verdict.CLAIM:
                 logger.info("trial of a held request", extra={"fields": self.get_fields()})
                 self._is_trial = True
                 self._context.contents.claim(content_id)
-                self._context.timers.call_later(quarantine.CLAIM_S, self._try_claimed)
+                self._context.timers.call_later(quarantine.CLAIM_S, self._run_claimed_trial)
             case verdict:
                 self._runs_apart = verdict is quarantine.Verdict.RUN_APART
                 self.start()
 
-    def hold_back(self) -> None:
+    def reject_held(self) -> None:
         """Refuse the request, or give it up where it runs and nothing was passed on yet.
 
         When to come back is not said: its next run would end another instance.
         """
         if self._is_trial or self.caller.is_started:
             return
-        held = fault.make_held()
+        held = fault.make_held_fault()
         self.fail(held.code, held.text, retry_after_ms=None)
 
     def choose(self, need_tokens: int) -> upstream_choice.Choice:
@@ -118,16 +118,16 @@
         view = upstream_choice.View(
             hall=context.config.hall,
             silent_halls=context.get_silent_halls(),
-            cut_halls=context.get_cut_halls(now_s),
+            cut_off_halls=context.get_cut_off_halls(now_s),
             now_s=now_s,
             gate=context.gate,
             claim=self.job.request_priority,
             permitted=self._permitted,
-            chance=context.chance,
+            rng=context.rng,
         )
         choice = upstream_choice.choose(
             self.job.service,
-            context.book.get_service(self.job.service.name),
+            context.registry.get_service(self.job.service.name),
             need_tokens=need_tokens,
             excluded=self._tried,
             view=view,
@@ -135,30 +135,30 @@
         if self._runs_apart:
             # What may end its instance should take few others with it.
             choice = choice.prefer_least_shared()
-        return choice.prefer(lambda upstream: upstream.instance.life_id == self._permitted)
+        return choice.prefer(lambda upstream: upstream.instance.incarnation_id == self._permitted)
 
-    def must_ask(self, choice: upstream_choice.Choice) -> bool:
+    def request_permit_if_limited(self, choice: upstream_choice.Choice) -> bool:
         """Ask for a permit if the chosen instance is limited.
 
         :returns: whether the request has to wait; :meth:`on_permit` is called with the reply.
         """
         upstream = choice.upstream
-        if upstream is None or upstream.instance.life_id == self._permitted:
+        if upstream is None or upstream.instance.incarnation_id == self._permitted:
             return False
         if not self._context.gate.is_limited(upstream):
             return False
-        self._is_asking = True
+        self._is_awaiting_permit = True
         request = permit_exchange.PermitTerms(
             self.job.request_priority,
             is_retry=bool(self._tried),
             wait_ms=self._get_permit_wait_ms(choice),
             is_final=len(choice.candidates) == 1,
         )
-        fields = {**self.get_fields(), "upstream": upstream.instance.life_id}
+        fields = {**self.get_fields(), "upstream": upstream.instance.incarnation_id}
         fields["wait_ms"] = request.wait_ms
         logger.info("waits for a permit", extra={"fields": fields})
         self._context.permits.ask(
-            upstream, request, lambda is_granted: self._take_permit(upstream, is_granted)
+            upstream, request, lambda is_granted: self._handle_permit(upstream, is_granted)
         )
         return True
 
@@ -174,37 +174,37 @@
         waits_until_s = self._arrived_s + longest_ms / 1000
         return max(0, int((waits_until_s - clocks.get_s()) * 1000))
 
-    def _take_permit(self, upstream: upstream_book.Upstream, is_granted: bool) -> None:
-        self._is_asking = False
-        fields = {**self.get_fields(), "upstream": upstream.instance.life_id}
+    def _handle_permit(self, upstream: upstream_registry.Upstream, is_granted: bool) -> None:
+        self._is_awaiting_permit = False
+        fields = {**self.get_fields(), "upstream": upstream.instance.incarnation_id}
         fields["is_granted"] = is_granted
         fields["is_over"] = self.is_over
         logger.info("permit decided", extra={"fields": fields})
         if self.is_over:
             return
-        self._permitted = upstream.instance.life_id if is_granted else ""
+        self._permitted = upstream.instance.incarnation_id if is_granted else ""
         self.on_permit()
 
     def log_choice(self, action: str, choice: upstream_choice.Choice) -> None:
         """Log where the request goes and what it was chosen from."""
-        chosen = choice.upstream.instance.life_id if choice.upstream is not None else ""
+        chosen = choice.upstream.instance.incarnation_id if choice.upstream is not None else ""
         fields = {
             **self.get_fields(),
             "upstream": chosen,
             "candidates": [
-                [item.upstream.instance.life_id, round(item.cost, 2)]
+                [item.upstream.instance.incarnation_id, round(item.cost, 2)]
                 for item in choice.candidates[:4]
             ],
             "news_age_ms": self._context.get_news_age_ms(),
             "remaining_ms": self.remaining_ms,
         }
-        if choice.barred:
-            fields["barred"] = {bar.value: count for bar, count in choice.barred.items()}
+        if choice.blocked:
+            fields["barred"] = {bar.value: count for bar, count in choice.blocked.items()}
         logger.info(action, extra={"fields": fields})
 
     def send_attempt(
         self,
-        upstream: upstream_book.Upstream,
+        upstream: upstream_registry.Upstream,
         user: upstream_calls.CallUser,
         orders: dialects.AttemptOrders,
     ) -> upstream_calls.UpstreamCall:
@@ -214,8 +214,8 @@
         data = upstream_calls.make_request(
             wire.method, wire.target, self.job.head.host, headers, wire.body
         )
-        self._context.figures.attempts.labels(self.job.route.kind.value).inc()
-        upstream.note_sent(clocks.get_s())
+        self._context.metrics.attempts.labels(self.job.route.kind.value).inc()
+        upstream.record_sent(clocks.get_s())
         self._permitted = ""
         return self._context.calls.open(
             upstream.instance.address,
@@ -269,7 +269,7 @@
             return
         self.is_over = True
         age_ms = (clocks.get_s() - self._arrived_s) * 1000
-        self._context.figures.note_end(self.job.route.kind, outcome, age_ms)
+        self._context.metrics.record_end(self.job.route.kind, outcome, age_ms)
         self._timer.cancel()
         self.release()
         self._on_end(self)
@@ -291,7 +291,7 @@
             return False
         return attempt.is_resumed or attempt.call.may_have_arrived
 
-    def take_head(
+    def handle_head(
         self, attempt: attempts.Attempt, status: int, headers: upstream_calls.Headers
     ) -> None:
         """Take the head of an attempt's answer."""
@@ -300,55 +300,55 @@
         now_s = clocks.get_s()
         attempt.head = self._context.dialect.read_answer(status, headers)
         attempt.upstream.update_load(attempt.head.load, now_s)
-        self._context.limits.take_answer(attempt.upstream, attempt.head, now_s)
+        self._context.limits.handle_answer(attempt.upstream, attempt.head, now_s)
         self._context.on_answer(attempt.upstream, attempt.head, now_s)
-        self._context.reach.note_answer(attempt.upstream.instance.hall, now_s)
-        if attempt.head.is_misdirected and attempt.upstream.note_replaced(now_s):
+        self._context.reach.record_answer(attempt.upstream.instance.hall, now_s)
+        if attempt.head.is_misdirected and attempt.upstream.record_replaced(now_s):
             fields = {
-                "upstream": attempt.upstream.instance.life_id,
+                "upstream": attempt.upstream.instance.incarnation_id,
                 "answers": attempt.head.instance_id,
             }
             logger.info("upstream is replaced", extra={"fields": fields})
             self._context.on_replaced(attempt.upstream)
 
-    def note_loss(self, attempt: attempts.Attempt, reason: str) -> None:
+    def record_loss(self, attempt: attempts.Attempt, reason: str) -> None:
         """Take note of an attempt whose connection was lost, or was never made."""
         assert attempt.call is not None
         is_unreachable = not attempt.call.may_have_arrived
         if reason == links.CONNECT_TIMEOUT:
-            self._context.reach.note_time_out(attempt.upstream.instance.hall, clocks.get_s())
+            self._context.reach.record_timeout(attempt.upstream.instance.hall, clocks.get_s())
         if not is_unreachable and attempt.head is None:
-            self._context.on_lost_request(attempt.upstream.instance.life_id)
+            self._context.on_lost_request(attempt.upstream.instance.incarnation_id)
         if not is_unreachable:
-            self._note_lost_run(attempt)
+            self._record_lost_run(attempt)
         elif reason == links.REFUSED:
-            self._context.ask_if_abandoned(attempt.upstream)
+            self._context.query_end_if_abandoned(attempt.upstream)
         if attempt.upstream.record_failure(clocks.get_s(), is_unreachable=is_unreachable):
-            fields = {"upstream": attempt.upstream.instance.life_id, "reason": reason}
+            fields = {"upstream": attempt.upstream.instance.incarnation_id, "reason": reason}
             logger.warning("upstream ejected", extra={"fields": fields})
 
-    def _note_lost_run(self, attempt: attempts.Attempt) -> None:
+    def _record_lost_run(self, attempt: attempts.Attempt) -> None:
         """Take note that the request was at an instance which may have ended under it."""
         upstream = attempt.upstream
-        if upstream.is_ending_as_planned(clocks.get_s()):
+        if upstream.is_expected_to_end(clocks.get_s()):
             return
-        life_id = upstream.instance.life_id
-        self._context.contents.note_lost(life_id, self.job.content_id, attempt.sent_s)
-        self._context.ask_lost(upstream)
+        incarnation_id = upstream.instance.incarnation_id
+        self._context.contents.record_lost(incarnation_id, self.job.content_id, attempt.sent_s)
+        self._context.query_end(upstream)
 
-    def _note_abandoned_run(self, attempt: attempts.Attempt) -> None:
+    def _record_abandoned_run(self, attempt: attempts.Attempt) -> None:
         """Take note that the request is abandoned at an instance which may yet end under it."""
         assert attempt.call is not None
         upstream = attempt.upstream
-        if upstream.is_ending_as_planned(clocks.get_s()) or not attempt.call.may_have_arrived:
+        if upstream.is_expected_to_end(clocks.get_s()) or not attempt.call.may_have_arrived:
             return
-        life_id = upstream.instance.life_id
-        self._context.contents.note_abandoned(life_id, self.job.content_id, attempt.sent_s)
+        incarnation_id = upstream.instance.incarnation_id
+        self._context.contents.record_abandoned(incarnation_id, self.job.content_id, attempt.sent_s)
 
-    def note_whole(self, status: int) -> None:
+    def record_whole_answer(self, status: int) -> None:
         """Take note of an instance's whole answer."""
-        if quarantine.shows_sound(status, is_trial=self._is_trial):
-            self._context.contents.note_sound(self.job.content_id)
+        if quarantine.shows_harmless(status, is_trial=self._is_trial):
+            self._context.contents.record_harmless(self.job.content_id)
 
     def on_upstream_ended(self) -> None:
         """End the present attempt if the run of the instance that it went to is over.
@@ -358,7 +358,7 @@
         attempt = self._attempt
         if attempt is None or attempt.call is None or attempt.has_ended:
             return
-        if attempt.upstream.has_started_again:
+        if attempt.upstream.has_restarted:
             attempt.call.cancel()
             attempt.on_call_lost("the upstream has started again")
 
@@ -367,10 +367,10 @@
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        attempt.upstream.works.pop(self.job.head.request_id, None)
+        attempt.upstream.in_flight.pop(self.job.head.request_id, None)
         self._context.on_change()
         if attempt.call is not None and not attempt.call.is_over:
-            self._note_abandoned_run(attempt)
+            self._record_abandoned_run(attempt)
             attempt.call.cancel()
 
     def fail_without_upstream(self, choice: upstream_choice.Choice) -> None:
@@ -378,19 +378,19 @@
         text = f"no upstream of {self.job.service.name} is usable"
         come_back_ms = choice.retry_after_ms
         if come_back_ms is None:
-            come_back_ms = run_admission.get_come_back_ms(self.remaining_ms)
+            come_back_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
         self.fail(codes.ResultCode.NO_UPSTREAM, text, retry_after_ms=come_back_ms)
 
     def _on_deadline(self) -> None:
         self.fail(codes.ResultCode.DEADLINE_DURING_RUN, "the time for the request is over")
 
-    def _try_claimed(self) -> None:
+    def _run_claimed_trial(self) -> None:
         """Run a held request by itself, if no other entry does."""
         if self.is_over:
             return
-        if not self._context.contents.may_try(self.job.content_id):
+        if not self._context.contents.may_run_trial(self.job.content_id):
             self._is_trial = False
-            self.hold_back()
+            self.reject_held()
             return
         self._runs_apart = True
         self.start()
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 
 from spoolhead._internal.contents import content_watch
-from spoolhead._internal.gateway import entry_figures, permit_exchange, run_queue, upstream_limits
+from spoolhead._internal.gateway import entry_metrics, permit_exchange, run_queue, upstream_limits
 from spoolhead._internal.models import dialects, settings
 from spoolhead._internal.network import scheduler, upstream_calls
 from spoolhead._internal.policy import (
     cold_start,
     hall_reach,
     retry_allowance,
-    upstream_book,
+    upstream_registry,
     upstream_gate,
 )
 from spoolhead._internal.utils import clocks
@@ -24,15 +24,15 @@
     :ivar dialect: how callers and instances speak.
     :ivar calls: makes HTTP requests.
     :ivar timers: calls back.
-    :ivar book: the instances.
-    :ivar chance: source of random numbers.
+    :ivar registry: the instances.
+    :ivar rng: source of random numbers.
     :ivar on_change: called when what this entry holds at an instance has changed.
     :ivar on_lost_request: called with the id of an instance that took a request and lost it.
     :ivar on_answer: called with an instance, the head of its answer and when it came.
     :ivar on_replaced: called with an instance at whose address another one was found to answer.
     :ivar get_silent_halls: returns the halls from which nothing has been heard for a while.
     :ivar get_news_age_ms: returns the age of what is known of other entries' work.
-    :ivar figures: counters and histograms.
+    :ivar metrics: counters and histograms.
     :ivar queue: generations that wait for an engine with room.
     :ivar entry_count: entries that there are.
     :ivar reach: which halls can be reached.
@@ -41,22 +41,22 @@
     :ivar limits: rate limits that instances stated.
     :ivar permits: asks for leave to send to limited instances.
     :ivar contents: what is known of requests that may end instances.
-    :ivar ask_lost: called with an instance that took a request and lost it, to find out whether it
+    :ivar query_end: called with an instance that took a request and lost it, to find out whether it
         has ended.
     """
 
     __slots__ = (
         "_allowances",
-        "ask_lost",
-        "book",
+        "query_end",
+        "registry",
         "calls",
-        "chance",
+        "rng",
         "cold_starts",
         "config",
         "contents",
         "dialect",
         "entry_count",
-        "figures",
+        "metrics",
         "gate",
         "get_news_age_ms",
         "get_silent_halls",
@@ -78,57 +78,57 @@
         dialect: dialects.EntryDialect,
         calls: upstream_calls.UpstreamCalls,
         timers: scheduler.Scheduler,
-        book: upstream_book.UpstreamBook,
-        chance: random.Random,
+        registry: upstream_registry.UpstreamRegistry,
+        rng: random.Random,
         on_change: Callable[[], None],
         on_lost_request: Callable[[str], None],
-        on_answer: Callable[[upstream_book.Upstream, dialects.AnswerHead, float], None],
-        on_replaced: Callable[[upstream_book.Upstream], None],
+        on_answer: Callable[[upstream_registry.Upstream, dialects.AnswerHead, float], None],
+        on_replaced: Callable[[upstream_registry.Upstream], None],
         contents: content_watch.ContentWatch,
         limits: upstream_limits.UpstreamLimits,
         permits: permit_exchange.PermitExchange,
-        ask_lost: Callable[[upstream_book.Upstream], None],
+        query_end: Callable[[upstream_registry.Upstream], None],
         get_silent_halls: Callable[[], frozenset[str]],
         get_news_age_ms: Callable[[], int],
-        figures: entry_figures.EntryFigures,
+        metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self.config = config
         self.dialect = dialect
         self.calls = calls
         self.timers = timers
-        self.book = book
-        self.chance = chance
+        self.registry = registry
+        self.rng = rng
         self.on_change = on_change
         self.on_lost_request = on_lost_request
         self.on_answer = on_answer
         self.on_replaced = on_replaced
         self.contents = contents
-        self.ask_lost = ask_lost
+        self.query_end = query_end
         self.get_silent_halls = get_silent_halls
         self.get_news_age_ms = get_news_age_ms
-        self.figures = figures
-        self.queue = run_queue.RunQueue(timers, chance)
+        self.metrics = metrics
+        self.queue = run_queue.RunQueue(timers, rng)
         self.entry_count = 1
         self.reach = hall_reach.HallReach(config.hall)
         self.cold_starts = cold_start.ColdStarts(config.name, config.hall)
         self.limits = limits
         self.permits = permits
-        self.gate = upstream_gate.Gate(self.cold_starts, limits.book, permits.backoff)
+        self.gate = upstream_gate.Gate(self.cold_starts, limits.registry, permits.backoff)
         self._allowances: dict[str, retry_allowance.RetryAllowance] = {}
 
-    def get_cut_halls(self, now_s: float) -> frozenset[str]:
+    def get_cut_off_halls(self, now_s: float) -> frozenset[str]:
         """Return the halls that cannot be reached just now."""
-        return self.reach.get_cut_halls(self.get_silent_halls(), now_s)
+        return self.reach.get_cut_off_halls(self.get_silent_halls(), now_s)
 
-    def ask_if_abandoned(self, upstream: upstream_book.Upstream) -> None:
+    def query_end_if_abandoned(self, upstream: upstream_registry.Upstream) -> None:
         """Find out whether an instance that is not well has ended, where nothing else would tell.
 
         It may have ended under a request that this entry abandoned.
         """
-        if upstream.is_ending_as_planned(clocks.get_s()):
+        if upstream.is_expected_to_end(clocks.get_s()):
             return
-        if self.contents.has_abandoned(upstream.instance.life_id):
-            self.ask_lost(upstream)
+        if self.contents.has_abandoned(upstream.instance.incarnation_id):
+            self.query_end(upstream)
 
     def get_allowance(self, service: str) -> retry_allowance.RetryAllowance:
         """Return the allowance of second attempts for a service."""
--- a/src/spoolhead/_internal/gateway/followed_keeper.py
+++ b/src/spoolhead/_internal/gateway/followed_keeper.py
@@ -97,7 +97,7 @@
         self.fleet = None
         self._follower.on_keeper_lost(self)
 
-    def take_version(self, message: route_messages.RouteTableVersion, taken_version: int) -> None:
+    def handle_version(self, message: route_messages.RouteTableVersion, taken_version: int) -> None:
         """Take the version that it tells.
 
         :param taken_version: the one that the entry has in force.
@@ -114,7 +114,7 @@
         self.is_confirmed = message.is_confirmed
         self.version = message.version
 
-    def take_fleet(self, message: route_messages.Fleet) -> None:
+    def handle_fleet(self, message: route_messages.Fleet) -> None:
         """Take what it knows of the fleet."""
         if message.is_whole or self.fleet is None:
             self.fleet = KnownFleet()
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import dialects, fleet, settings, shared_load
 from spoolhead._internal.network import links, upstream_calls
 from spoolhead._internal.network import loop as loops
-from spoolhead._internal.policy import upstream_book, watch_duty
+from spoolhead._internal.policy import upstream_registry, watch_duty
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 
@@ -46,7 +46,7 @@
         "upstream",
     )
 
-    def __init__(self, owner: "HealthWatch", upstream: upstream_book.Upstream, path: str) -> None:
+    def __init__(self, owner: "HealthWatch", upstream: upstream_registry.Upstream, path: str) -> None:
         self.owner = owner
         self.upstream = upstream
         self.path = path
@@ -74,7 +74,7 @@
 
     def on_call_lost(self, reason: str) -> None:
         if self.call is not None and self.call.is_reused:
-            self.owner.ask_again(self)
+            self.owner.probe_again(self)
             return
         is_silent = reason == links.CONNECT_TIMEOUT
         self.owner.take(self, reason, is_silent=is_silent)
@@ -87,7 +87,7 @@
     :param calls: makes HTTP requests.
     :param config: the entry's settings.
     :param dialect: how instances speak.
-    :param book: the instances.
+    :param registry: the instances.
     :param get_table: returns the table in force.
     :param get_watchers: returns the entries that are alive.
     :param get_silent_halls: returns the halls that look cut off; nothing is asked there, since
@@ -106,21 +106,21 @@
         calls: upstream_calls.UpstreamCalls,
         config: settings.GatewaySettings,
         dialect: dialects.EntryDialect,
-        book: upstream_book.UpstreamBook,
+        registry: upstream_registry.UpstreamRegistry,
         *,
         get_table: Callable[[], matcher.Matcher | None],
         get_watchers: Callable[[], Sequence[fleet.Process]],
         get_silent_halls: Callable[[], frozenset[str]],
-        on_alarm: Callable[[upstream_book.Upstream, shared_load.AlarmKind], None],
-        on_cold: Callable[[upstream_book.Upstream, int], None],
-        on_replaced: Callable[[upstream_book.Upstream], None],
-        on_answer: Callable[[upstream_book.Upstream, dialects.AnswerHead], None],
-        is_limited: Callable[[upstream_book.Upstream], bool],
+        on_alarm: Callable[[upstream_registry.Upstream, shared_load.AlarmKind], None],
+        on_cold: Callable[[upstream_registry.Upstream, int], None],
+        on_replaced: Callable[[upstream_registry.Upstream], None],
+        on_answer: Callable[[upstream_registry.Upstream, dialects.AnswerHead], None],
+        is_limited: Callable[[upstream_registry.Upstream], bool],
     ) -> None:
         self._calls = calls
         self._config = config
         self.dialect = dialect
-        self._book = book
+        self._registry = registry
         self._get_table = get_table
         self._get_watchers = get_watchers
         self._duties = watch_duty.WatchDuties(config.name)
@@ -130,24 +130,24 @@
         self._on_replaced = on_replaced
         self.on_answer = on_answer
         self._is_limited = is_limited
-        self._asked_s: dict[str, float] = {}
+        self._probed_s: dict[str, float] = {}
         self._probes: dict[str, _Probe] = {}
         self._silences: dict[str, int] = {}
-        loop.scheduler.call_every(config.health_interval_ms / 1000, self._ask_all)
+        loop.scheduler.call_every(config.health_interval_ms / 1000, self._probe_all)
 
     def handle_probe_end(self, probe: _Probe, outcome: str, *, is_silent: bool = False) -> None:
         """Take the answer to a question, or its loss.
 
         :param is_silent: nothing came at all, not even a refusal.
         """
-        life_id = probe.upstream.instance.life_id
-        self._probes.pop(life_id, None)
-        silences = self._silences.pop(life_id, 0)
+        incarnation_id = probe.upstream.instance.incarnation_id
+        self._probes.pop(incarnation_id, None)
+        silences = self._silences.pop(incarnation_id, 0)
         if probe.instance_id not in ("", probe.upstream.instance.instance_id):
-            self._take_other(probe.upstream, probe.instance_id)
+            self._handle_replaced(probe.upstream, probe.instance_id)
             return
         if probe.status == _OK and probe.cold_ms:
-            self._take_cold(probe.upstream, probe.cold_ms)
+            self._handle_cold(probe.upstream, probe.cold_ms)
         if probe.status == _OK or probe.upstream.is_leaving:
             return
         if probe.has_not_run:
@@ -156,36 +156,36 @@
         if probe.upstream.instance.hall in self._get_silent_halls():
             return
         if is_silent and silences + 1 < SILENCES_TO_ALARM:
-            self._silences[life_id] = silences + 1
+            self._silences[incarnation_id] = silences + 1
             return
         now_s = clocks.get_s()
         kind = shared_load.AlarmKind.UNHEALTHY if probe.status else shared_load.AlarmKind.UNREACHABLE
         if probe.upstream.raise_alarm(now_s, kind):
-            fields = {"upstream": life_id, "outcome": outcome}
+            fields = {"upstream": incarnation_id, "outcome": outcome}
             logger.info("upstream says that it is not well", extra={"fields": fields})
             self._on_alarm(probe.upstream, kind)
 
-    def _take_other(self, upstream: upstream_book.Upstream, instance_id: str) -> None:
+    def _handle_replaced(self, upstream: upstream_registry.Upstream, instance_id: str) -> None:
         """Take note that another instance answers where this one was."""
-        if not upstream.note_replaced(clocks.get_s()):
+        if not upstream.record_replaced(clocks.get_s()):
             return
-        fields = {"upstream": upstream.instance.life_id, "answers": instance_id}
+        fields = {"upstream": upstream.instance.incarnation_id, "answers": instance_id}
         logger.info("upstream is replaced", extra={"fields": fields})
         self._on_replaced(upstream)
 
-    def _take_cold(self, upstream: upstream_book.Upstream, cold_ms: int) -> None:
+    def _handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
         """Take an instance's word that it is cold, and pass on what is news."""
-        if not upstream.note_cold(cold_ms, clocks.get_s()):
+        if not upstream.record_cold(cold_ms, clocks.get_s()):
             return
-        fields = {"upstream": upstream.instance.life_id, "for_ms": cold_ms}
+        fields = {"upstream": upstream.instance.incarnation_id, "for_ms": cold_ms}
         logger.info("upstream says that it is cold", extra={"fields": fields})
         self._on_cold(upstream, cold_ms)
 
-    def ask_again(self, probe: _Probe) -> None:
+    def probe_again(self, probe: _Probe) -> None:
         """Repeat on a new connection a question whose kept connection turned out to be gone."""
         self._send(probe, fresh=True)
 
-    def _ask_all(self) -> None:
+    def _probe_all(self) -> None:
         table = self._get_table()
         if table is None:
             return
@@ -194,37 +194,37 @@
             if now_s - probe.began_s > ANSWER_S and probe.call is not None:
                 probe.call.cancel()
                 self.handle_probe_end(probe, "no answer", is_silent=True)
-        listed = [upstream.instance for upstream in self._book.get_all()]
+        listed = [upstream.instance for upstream in self._registry.get_all()]
         self._duties.update(self._get_watchers(), listed)
         silent_halls = self._get_silent_halls()
         for service in table.services:
             if service.engine is None or not service.health_path:
                 continue
-            for upstream in self._book.get_service(service.name):
+            for upstream in self._registry.get_service(service.name):
                 instance = upstream.instance
-                if upstream.is_leaving or instance.life_id in self._probes:
+                if upstream.is_leaving or instance.incarnation_id in self._probes:
                     continue
                 if instance.hall in silent_halls:
                     continue
-                if self._duties.has(instance) and self._may_ask(upstream, now_s):
+                if self._duties.has(instance) and self._may_probe(upstream, now_s):
                     self._ask(upstream, service.health_path)
 
-    def _may_ask(self, upstream: upstream_book.Upstream, now_s: float) -> bool:
+    def _may_probe(self, upstream: upstream_registry.Upstream, now_s: float) -> bool:
         """Tell whether a probe fits the rest or the rate limit that the instance asked for."""
         if upstream.rest.is_resting(now_s):
             return False
-        life_id = upstream.instance.life_id
+        incarnation_id = upstream.instance.incarnation_id
         if not self._is_limited(upstream):
-            self._asked_s.pop(life_id, None)
+            self._probed_s.pop(incarnation_id, None)
             return True
-        if now_s - self._asked_s.get(life_id, -math.inf) < LIMITED_PAUSE_S:
+        if now_s - self._probed_s.get(incarnation_id, -math.inf) < LIMITED_PAUSE_S:
             return False
-        self._asked_s[life_id] = now_s
+        self._probed_s[incarnation_id] = now_s
         return True
 
-    def _ask(self, upstream: upstream_book.Upstream, path: str) -> None:
+    def _ask(self, upstream: upstream_registry.Upstream, path: str) -> None:
         probe = _Probe(self, upstream, path)
-        self._probes[upstream.instance.life_id] = probe
+        self._probes[upstream.instance.incarnation_id] = probe
         self._send(probe, fresh=False)
 
     def _send(self, probe: _Probe, *, fresh: bool) -> None:
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -15,7 +15,7 @@
 from spoolhead._internal.load_broadcast import hub_port
 from spoolhead._internal.models import fleet, settings, shared_load
 from spoolhead._internal.network import scheduler
-from spoolhead._internal.policy import hub_choice, load_hub, load_view, upstream_book
+from spoolhead._internal.policy import hub_choice, load_hub, load_view, upstream_registry
 from spoolhead._internal.utils import clocks, endpoints
 
 logger = logging.getLogger(__name__)
@@ -30,10 +30,10 @@
 """Time after which the same is reported again, so that the hub knows the entry to be alive."""
 CHECK_S = 0.1
 """Pause between looks at the hub; a third of the silence that makes one look for another."""
-HERALDS = 3
+BEACON_ENTRIES = 3
 """Entries of a hall that show themselves to all hubs, not to theirs alone: where hubs are cut off
 from each other only, the halls behind them are still heard. Three, as two may fail together."""
-HERALD_S = 0.2
+BEACON_INTERVAL_S = 0.2
 """Pause between two such signs; a third of the silence that makes a hall count as cut off."""
 ENTRY_HUBS = 2
 """Entries of a hall, the first by name, that are its hub where no keeper can be reached."""
@@ -52,7 +52,7 @@
 
     :param timers: calls back.
     :param config: the entry's settings.
-    :param book: the instances.
+    :param registry: the instances.
     :param contents: what is known of requests that may end instances; told along.
     :param limits: rate limits that instances stated; told along.
     :param send: sends a datagram.
@@ -66,12 +66,12 @@
         self,
         timers: scheduler.Scheduler,
         config: settings.GatewaySettings,
-        book: upstream_book.UpstreamBook,
+        registry: upstream_registry.UpstreamRegistry,
         contents: content_watch.ContentWatch,
         limits: upstream_limits.UpstreamLimits,
         *,
         send: Callable[[bytes, endpoints.Endpoint], None],
-        on_alarm: Callable[[upstream_book.Upstream], None],
+        on_alarm: Callable[[upstream_registry.Upstream], None],
         on_news: Callable[[], None],
         clock: clocks.Clock = clocks.get_s,
         wall_clock: Callable[[], float] = time.time,
@@ -83,7 +83,7 @@
         self._name = config.name
         self._hall = config.hall
         self._fleet = fleet.Fleet()
-        self._view = load_view.LoadView(config.hall, book)
+        self._view = load_view.LoadView(config.hall, registry)
         self._choice = hub_choice.HubChoice(config.name)
         # A restarted entry must not begin below the numbers of its former self.
         self._sequence = int(wall_clock() * 1000)
@@ -99,13 +99,13 @@
         self._contents = contents
         self._limits = limits
         self._alarms = alarm_exchange.AlarmExchange(
-            config.name, self._sequence, book, on_alarm, contents.note_ended
+            config.name, self._sequence, registry, on_alarm, contents.record_ended
         )
         self._silent_halls: frozenset[str] = frozenset()
         self._report_timer: scheduler.Timer | None = None
         self._reported_s = 0.0
         self._report_bytes = 0
-        self._heralded_s = 0.0
+        self._beacon_sent_s = 0.0
         timers.call_every(CHECK_S, self._check_hub)
         timers.call_every(REBUILD_S, self.refresh)
         timers.call_every(HALL_CHECK_S, self._log_halls)
@@ -130,9 +130,9 @@
         self._choice.set_candidates(candidates)
         self._check_hub()
 
-    def note_keeper_lost(self, address: str) -> None:
+    def record_keeper_lost(self, address: str) -> None:
         """Take note of a keeper whose stream ended: it is no hub for a while."""
-        self._choice.note_lost(endpoints.split(address), self._clock())
+        self._choice.record_lost(endpoints.split(address), self._clock())
         self._check_hub()
 
     def get_watchers(self) -> Sequence[fleet.Process]:
@@ -146,29 +146,29 @@
         """Return the halls that were heard of and are silent, as behind a cut."""
         return self._view.get_silent_halls(self._clock())
 
-    def is_alone(self) -> bool:
+    def is_isolated(self) -> bool:
         """Tell whether nothing is heard of any other hall, as in one that is cut off."""
-        return self._view.is_alone(self._clock())
+        return self._view.is_isolated(self._clock())
 
     def get_news_age_ms(self) -> int:
         """Return the age of what is known of the others; -1 if nothing is."""
         return self._view.get_age_ms(self._clock())
 
-    def tell_alarm(self, life_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0) -> None:
+    def broadcast_alarm(self, incarnation_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0) -> None:
         """Tell all other entries at once of an instance that was found bad, or cold."""
-        self._alarms.raise_alarm(life_id, kind, self._clock(), for_ms=for_ms)
+        self._alarms.raise_alarm(incarnation_id, kind, self._clock(), for_ms=for_ms)
         self._report()
 
-    def tell_failure(self, life_id: str) -> None:
+    def broadcast_failure(self, incarnation_id: str) -> None:
         """Tell all other entries of an instance that lost a request, now and then."""
-        if self._alarms.is_failure_due(life_id, self._clock()):
-            self.tell_alarm(life_id, shared_load.AlarmKind.LOST_REQUEST)
+        if self._alarms.is_failure_due(incarnation_id, self._clock()):
+            self.broadcast_alarm(incarnation_id, shared_load.AlarmKind.LOST_REQUEST)
 
     def broadcast_contents(self) -> None:
         """Tell soon what is new of contents that may end instances."""
         self.schedule_report()
 
-    def tell_limits(self) -> None:
+    def broadcast_limits(self) -> None:
         """Tell all other entries at once that an instance changed its rate limit."""
         self._report()
 
@@ -183,7 +183,7 @@
     def refresh(self) -> None:
         """Count again what the others hold, after the list of instances has changed."""
         now_s = self._clock()
-        self._alarms.take_listed(now_s)
+        self._alarms.handle_listed(now_s)
         self._view.rebuild(now_s)
 
     def handle_datagram(
@@ -193,24 +193,24 @@
     ) -> None:
         """Take a datagram."""
         if isinstance(message, shared_load.Update):
-            self._take_update(message, sender)
+            self._handle_update(message, sender)
         else:
             self._hub_port.handle_datagram(message, sender)
 
-    def _take_update(self, update: shared_load.Update, sender: endpoints.Endpoint) -> None:
+    def _handle_update(self, update: shared_load.Update, sender: endpoints.Endpoint) -> None:
         now_s = self._clock()
         self._alarms.handle_alarms(update.alarms, now_s)
         self._contents.handle_update(update.hub, update.contents)
         self._limits.merge(update.limits, now_s, reported_by=update.hub)
         before = self._choice.current
-        heard = self._choice.note_heard(sender, now_s)
-        if heard is hub_choice.Heard.OTHER:
+        heard = self._choice.record_update(sender, now_s)
+        if heard is hub_choice.UpdateSource.OTHER:
             # A hub that has not heard that this entry left it.
             self._send(self._make_report(is_reporter=False), sender)
             return
-        if heard is hub_choice.Heard.NEW:
+        if heard is hub_choice.UpdateSource.NEW:
             self._change_hub(before, now_s)
-        if self._view.take_update(update, now_s):
+        if self._view.handle_update(update, now_s):
             self._on_news()
 
     def _check_hub(self) -> None:
@@ -220,9 +220,9 @@
         pause_s = REPORT_AGAIN_S if self._view.has_snapshot else CHECK_S
         if now_s - self._reported_s >= pause_s:
             self._report()
-        if now_s - self._heralded_s >= HERALD_S:
-            self._heralded_s = now_s
-            self._show_to_hubs()
+        if now_s - self._beacon_sent_s >= BEACON_INTERVAL_S:
+            self._beacon_sent_s = now_s
+            self._send_beacons()
 
     def _change_hub(self, before: endpoints.Endpoint | None, now_s: float) -> None:
         fields = {
@@ -235,9 +235,9 @@
             self._send(self._make_report(is_reporter=False), before)
         self._view.begin_hub()
 
-    def _show_to_hubs(self) -> None:
+    def _send_beacons(self) -> None:
         """Show other hubs than the own one that entries of this hall are alive."""
-        heralds = self._get_entries(self._hall)[:HERALDS]
+        heralds = self._get_entries(self._hall)[:BEACON_ENTRIES]
         if all(entry.name != self._name for entry in heralds):
             return
         data = self._make_report(is_reporter=False)
@@ -256,7 +256,7 @@
         data = self._make_report(is_reporter=True)
         self._report_bytes = len(data)
         self._send(data, hub)
-        if self._contents.has_more_to_tell:
+        if self._contents.has_unsent:
             self.schedule_report()
 
     def _make_report(self, *, is_reporter: bool) -> bytes:
@@ -264,7 +264,7 @@
         self._sequence += 1
         rows = self._view.get_own() if is_reporter else {}
         if is_reporter:
-            self._view.note_report(self._sequence, rows)
+            self._view.record_report(self._sequence, rows)
         report = shared_load.Report(
             sender=self._name,
             hall=self._hall,
@@ -272,7 +272,7 @@
             is_reporter=is_reporter,
             rows=rows,
             alarms=self._alarms.get_raised(now_s) if is_reporter else [],
-            contents=self._contents.make_news() if is_reporter else self._contents.make_sign(),
+            contents=self._contents.make_content_update() if is_reporter else self._contents.make_digest_update(),
             limits=self._limits.get_reported(now_s) if is_reporter else [],
             wants_snapshot=is_reporter and not self._view.has_snapshot,
         )
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -13,7 +13,7 @@
     granter_choice,
     permit_backoff,
     permit_granter,
-    upstream_book,
+    upstream_registry,
     upstream_gate,
 )
 from spoolhead._internal.utils import clocks, endpoints
@@ -51,14 +51,14 @@
         self.is_final = is_final
 
 
-class _Ask:
+class _PendingRequest:
     """An ask without a last reply."""
 
     __slots__ = ("on_reply", "request", "timer", "turn", "upstream")
 
     def __init__(
         self,
-        upstream: upstream_book.Upstream,
+        upstream: upstream_registry.Upstream,
         request: PermitTerms,
         on_reply: Callable[[bool], None],
         turn: int,
@@ -100,11 +100,11 @@
         own = fleet.Process(name=config.name, hall=config.hall, address="")
         self._entries: Sequence[fleet.Process] = (own,)
         self._granters: dict[str, list[fleet.Process]] = {}
-        self._granter = permit_granter.PermitGranter(limits.book)
+        self._granter = permit_granter.PermitGranter(limits.registry)
         self._addresses: dict[str, endpoints.Endpoint] = {}
         self._silent_until_s: dict[str, float] = {}
         self._missed: collections.Counter[str] = collections.Counter()
-        self._asks: dict[int, _Ask] = {}
+        self._pending_requests: dict[int, _PendingRequest] = {}
         self._last_id = first_id
         self._poll_timer: scheduler.Timer | None = None
         self.backoff = permit_backoff.PermitBackoff()
@@ -122,7 +122,7 @@
 
     def request_permit(
         self,
-        upstream: upstream_book.Upstream,
+        upstream: upstream_registry.Upstream,
         request: PermitTerms,
         on_reply: Callable[[bool], None],
     ) -> None:
@@ -131,20 +131,20 @@
         :param on_reply: called later with whether the request may go there.
         """
         self._last_id += 1
-        ask = _Ask(upstream, request, on_reply, self._find_turn(upstream, 0))
-        self._asks[self._last_id] = ask
+        ask = _PendingRequest(upstream, request, on_reply, self._find_turn(upstream, 0))
+        self._pending_requests[self._last_id] = ask
         self._try(self._last_id)
 
     def handle_datagram(
-        self, message: permits.PermitAsk | permits.PermitReply, sender: endpoints.Endpoint
+        self, message: permits.PermitRequest | permits.PermitReply, sender: endpoints.Endpoint
     ) -> None:
         """Take a datagram of another entry."""
         if isinstance(message, permits.PermitReply):
-            self._note_heard(message.ask_id)
-            self._take_reply(message)
+            self._record_reply(message.permit_id)
+            self._handle_reply(message)
             return
         self._addresses[message.sender] = sender
-        self._take_ask(message)
+        self._handle_permit_request(message)
 
     def refresh(self) -> None:
         """Work out anew who grants for whom; due when the list of instances has changed."""
@@ -153,15 +153,15 @@
         self._granter.expire(now_s)
         self.backoff.expire(now_s)
 
-    def _get_granters(self, upstream: upstream_book.Upstream) -> list[fleet.Process]:
-        life_id = upstream.instance.life_id
-        granters = self._granters.get(life_id)
+    def _get_granters(self, upstream: upstream_registry.Upstream) -> list[fleet.Process]:
+        incarnation_id = upstream.instance.incarnation_id
+        granters = self._granters.get(incarnation_id)
         if granters is None:
             granters = granter_choice.get_granters(self._entries, upstream.instance)
-            self._granters[life_id] = granters
+            self._granters[incarnation_id] = granters
         return granters
 
-    def _find_turn(self, upstream: upstream_book.Upstream, from_turn: int) -> int:
+    def _find_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
         """Return the first granter from one on that is not known to be silent."""
         granters = self._get_granters(upstream)
         now_s = self._clock()
@@ -170,28 +170,28 @@
                 return turn
         return len(granters)
 
-    def _try(self, ask_id: int) -> None:
-        ask = self._asks[ask_id]
+    def _try(self, permit_id: int) -> None:
+        ask = self._pending_requests[permit_id]
         granters = self._get_granters(ask.upstream)
         if ask.turn >= len(granters):
-            self._give_up(ask_id)
+            self._give_up(permit_id)
             return
-        ask.timer = self._timers.call_later(RESEND_S, lambda: self._on_silence(ask_id))
+        ask.timer = self._timers.call_later(RESEND_S, lambda: self._on_silence(permit_id))
         granter = granters[ask.turn]
-        message = self._make_ask(ask_id, ask)
+        message = self._make_permit_request(permit_id, ask)
         if granter.name == self._name:
             # Replies come after this call, as those of other entries do.
-            self._timers.call_later(0.0, lambda: self._take_ask(message))
+            self._timers.call_later(0.0, lambda: self._handle_permit_request(message))
         else:
-            self._send(permits.encode_ask(message), granter.endpoint)
+            self._send(permits.encode_permit_request(message), granter.endpoint)
 
-    def _make_ask(self, ask_id: int, ask: _Ask) -> permits.PermitAsk:
+    def _make_permit_request(self, permit_id: int, ask: _PendingRequest) -> permits.PermitRequest:
         key = ask.upstream.key
-        stated = self._limits.book.get_aged([key], self._clock())
-        return permits.PermitAsk(
+        stated = self._limits.registry.get_aged([key], self._clock())
+        return permits.PermitRequest(
             sender=self._name,
             hall=self._hall,
-            ask_id=ask_id,
+            permit_id=permit_id,
             key=key,
             turn=ask.turn,
             rank=ask.request.claim.rank,
@@ -202,65 +202,65 @@
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
         )
 
-    def _on_silence(self, ask_id: int) -> None:
-        ask = self._asks.get(ask_id)
+    def _on_silence(self, permit_id: int) -> None:
+        ask = self._pending_requests.get(permit_id)
         if ask is None:
             return
         granters = self._get_granters(ask.upstream)
         if ask.turn < len(granters):
-            self._note_missed(granters[ask.turn], ask)
+            self._record_missed(granters[ask.turn], ask)
         if not ask.request.wait_ms:
             # Another instance may take the request at once.
-            self._give_up(ask_id)
+            self._give_up(permit_id)
             return
         ask.turn = self._find_turn(ask.upstream, ask.turn)
-        self._try(ask_id)
+        self._try(permit_id)
 
-    def _note_missed(self, granter: fleet.Process, ask: _Ask) -> None:
+    def _record_missed(self, granter: fleet.Process, ask: _PendingRequest) -> None:
         self._missed[granter.name] += 1
         if self._missed[granter.name] < MISSED_TO_SILENT:
             return
         del self._missed[granter.name]
         self._silent_until_s[granter.name] = self._clock() + SILENT_S
-        fields = {"entry": granter.name, "upstream": ask.upstream.instance.life_id}
+        fields = {"entry": granter.name, "upstream": ask.upstream.instance.incarnation_id}
         logger.warning("granter of permits does not reply", extra={"fields": fields})
 
-    def _give_up(self, ask_id: int) -> None:
+    def _give_up(self, permit_id: int) -> None:
         """Take the silence of all granters for a rejection."""
         reply = permits.PermitReply(
-            ask_id=ask_id,
+            permit_id=permit_id,
             verdict=permits.Verdict.REJECTED,
             retry_after_ms=UNANSWERED_BACKOFF_MS,
             backoff_ms=UNANSWERED_BACKOFF_MS,
         )
-        self._timers.call_later(0.0, lambda: self._take_reply(reply))
+        self._timers.call_later(0.0, lambda: self._handle_reply(reply))
 
-    def _take_reply(self, reply: permits.PermitReply) -> None:
+    def _handle_reply(self, reply: permits.PermitReply) -> None:
         now_s = self._clock()
         if reply.stated is not None:
             self._limits.merge([reply.stated], now_s, reported_by="granter")
-        ask = self._asks.get(reply.ask_id)
+        ask = self._pending_requests.get(reply.permit_id)
         if ask is None:
             return
         if ask.timer is not None:
             ask.timer.cancel()
         if reply.verdict is permits.Verdict.QUEUED:
             wait_s = ask.request.wait_ms / 1000 + RESEND_S
-            ask.timer = self._timers.call_later(wait_s, lambda: self._give_up(reply.ask_id))
+            ask.timer = self._timers.call_later(wait_s, lambda: self._give_up(reply.permit_id))
             return
-        del self._asks[reply.ask_id]
+        del self._pending_requests[reply.permit_id]
         is_granted = reply.verdict is not permits.Verdict.REJECTED
         if not is_granted:
             self._back_off(ask, reply, now_s)
         ask.on_reply(is_granted)
 
-    def _note_heard(self, ask_id: int) -> None:
-        ask = self._asks.get(ask_id)
+    def _record_reply(self, permit_id: int) -> None:
+        ask = self._pending_requests.get(permit_id)
         granters = self._get_granters(ask.upstream) if ask is not None else []
         if ask is not None and ask.turn < len(granters):
             self._missed.pop(granters[ask.turn].name, None)
 
-    def _back_off(self, ask: _Ask, reply: permits.PermitReply, now_s: float) -> None:
+    def _back_off(self, ask: _PendingRequest, reply: permits.PermitReply, now_s: float) -> None:
         claim = ask.request.claim
         self.backoff.record(
             ask.upstream.key,
@@ -271,7 +271,7 @@
             now_s=now_s,
         )
 
-    def _take_ask(self, ask: permits.PermitAsk) -> None:
+    def _handle_permit_request(self, ask: permits.PermitRequest) -> None:
         now_s = self._clock()
         self._limits.merge([ask.stated], now_s, reported_by=ask.sender)
         self._send_replies(self._granter.handle_request(ask, now_s))
@@ -295,6 +295,6 @@
     def _send_replies(self, replies: Iterable[permit_granter.AddressedReply]) -> None:
         for item in replies:
             if item.receiver == self._name:
-                self._take_reply(item.reply)
+                self._handle_reply(item.reply)
             elif item.receiver in self._addresses:
                 self._send(permits.encode_reply(item.reply), self._addresses[item.receiver])
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -4,7 +4,7 @@
 
 from spoolhead._internal.gateway import attempts, exchange
 from spoolhead._internal.models import codes, dialects, route_table
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -22,7 +22,7 @@
     def start(self) -> None:
         """Make an attempt at the best instance."""
         choice = self.choose(0)
-        if self.must_ask(choice):
+        if self.request_permit_if_limited(choice):
             return
         self.log_choice("attempt", choice)
         if choice.upstream is None:
@@ -34,9 +34,9 @@
         upstream = choice.upstream
         attempt = self._attempt = attempts.Attempt(self, upstream)
         self._attempts_made += 1
-        self._tried.add(upstream.instance.life_id)
+        self._tried.add(upstream.instance.incarnation_id)
         request_id = self.job.head.request_id
-        upstream.works[request_id] = upstream_book.Work(request_id, 0, reading_tokens=0)
+        upstream.in_flight[request_id] = upstream_registry.InFlightRequest(request_id, 0, prefill_tokens=0)
         self._context.on_change()
         orders = dialects.AttemptOrders(
             instance_id=upstream.instance.instance_id,
@@ -53,7 +53,7 @@
         """Cancel the present attempt."""
         self.drop_attempt()
 
-    def take_body(self, attempt: attempts.Attempt, data: bytes) -> None:
+    def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
         """Take a part of an attempt's answer."""
         if attempt is not self._attempt:
             return
@@ -63,7 +63,7 @@
             self._ran = codes.Ran.YES
             self.fail(codes.ResultCode.ANSWER_TOO_LARGE, "the answer is too large")
 
-    def take_end(self, attempt: attempts.Attempt) -> None:
+    def handle_end(self, attempt: attempts.Attempt) -> None:
         """Take the end of an attempt's answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
@@ -86,13 +86,13 @@
             attempt.upstream.record_answer()
             self._deliver(attempt)
 
-    def take_loss(self, attempt: attempts.Attempt, reason: str) -> None:
+    def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
         """Take the loss of an attempt's connection."""
         if attempt is not self._attempt:
             return
         assert attempt.call is not None
         arrived = attempt.call.may_have_arrived
-        self.note_loss(attempt, reason)
+        self.record_loss(attempt, reason)
         if self.is_over:
             # The loss was what has its content held.
             return
@@ -109,7 +109,7 @@
             self._attempts_made -= 1
         fields = {
             **self.get_fields(),
-            "upstream": attempt.upstream.instance.life_id,
+            "upstream": attempt.upstream.instance.incarnation_id,
             "code": int(code),
             "reason": text,
         }
@@ -140,11 +140,11 @@
         head = attempt.head
         assert head is not None
         self._ran = codes.Ran.YES
-        self.note_whole(head.status)
+        self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
         fields = {
             **self.get_fields(),
-            "upstream": attempt.upstream.instance.life_id,
+            "upstream": attempt.upstream.instance.incarnation_id,
             "status": head.status,
             "attempts": self._attempts_made,
             "is_late": self.is_late(),
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -7,10 +7,10 @@
 
 from spoolhead._internal.contents import content_watch, end_watch
 from spoolhead._internal.gateway import (
-    entry_figures,
+    entry_metrics,
     exchange,
     exchange_context,
-    first_table,
+    startup,
     health_watch,
     load_sharing,
     permit_exchange,
@@ -20,7 +20,7 @@
     stream_exchange,
     table_feed,
     upstream_limits,
-    upstream_news,
+    upstream_events,
 )
 from spoolhead._internal.load_broadcast import load_socket
 from spoolhead._internal.models import (
@@ -42,7 +42,7 @@
     small_server,
     upstream_calls,
 )
-from spoolhead._internal.policy import hall_reach, request_content, upstream_book
+from spoolhead._internal.policy import hall_reach, request_content, upstream_registry
 from spoolhead._internal.routing import matcher, table_checks
 from spoolhead._internal.utils import clocks, endpoints, prometheus_metrics
 
@@ -86,25 +86,25 @@
         self.loop = loop.Loop(self._begin_stop)
         outgoing = links.Links(self.loop, channel="links").register(self.loop)
         calls = upstream_calls.UpstreamCalls(self.loop, outgoing, config.upstreams)
-        made = prometheus_metrics.Figures()
-        self._figures = entry_figures.EntryFigures(made)
-        self._figures.in_flight.set_function(lambda: len(self._exchanges))
-        self._book = upstream_book.UpstreamBook()
+        made = prometheus_metrics.PrometheusMetrics()
+        self._metrics = entry_metrics.EntryMetrics(made)
+        self._metrics.in_flight.set_function(lambda: len(self._exchanges))
+        self._registry = upstream_registry.UpstreamRegistry()
         self._contents = content_watch.ContentWatch(
             config.name,
             clock=clocks.get_s,
             tell=lambda: self._sharing.broadcast_contents(),
-            on_held=self._hold_back,
+            on_held=self._reject_held,
         )
-        self._figures.held_contents.set_function(lambda: self._contents.held_count)
+        self._metrics.held_contents.set_function(lambda: self._contents.held_count)
         address = (config.host, config.peer_port)
-        sock = load_socket.LoadSocket(self.loop, address, self._take_load)
+        sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         self._limits = upstream_limits.UpstreamLimits(
-            self._book.get_by_key,
-            tell=lambda: self._sharing.tell_limits(),
+            self._registry.get_by_key,
+            tell=lambda: self._sharing.broadcast_limits(),
             on_change=self._on_limit_change,
         )
-        self._figures.limited_upstreams.set_function(lambda: self._limits.book.limited_count)
+        self._metrics.limited_upstreams.set_function(lambda: self._limits.registry.limited_count)
         self._permits = permit_exchange.PermitExchange(
             self.loop.scheduler,
             config,
@@ -115,47 +115,47 @@
         self._sharing = load_sharing.LoadSharing(
             self.loop.scheduler,
             config,
-            self._book,
+            self._registry,
             self._contents,
             self._limits,
             send=sock.send,
-            on_alarm=lambda upstream: self._news.drain(upstream),
+            on_alarm=lambda upstream: self._upstream_events.drain(upstream),
             on_news=self._on_news,
         )
-        self._figures.news_age_ms.set_function(self._sharing.get_news_age_ms)
+        self._metrics.news_age_ms.set_function(self._sharing.get_news_age_ms)
         self._end_watch = end_watch.EndWatch(
             calls,
             self.loop.scheduler,
             self._contents,
             read_instance_id=lambda status, head: dialect.read_answer(status, head).instance_id,
-            on_ended=lambda life_id: self._sharing.tell_alarm(life_id, shared_load.AlarmKind.ENDED),
+            on_ended=lambda incarnation_id: self._sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED),
         )
         self._context = exchange_context.Context(
             config=config,
             dialect=dialect,
             calls=calls,
             timers=self.loop.scheduler,
-            book=self._book,
-            chance=random.Random(),
+            registry=self._registry,
+            rng=random.Random(),
             on_change=self._on_own_change,
-            on_lost_request=self._sharing.tell_failure,
-            on_answer=lambda *answer: self._news.take_answer(*answer),
-            on_replaced=lambda upstream: self._news.take_replaced(upstream),
+            on_lost_request=self._sharing.broadcast_failure,
+            on_answer=lambda *answer: self._upstream_events.handle_answer(*answer),
+            on_replaced=lambda upstream: self._upstream_events.handle_replaced(upstream),
             contents=self._contents,
             limits=self._limits,
             permits=self._permits,
-            ask_lost=self._ask_lost,
+            query_end=self._query_end,
             get_silent_halls=self._sharing.get_silent_halls,
             get_news_age_ms=self._sharing.get_news_age_ms,
-            figures=self._figures,
+            metrics=self._metrics,
         )
-        self._news = upstream_news.UpstreamNews(
+        self._upstream_events = upstream_events.UpstreamEvents(
             self._context,
             self._sharing,
             self._exchanges,
             get_table=lambda: self._matcher,
         )
-        self._figures.waiting.set_function(lambda: len(self._context.queue))
+        self._metrics.waiting.set_function(lambda: len(self._context.queue))
         self._front = caller_front.CallerFront(
             self.loop, config, take=self._take, refuse=self._refuse_bytes
         ).register(self.loop)
@@ -172,14 +172,14 @@
             calls,
             config,
             dialect,
-            self._book,
+            self._registry,
             get_table=lambda: self._matcher,
             get_watchers=self._sharing.get_watchers,
             get_silent_halls=self._sharing.get_silent_halls,
-            on_alarm=self._news.take_alarm,
-            on_cold=self._news.take_cold,
-            on_replaced=self._news.take_replaced,
-            on_answer=self._take_health,
+            on_alarm=self._upstream_events.handle_alarm,
+            on_cold=self._upstream_events.handle_cold,
+            on_replaced=self._upstream_events.handle_replaced,
+            on_answer=self._handle_health_answer,
             is_limited=lambda upstream: self._context.gate.is_limited(upstream),
         )
         self.loop.scheduler.call_every(READY_CHECK_S, self._check_ready)
@@ -207,17 +207,17 @@
         self._front.set_bounds(decoded.ok.bounds)
         fields = {"version": version, "routes": len(decoded.ok.routes)}
         logger.info("table in force", extra={"fields": fields})
-        self._figures.table_version.set(version)
+        self._metrics.table_version.set(version)
         return True
 
     def on_instances(self, listed: list[instances.Instance]) -> None:
         """Take over a reading of the list of instances."""
-        self._news.take_list(listed)
+        self._upstream_events.take_list(listed)
         self._has_instances = True
 
     def on_evacuations(self, halls: frozenset[str]) -> None:
         """Send nothing more to instances of these halls, and to all others again."""
-        self._news.take_evacuations(halls)
+        self._upstream_events.handle_evacuations(halls)
 
     def on_fleet(self, known: fleet.Fleet) -> None:
         """Take over which processes there are."""
@@ -229,14 +229,14 @@
 
     def on_keeper_lost(self, address: str) -> None:
         """Take note of a keeper whose stream ended."""
-        self._sharing.note_keeper_lost(address)
+        self._sharing.record_keeper_lost(address)
 
-    def take_settings(self, config: settings.GatewaySettings) -> None:
+    def apply_settings(self, config: settings.GatewaySettings) -> None:
         """Take over the keepers that changed settings name."""
         self._feed.set_seeds(config.keepers)
 
-    def _take_load(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
-        if isinstance(message, permits.PermitAsk | permits.PermitReply):
+    def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
+        if isinstance(message, permits.PermitRequest | permits.PermitReply):
             self._permits.handle_datagram(message, sender)
         else:
             self._sharing.handle_datagram(message, sender)
@@ -248,10 +248,10 @@
         self._permits.backoff.clear(key)
         self._context.queue.schedule_check()
 
-    def _take_health(self, upstream: upstream_book.Upstream, head: dialects.AnswerHead) -> None:
-        self._limits.take_health(upstream, head, clocks.get_s())
+    def _handle_health_answer(self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead) -> None:
+        self._limits.handle_health_answer(upstream, head, clocks.get_s())
         if head.is_leaving:
-            self._news.take_announced_end(upstream)
+            self._upstream_events.handle_announced_leaving(upstream)
 
     def _on_own_change(self) -> None:
         self._sharing.schedule_report()
@@ -270,22 +270,22 @@
             return
         age_s = clocks.get_s() - self._began_s
         if age_s > EARLY_WAIT_S:
-            self._take_early()
-        known = first_table.Knowledge(
+            self._handle_early_requests()
+        known = startup.StartupState(
             age_s=age_s,
             has_table=self._matcher is not None,
-            has_contents=self._contents.agrees,
+            has_contents=self._contents.is_in_sync,
             has_limits=self._sharing.has_snapshot,
             has_instances=self._has_instances,
             is_sure=self._feed.is_sure,
             reaches_most=self._feed.connected_count * 2 > self._feed.keeper_count,
         )
-        step = first_table.decide(known)
-        self._feed.take_unconfirmed(step is first_table.Step.TAKE_UNCONFIRMED)
-        if step is first_table.Step.SERVE:
+        step = startup.decide(known)
+        self._feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
+        if step is startup.Step.SERVE:
             self._begin_serving(known)
 
-    def _begin_serving(self, known: first_table.Knowledge) -> None:
+    def _begin_serving(self, known: startup.StartupState) -> None:
         self._is_ready = True
         fields = {
             "version": self._feed.version,
@@ -296,7 +296,7 @@
             "age_ms": int(known.age_s * 1000),
         }
         logger.info("entry is ready", extra={"fields": fields})
-        self._take_early()
+        self._handle_early_requests()
 
     def _check_reach(self) -> None:
         """Send callers elsewhere while this hall is cut off from all instances of a service."""
@@ -314,17 +314,17 @@
 
     def _find_unreachable(self) -> str:
         """Return the name of a service whose instances all stand in lost halls; empty for none."""
-        lost = self._context.reach.get_lost_halls(
-            self._sharing.get_silent_halls(), clocks.get_s(), is_alone=self._sharing.is_alone()
+        lost = self._context.reach.get_unreachable_halls(
+            self._sharing.get_silent_halls(), clocks.get_s(), is_isolated=self._sharing.is_isolated()
         )
         if not lost or self._matcher is None:
             return ""
         for service in self._matcher.services:
-            if hall_reach.is_out_of_reach(self._book.get_service(service.name), lost):
+            if hall_reach.is_service_unreachable(self._registry.get_service(service.name), lost):
                 return service.name
         return ""
 
-    def _take_early(self) -> None:
+    def _handle_early_requests(self) -> None:
         early, self._early = self._early, []
         for caller in early:
             if not caller.is_gone:
@@ -344,32 +344,32 @@
             return
         matched = self._match(read.ok, caller)
         if isinstance(matched, fault.Fault):
-            self._refuse(caller, read.ok.request_id, self._weigh_refusal(matched))
+            self._refuse(caller, read.ok.request_id, self._soften_refusal(matched))
             return
         allowance = self._context.get_allowance(matched.service.name)
-        allowance.note_request(clocks.get_s())
+        allowance.record_request(clocks.get_s())
         is_stream = matched.route.kind is route_table.RequestKind.STREAM
         cls = stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
         item = cls(matched, caller, self._context, self._exchanges.discard)
         self._exchanges.add(item)
         item.begin()
 
-    def _ask_lost(self, upstream: upstream_book.Upstream) -> None:
+    def _query_end(self, upstream: upstream_registry.Upstream) -> None:
         """Find out whether an instance that lost a request has ended."""
         service = self._matcher.get_service(upstream.instance.service) if self._matcher else None
-        asked = end_watch.Asked(
-            upstream.instance.life_id,
+        asked = end_watch.EndQuery(
+            upstream.instance.incarnation_id,
             instance_id=upstream.instance.instance_id,
             address=upstream.instance.address,
             path=service.health_path if service is not None else "",
         )
         self._end_watch.query(asked)
 
-    def _hold_back(self, content_id: bytes) -> None:
+    def _reject_held(self, content_id: bytes) -> None:
         """Refuse what waits of a content that is held from now on, and end what runs of it."""
         for item in list(self._exchanges):
             if item.job.content_id == content_id:
-                item.hold_back()
+                item.reject_held()
 
     def _match(
         self, head: dialects.RequestHead, caller: caller_front.Caller
@@ -385,13 +385,13 @@
         if table.needs_key(route) and workspace is None:
             code = codes.ResultCode.KEY_UNKNOWN if head.api_key else codes.ResultCode.KEY_MISSING
             return fault.Fault(code, "the API key belongs to no workspace")
-        service = table.get_service(matcher.choose_service(route, self._context.chance))
+        service = table.get_service(matcher.choose_service(route, self._context.rng))
         assert service is not None
         owner = workspace.name if workspace is not None else ""
         content_id = request_content.get_content_id(caller.request, head.host, owner)
         return routed_job.Job(head, route, service, workspace, table.version, content_id)
 
-    def _weigh_refusal(self, item: fault.Fault) -> fault.Fault:
+    def _soften_refusal(self, item: fault.Fault) -> fault.Fault:
         """Return what a caller is told whom the table lets nowhere.
 
         Callers take it as final. An entry that cannot tell whether its table is the newest says
@@ -399,7 +399,7 @@
         """
         if item.code is codes.ResultCode.NO_TABLE or self._feed.is_sure:
             return item
-        return fault.make_unconfirmed(item)
+        return fault.make_unconfirmed_fault(item)
 
     def _refuse(self, caller: caller_front.Caller, request_id: str, item: fault.Fault) -> None:
         status = refusals.send(
--- a/src/spoolhead/_internal/gateway/run_guard.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -8,7 +8,7 @@
 
 from spoolhead._internal.gateway import exchange_context, permit_exchange, routed_job, run_move
 from spoolhead._internal.network import scheduler
-from spoolhead._internal.policy import run_safety, upstream_book
+from spoolhead._internal.policy import run_migration_policy, upstream_registry
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -30,19 +30,19 @@
 
     __slots__ = ("address", "handle", "upstream")
 
-    def __init__(self, upstream: upstream_book.Upstream, address: str, handle: str) -> None:
+    def __init__(self, upstream: upstream_registry.Upstream, address: str, handle: str) -> None:
         self.upstream = upstream
         self.address = address
         self.handle = handle
 
 
-class Guarded(Protocol):
+class MigratingRun(Protocol):
     """The run that is guarded."""
 
     is_over: bool
 
     @property
-    def upstream(self) -> upstream_book.Upstream | None:
+    def upstream(self) -> upstream_registry.Upstream | None:
         """Where the run is."""
 
     @property
@@ -57,7 +57,7 @@
         """The run's instance leaves and the copy is up to date; it should go on there."""
 
 
-class RunGuard:
+class RunMigration:
     """Guard of one run.
 
     :param run: the run.
@@ -66,15 +66,15 @@
     """
 
     def __init__(
-        self, run: Guarded, job: routed_job.Job, context: exchange_context.Context
+        self, run: MigratingRun, job: routed_job.Job, context: exchange_context.Context
     ) -> None:
         self._run = run
         self._job = job
         self._context = context
-        self._holder: upstream_book.Upstream | None = None
+        self._holder: upstream_registry.Upstream | None = None
         self._move: run_move.RunMove | None = None
         self._timer: scheduler.Timer | None = None
-        self._is_asking = False
+        self._is_awaiting_permit = False
         self._refusers: set[str] = set()
 
     def check(self) -> None:
@@ -84,16 +84,16 @@
             return
         now_s = clocks.get_s()
         holder = self._holder
-        if holder is not None and (holder.is_departing(now_s) or holder.is_evacuated):
+        if holder is not None and (holder.may_be_leaving(now_s) or holder.is_evacuated):
             fields = {
                 "request": self._job.head.request_id,
-                "holder": holder.instance.life_id,
+                "holder": holder.instance.incarnation_id,
                 "is_gone": holder.is_gone,
                 "is_evacuated": holder.is_evacuated,
             }
             logger.info("copy lost", extra={"fields": fields})
             self.drop_copy()
-        must_move = running_at.is_departing(now_s) and self._context.config.moves_runs
+        must_move = running_at.may_be_leaving(now_s) and self._context.config.moves_runs
         if must_move and self._holder is None:
             self._make_copy(running_at)
 
@@ -125,9 +125,9 @@
         """Have the run go on at the copy, unless its instance stays after all."""
         fields = {"request": move.request_id, "handle": move.handle}
         logger.info("copy made", extra={"fields": fields})
-        self._context.figures.copies.labels("made").inc()
+        self._context.metrics.copies.labels("made").inc()
         running_at = self._run.upstream
-        if running_at is not None and running_at.is_departing(clocks.get_s()):
+        if running_at is not None and running_at.may_be_leaving(clocks.get_s()):
             self._run.on_copy_ready()
         else:
             self.drop_copy()
@@ -141,50 +141,50 @@
             "status": move.status,
         }
         logger.info("copy failed", extra={"fields": fields})
-        self._context.figures.copies.labels("failed").inc()
+        self._context.metrics.copies.labels("failed").inc()
         holder = self._holder
         self.drop_copy()
         if move.status == NO_ROOM and holder is not None:
-            self._refusers.add(holder.instance.life_id)
+            self._refusers.add(holder.instance.incarnation_id)
             self.check()
         else:
-            self._look_later(TRY_AGAIN_S)
+            self._check_later(TRY_AGAIN_S)
 
-    def _make_copy(self, running_at: upstream_book.Upstream) -> None:
+    def _make_copy(self, running_at: upstream_registry.Upstream) -> None:
         engine = self._job.service.engine
-        if engine is None or not engine.can_move or self._is_asking:
+        if engine is None or not engine.can_move or self._is_awaiting_permit:
             return
         holder = self._choose(running_at) if self._run.events else None
         if holder is None:
             self._refusers.clear()
             # There is no run to copy yet, or no room for a copy just now.
-            self._look_later(TRY_AGAIN_S)
+            self._check_later(TRY_AGAIN_S)
             return
         if self._context.gate.is_limited(holder):
             self._ask(running_at, holder)
             return
         self._order_copy(running_at, holder)
 
-    def _ask(self, running_at: upstream_book.Upstream, holder: upstream_book.Upstream) -> None:
+    def _ask(self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream) -> None:
         """Ask for a permit for the run to go on at a limited instance."""
-        self._is_asking = True
+        self._is_awaiting_permit = True
         request = permit_exchange.PermitTerms(
             self._job.claim, is_retry=False, wait_ms=0, is_final=False
         )
 
-        def _take_permit(is_granted: bool) -> None:
-            self._is_asking = False
+        def _handle_permit(is_granted: bool) -> None:
+            self._is_awaiting_permit = False
             if self._run.is_over or self._run.upstream is not running_at:
                 return
-            if is_granted and not self._is_barred(holder):
+            if is_granted and not self._is_blocked(holder):
                 self._order_copy(running_at, holder)
             else:
-                self._look_later(TRY_AGAIN_S)
+                self._check_later(TRY_AGAIN_S)
 
-        self._context.permits.ask(holder, request, _take_permit)
+        self._context.permits.ask(holder, request, _handle_permit)
 
-    def _is_barred(self, holder: upstream_book.Upstream) -> bool:
-        bar = self._context.gate.get_bar(
+    def _is_blocked(self, holder: upstream_registry.Upstream) -> bool:
+        bar = self._context.gate.get_block_reason(
             self._job.service,
             holder,
             clocks.get_s(),
@@ -194,7 +194,7 @@
         return bar is not None
 
     def _order_copy(
-        self, running_at: upstream_book.Upstream, holder: upstream_book.Upstream
+        self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream
     ) -> None:
         self._log("copy ordered", running_at, holder)
         self._hold(holder)
@@ -209,22 +209,22 @@
         self._move.copy()
 
     def _log(
-        self, text: str, running_at: upstream_book.Upstream, holder: upstream_book.Upstream
+        self, text: str, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream
     ) -> None:
         fields = {
             "request": self._job.head.request_id,
-            "source": running_at.instance.life_id,
-            "target": holder.instance.life_id,
+            "source": running_at.instance.incarnation_id,
+            "target": holder.instance.incarnation_id,
             "target_tokens": holder.tokens,
             "is_leaving": running_at.is_leaving,
             "events": self._run.events,
         }
         logger.info(text, extra={"fields": fields})
 
-    def _choose(self, running_at: upstream_book.Upstream) -> upstream_book.Upstream | None:
-        return run_safety.choose_holder(
+    def _choose(self, running_at: upstream_registry.Upstream) -> upstream_registry.Upstream | None:
+        return run_migration_policy.choose_copy_target(
             self._job.service,
-            self._context.book.get_service(self._job.service.name),
+            self._context.registry.get_service(self._job.service.name),
             running_at=running_at,
             excluded=self._refusers,
             now_s=clocks.get_s(),
@@ -232,19 +232,19 @@
             claim=self._job.claim,
         )
 
-    def _hold(self, holder: upstream_book.Upstream) -> None:
+    def _hold(self, holder: upstream_registry.Upstream) -> None:
         request_id = self._job.head.request_id
         self._holder = holder
-        holder.works[request_id] = upstream_book.Work(
-            request_id, self._run.need_tokens, reading_tokens=0, is_expected=True
+        holder.in_flight[request_id] = upstream_registry.InFlightRequest(
+            request_id, self._run.need_tokens, prefill_tokens=0, is_copy=True
         )
         self._context.on_change()
 
-    def _release(self, holder: upstream_book.Upstream) -> None:
-        holder.works.pop(self._job.head.request_id, None)
+    def _release(self, holder: upstream_registry.Upstream) -> None:
+        holder.in_flight.pop(self._job.head.request_id, None)
         self._context.on_change()
 
-    def _look_later(self, delay_s: float) -> None:
+    def _check_later(self, delay_s: float) -> None:
         self._cancel_timer()
         self._timer = self._context.timers.call_later(delay_s, self.check)
 
--- a/src/spoolhead/_internal/gateway/run_move.py
+++ b/src/spoolhead/_internal/gateway/run_move.py
@@ -9,7 +9,7 @@
 
 from spoolhead._internal.models import dialects
 from spoolhead._internal.network import upstream_calls
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 
 _OK = 200
 UNREACHABLE = 0
@@ -43,7 +43,7 @@
         self,
         *,
         request_id: str,
-        source: upstream_book.Upstream,
+        source: upstream_registry.Upstream,
         target_address: str,
         calls: upstream_calls.UpstreamCalls,
         dialect: dialects.EntryDialect,
@@ -116,7 +116,7 @@
             self._user.on_move_failed(self)
 
     def _free(self) -> None:
-        if not self.handle or self._source.has_started_again:
+        if not self.handle or self._source.has_restarted:
             # What is at its address now knows nothing of the handle, or has given it to another.
             return
         order = self._dialect.write_release(self.handle)
--- a/src/spoolhead/_internal/gateway/run_queue.py
+++ b/src/spoolhead/_internal/gateway/run_queue.py
@@ -27,12 +27,12 @@
     """The queue of one entry.
 
     :param timers: calls back.
-    :param chance: source of random numbers.
+    :param rng: source of random numbers.
     """
 
-    def __init__(self, timers: scheduler.Scheduler, chance: random.Random) -> None:
+    def __init__(self, timers: scheduler.Scheduler, rng: random.Random) -> None:
         self._timers = timers
-        self._chance = chance
+        self._rng = rng
         self._waiting: list[Waiting] = []
         self._timer: scheduler.Timer | None = None
         self._look_s = 0.0
@@ -54,7 +54,7 @@
     def schedule_check(self) -> None:
         """Take note that an engine may have got room."""
         if self._waiting:
-            self._look_within(self._chance.uniform(0.0, SPREAD_S))
+            self._look_within(self._rng.uniform(0.0, SPREAD_S))
 
     def _get_longest_pause_s(self) -> float:
         now_s = clocks.get_s()
--- a/src/spoolhead/_internal/gateway/first_table.py
+++ b/src/spoolhead/_internal/gateway/startup.py
@@ -16,7 +16,7 @@
 long as the keepers may still be starting: they were seen to need 0.3 to 2 s."""
 
 
-class Knowledge:
+class StartupState:
     """What a starting entry knows.
 
     :ivar age_s: time since its start, in seconds.
@@ -66,15 +66,15 @@
     SERVE = "serve"
 
 
-def decide(known: Knowledge) -> Step:
+def decide(known: StartupState) -> Step:
     """Return what a starting entry does next.
 
     Where most keepers can be reached, one of them will lead and confirm a table soon. Where they
     cannot, the hall is cut off and serves what it can.
     """
     if known.has_table:
-        has_news = known.has_contents and known.has_limits
-        is_complete = known.is_sure and known.has_instances and has_news
+        has_new = known.has_contents and known.has_limits
+        is_complete = known.is_sure and known.has_instances and has_new
         return Step.SERVE if is_complete or known.age_s > CONFIRMED_WAIT_S else Step.WAIT
     if known.age_s > UNCONFIRMED_WAIT_S and not known.reaches_most:
         return Step.TAKE_UNCONFIRMED
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -8,11 +8,11 @@
     exchange,
     exchange_context,
     routed_job,
-    run_guard,
+    run_migration,
 )
 from spoolhead._internal.models import codes, dialects
 from spoolhead._internal.network import caller_front
-from spoolhead._internal.policy import run_admission, run_safety, upstream_book, upstream_choice
+from spoolhead._internal.policy import run_admission, run_migration_policy, upstream_registry, upstream_choice
 from spoolhead._internal.relay import pace_meter, splice
 from spoolhead._internal.utils import clocks
 
@@ -37,11 +37,11 @@
     ) -> None:
         super().__init__(job, caller, context, on_end)
         self._splice = splice.Splice(job.head.last_event_id)
-        self._guard = run_guard.RunGuard(self, job, context)
+        self._migration = run_migration.RunMigration(self, job, context)
         self._pace = pace_meter.PaceMeter(self._arrived_s)
 
     @property
-    def upstream(self) -> upstream_book.Upstream | None:
+    def upstream(self) -> upstream_registry.Upstream | None:
         """Where the run is."""
         return self._attempt.upstream if self._attempt is not None else None
 
@@ -65,7 +65,7 @@
         engine = self.job.service.engine
         if generation is None or engine is None:
             return 0.0
-        return run_safety.get_rank(
+        return run_migration_policy.get_rank(
             generation.prompt_tokens,
             self._expected_tokens,
             self.events * engine.tokens_per_event,
@@ -85,7 +85,7 @@
 
     def try_to_begin(self) -> bool:
         """Begin at an engine with room, or be refused, if that is due."""
-        if self._is_asking:
+        if self._is_awaiting_permit:
             return False
         engine = self.job.service.engine
         choice = self.choose(self.need_tokens)
@@ -98,7 +98,7 @@
             if verdict is run_admission.Verdict.REFUSE and choice.upstream is not None:
                 self._refuse(choice)
                 return True
-        if self.must_ask(choice):
+        if self.request_permit_if_limited(choice):
             return False
         self.log_choice("attempt", choice)
         if choice.upstream is None:
@@ -115,12 +115,12 @@
     def release(self) -> None:
         """Cancel the run and give up its copy."""
         self._context.queue.remove(self)
-        self._guard.drop_copy()
+        self._migration.drop_copy()
         self.drop_attempt()
 
     def on_instances_changed(self) -> None:
         """See whether the run or its copy must move."""
-        self._guard.check()
+        self._migration.check()
 
     def on_copy_ready(self) -> None:
         """Go on at the copy, before the instance that leaves is gone."""
@@ -129,49 +129,49 @@
         if self._context.contents.is_held(self.job.content_id):
             # It would end the instance that has the copy, too.
             return
-        copy = self._guard.pop_copy()
+        copy = self._migration.pop_copy()
         if copy is not None:
             self._resume(copy)
 
-    def take_body(self, attempt: attempts.Attempt, data: bytes) -> None:
+    def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
         """Take a part of the answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
         if not self._is_good(attempt.head):
             attempt.body.append(data)
             return
-        self._note_read(attempt)
-        self._context.reach.note_answer(attempt.upstream.instance.hall, clocks.get_s())
+        self._record_prefill_end(attempt)
+        self._context.reach.record_answer(attempt.upstream.instance.hall, clocks.get_s())
         events_before = self._splice.events
         spliced = self._splice.feed(data)
         if spliced.events:
-            self._pace.note_events(events_before, clocks.get_s())
+            self._pace.record_events(events_before, clocks.get_s())
         if spliced.data and not self._pass_on(attempt.head, spliced.data):
             return
         if spliced.problem:
             self._break(spliced.problem)
 
-    def take_end(self, attempt: attempts.Attempt) -> None:
+    def handle_end(self, attempt: attempts.Attempt) -> None:
         """Take the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
         if not self._is_good(attempt.head):
-            self._take_refusal(attempt, attempt.head)
+            self._handle_refusal(attempt, attempt.head)
         else:
             attempt.upstream.record_answer()
             self._finish(attempt.head)
 
-    def take_loss(self, attempt: attempts.Attempt, reason: str) -> None:
+    def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
         """Take the loss of the connection."""
         if attempt is not self._attempt or attempt.call is None:
             return
-        self.note_loss(attempt, reason)
+        self.record_loss(attempt, reason)
         if self.is_over:
             # The loss was what has its content held.
             return
         self._log_attempt_failure(attempt, reason)
         if not attempt.call.may_have_arrived and not attempt.is_resumed:
-            self._guard.drop_copy()
+            self._migration.drop_copy()
             self.drop_attempt()
             self._begin_run()
             return
@@ -187,14 +187,14 @@
             arrived_s=self._arrived_s,
         )
         if not self.try_to_begin():
-            if not self._is_asking:
+            if not self._is_awaiting_permit:
                 logger.info("waits for room", extra={"fields": self.get_fields()})
             self._context.queue.add(self)
 
     def _refuse(self, choice: upstream_choice.Choice) -> None:
         """Refuse the request, since no engine is likely to have room in time."""
         self.log_choice("no room", choice)
-        come_back_ms = run_admission.get_come_back_ms(self.remaining_ms)
+        come_back_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
         code = codes.ResultCode.DEADLINE_UNREACHABLE
         self.fail(code, "no engine is expected to have room in time", retry_after_ms=come_back_ms)
 
@@ -207,13 +207,13 @@
             and head.request_id in ("", own_id)
         )
 
-    def _take_refusal(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
+    def _handle_refusal(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
         self._log_attempt_failure(attempt, f"status {head.status}")
         if attempt.is_resumed or self._splice.events:
             self._break(f"the run could not go on: status {head.status}")
             return
         if head.has_not_run:
-            self._guard.drop_copy()
+            self._migration.drop_copy()
             self.drop_attempt()
             allowance = self._context.get_allowance(self.job.service.name)
             # One that never reached the instance it was meant for is no attempt.
@@ -229,7 +229,7 @@
             self._break("the answer is not the upstream's own")
             return
         self._ran = codes.Ran.YES
-        self.note_whole(head.status)
+        self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
         fields = {**self.get_fields(), "status": head.status}
         logger.info("answered", extra={"fields": fields})
@@ -238,23 +238,23 @@
     def _log_attempt_failure(self, attempt: attempts.Attempt, reason: str) -> None:
         fields = {
             **self.get_fields(),
-            "upstream": attempt.upstream.instance.life_id,
+            "upstream": attempt.upstream.instance.incarnation_id,
             "events": self.events,
             "reason": reason,
         }
         logger.info("attempt failed", extra={"fields": fields})
 
-    def _open(self, upstream: upstream_book.Upstream, resume: dialects.ResumePoint | None) -> None:
+    def _open(self, upstream: upstream_registry.Upstream, resume: dialects.ResumePoint | None) -> None:
         attempt = self._attempt = attempts.Attempt(self, upstream, is_resumed=resume is not None)
         request_id = self.job.head.request_id
         generation = self.job.head.generation
         reading = generation.prompt_tokens if generation is not None and resume is None else 0
-        self._tried.add(upstream.instance.life_id)
+        self._tried.add(upstream.instance.incarnation_id)
         if resume is None:
             waited_ms = (clocks.get_s() - self._arrived_s) * 1000
-            self._context.figures.room_wait_ms.observe(waited_ms)
-        upstream.works[request_id] = upstream_book.Work(
-            request_id, self.need_tokens, reading_tokens=reading
+            self._context.metrics.room_wait_ms.observe(waited_ms)
+        upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
+            request_id, self.need_tokens, prefill_tokens=reading
         )
         self._context.on_change()
         orders = dialects.AttemptOrders(
@@ -271,26 +271,26 @@
             return None
         return self.job.urgency
 
-    def _note_read(self, attempt: attempts.Attempt) -> None:
+    def _record_prefill_end(self, attempt: attempts.Attempt) -> None:
         """Take note that the prompt has been read."""
-        work = attempt.upstream.works.get(self.job.head.request_id)
-        if work is not None and work.reading_tokens:
-            work.reading_tokens = 0
+        work = attempt.upstream.in_flight.get(self.job.head.request_id)
+        if work is not None and work.prefill_tokens:
+            work.prefill_tokens = 0
             self._context.on_change()
 
-    def _resume(self, copy: run_guard.Copy) -> None:
+    def _resume(self, copy: run_migration.Copy) -> None:
         point = dialects.ResumePoint(
             address=copy.address, handle=copy.handle, last_event_id=self._splice.last_event_id
         )
         fields = {
             **self.get_fields(),
-            "upstream": copy.upstream.instance.life_id,
+            "upstream": copy.upstream.instance.incarnation_id,
             "copy_of": copy.address,
             "events": self.events,
             "last_event_id": point.last_event_id,
         }
         logger.info("run goes on elsewhere", extra={"fields": fields})
-        self._context.figures.moves.inc()
+        self._context.metrics.moves.inc()
         self.drop_attempt()
         self._tried.clear()
         self._splice.begin_connection()
@@ -308,7 +308,7 @@
         return not self.is_over
 
     def _finish(self, head: dialects.AnswerHead) -> None:
-        self.note_whole(head.status)
+        self.record_whole_answer(head.status)
         rest = self._splice.finish()
         if rest or not self.caller.is_started:
             self._pass_on(head, rest)
@@ -322,11 +322,11 @@
             "longest_pause_ms": self._pace.longest_pause_ms,
             "pause_after_events": self._pace.longest_after,
             "is_late": (self._pace.first_ms or 0) > route.objective_ms,
-            "has_long_pause": self._pace.longest_pause_ms > run_safety.get_good_pause_ms(route),
+            "has_long_pause": self._pace.longest_pause_ms > run_migration_policy.get_max_pause_ms(route),
         }
         logger.info("answered", extra={"fields": fields})
-        self._context.figures.first_event_ms.observe(self._pace.first_ms or 0)
-        self._context.figures.longest_pause_ms.observe(self._pace.longest_pause_ms)
+        self._context.metrics.first_event_ms.observe(self._pace.first_ms or 0)
+        self._context.metrics.longest_pause_ms.observe(self._pace.longest_pause_ms)
         self.end()
 
     def _break(self, reason: str) -> None:
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -99,7 +99,7 @@
         self._read_s = -math.inf
         self._entry_count = 1
         self._reader = list_reader.ListReader(
-            loop, calls, config.instance_list, dialect, self._take_own_reading
+            loop, calls, config.instance_list, dialect, self._handle_own_reading
         )
         self._follow()
         loop.scheduler.call_every(CHECK_S, self._check)
@@ -130,7 +130,7 @@
         agreeing = {item.address for item in confirming if item.version <= self.version}
         return len(agreeing & members) * 2 > len(members)
 
-    def take_unconfirmed(self, wanted: bool) -> None:
+    def accept_unconfirmed(self, wanted: bool) -> None:
         """Say whether tables are taken of keepers that cannot tell whether they are the newest."""
         if wanted is self._takes_unconfirmed:
             return
@@ -139,7 +139,7 @@
             fields = {"keepers": self.connected_count, "followed": self.keeper_count}
             logger.warning("unconfirmed tables are taken", extra={"fields": fields})
             for keeper in self._keepers.values():
-                self._take_evacuated(keeper)
+                self._handle_evacuated_halls(keeper)
             self._fetch_elsewhere()
 
     def set_seeds(self, addresses: list[str]) -> None:
@@ -179,28 +179,28 @@
         """Take a keeper's message."""
         match message:
             case route_messages.RouteTableVersion():
-                keeper.take_version(message, self.version)
+                keeper.handle_version(message, self.version)
                 self._fetch(keeper)
             case route_messages.EvacuatedHalls():
                 keeper.evacuated = message
-                self._take_evacuated(keeper)
+                self._handle_evacuated_halls(keeper)
             case route_messages.RouteTableDocument():
-                self._take_table(keeper, message)
+                self._handle_table(keeper, message)
             case route_messages.InstanceList():
-                self._take_list(keeper, message)
+                self._handle_instance_list(keeper, message)
             case route_messages.Fleet():
-                self._take_fleet(keeper, message)
+                self._handle_fleet(keeper, message)
             case _:
                 logger.warning("unexpected %s of a keeper", type(message).__name__)
 
-    def _take_fleet(
+    def _handle_fleet(
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.Fleet
     ) -> None:
         """Take what a keeper knows of the fleet; entries that any keeper knows of count.
 
         A keeper that has just started or is cut off knows of few.
         """
-        keeper.take_fleet(message)
+        keeper.handle_fleet(message)
         self._entry_count = max(self._entry_count, len(keeper.fleet.entries))
         self._follow()
         told = {item.address: item.fleet for item in self._keepers.values() if item.fleet}
@@ -214,7 +214,7 @@
         known = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
         self._user.on_fleet(known)
 
-    def _take_evacuated(self, keeper: followed_keeper.FollowedKeeper) -> None:
+    def _handle_evacuated_halls(self, keeper: followed_keeper.FollowedKeeper) -> None:
         """Put in force which halls are evacuated, if the keeper knows of more orders on them."""
         told = keeper.evacuated
         if told is None or told.revision <= self.evacuation_revision:
@@ -259,7 +259,7 @@
             if keeper.client.is_ready
         )
 
-    def _take_table(
+    def _handle_table(
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.RouteTableDocument
     ) -> None:
         keeper.asked_s = 0.0
@@ -309,7 +309,7 @@
             return data
         return document_delta.apply(self._document, data)
 
-    def _take_list(
+    def _handle_instance_list(
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.InstanceList
     ) -> None:
         now_s = clocks.get_s()
@@ -325,7 +325,7 @@
             logger.info("instance list comes from a keeper again")
         self._user.on_instances(list(keeper.listed.values()))
 
-    def _take_own_reading(self, listed: list[instances.Instance]) -> None:
+    def _handle_own_reading(self, listed: list[instances.Instance]) -> None:
         self._user.on_instances(listed)
 
     def _follow(self) -> None:
--- a/src/spoolhead/_internal/gateway/upstream_limits.py
+++ b/src/spoolhead/_internal/gateway/upstream_limits.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from spoolhead._internal.models import dialects, rate_limit
-from spoolhead._internal.policy import limit_book, upstream_book
+from spoolhead._internal.policy import limit_registry, upstream_registry
 
 logger = logging.getLogger(__name__)
 
@@ -18,51 +18,51 @@
     :param get_upstream: returns the instance that a datagram names by a number, if it is listed.
     :param tell: called when other entries should be told at once.
     :param on_change: called with the number of an instance whose limit has changed.
-    :ivar book: the newest statement of each instance.
+    :ivar registry: the newest statement of each instance.
     """
 
-    __slots__ = ("_get_upstream", "_on_change", "_reported_s", "_tell", "_unreadable", "book")
+    __slots__ = ("_get_upstream", "_on_change", "_reported_s", "_tell", "_unreadable", "registry")
 
     def __init__(
         self,
-        get_upstream: Callable[[int], upstream_book.Upstream | None],
+        get_upstream: Callable[[int], upstream_registry.Upstream | None],
         tell: Callable[[], None],
         on_change: Callable[[int], None],
     ) -> None:
-        self.book = limit_book.LimitBook()
+        self.registry = limit_registry.LimitRegistry()
         self._get_upstream = get_upstream
         self._tell = tell
         self._on_change = on_change
         self._reported_s: dict[int, float] = {}
         self._unreadable: set[int] = set()
 
-    def take_answer(
-        self, upstream: upstream_book.Upstream, head: dialects.AnswerHead, now_s: float
+    def handle_answer(
+        self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
         """Record what an answer to a request states; an answer without a limit lifts it."""
         if head.is_misdirected:
             return
         key = upstream.key
         if head.is_limit_unreadable:
-            self._note_unreadable(upstream)
+            self._log_unreadable(upstream)
             return
         self._unreadable.discard(key)
-        before_per_s = self.book.get_limit_per_s(key)
-        if not self.book.record(key, head.limit_per_s, now_s):
+        before_per_s = self.registry.get_limit_per_s(key)
+        if not self.registry.record(key, head.limit_per_s, now_s):
             return
         self._reported_s[key] = now_s
         self._note_change(key, before_per_s, reported_by="")
         self._tell()
 
-    def take_health(
-        self, upstream: upstream_book.Upstream, head: dialects.AnswerHead, now_s: float
+    def handle_health_answer(
+        self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
         """Record a limit that an answer to a health question states.
 
         One without a limit says nothing: only answers to requests are known to state it.
         """
         if head.limit_per_s is not None:
-            self.take_answer(upstream, head, now_s)
+            self.handle_answer(upstream, head, now_s)
 
     def merge(
         self, limits: Iterable[rate_limit.AgedLimit], now_s: float, *, reported_by: str
@@ -72,8 +72,8 @@
         :param reported_by: name of that process.
         """
         for item in limits:
-            before_per_s = self.book.get_limit_per_s(item.key)
-            self.book.merge([item], now_s)
+            before_per_s = self.registry.get_limit_per_s(item.key)
+            self.registry.merge([item], now_s)
             self._note_change(item.key, before_per_s, reported_by=reported_by)
 
     def get_reported(self, now_s: float) -> list[rate_limit.AgedLimit]:
@@ -83,18 +83,18 @@
             for key, reported_s in self._reported_s.items()
             if now_s - reported_s <= KEPT_S
         }
-        return self.book.get_aged(self._reported_s, now_s)
+        return self.registry.get_aged(self._reported_s, now_s)
 
-    def _note_unreadable(self, upstream: upstream_book.Upstream) -> None:
+    def _log_unreadable(self, upstream: upstream_registry.Upstream) -> None:
         """Log an unreadable limit once; what is known stays in force."""
         if upstream.key in self._unreadable:
             return
         self._unreadable.add(upstream.key)
-        fields = {"upstream": upstream.instance.life_id}
+        fields = {"upstream": upstream.instance.incarnation_id}
         logger.warning("upstream stated an unreadable rate limit", extra={"fields": fields})
 
     def _note_change(self, key: int, before_per_s: float | None, *, reported_by: str) -> None:
-        limit_per_s = self.book.get_limit_per_s(key)
+        limit_per_s = self.registry.get_limit_per_s(key)
         if limit_per_s == before_per_s:
             return
         self._on_change(key)
@@ -102,7 +102,7 @@
         if upstream is None:
             return
         fields = {
-            "upstream": upstream.instance.life_id,
+            "upstream": upstream.instance.incarnation_id,
             "limit_per_s": limit_per_s,
             "before_per_s": before_per_s,
             "reported_by": reported_by,
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -7,7 +7,7 @@
 from spoolhead._internal.contents import saved_contents
 from spoolhead._internal.models import content_record
 from spoolhead._internal.network import messages, peer_server, scheduler
-from spoolhead._internal.policy import content_book
+from spoolhead._internal.policy import content_registry
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -32,12 +32,12 @@
     ) -> None:
         self._get_entries = get_entries
         self._timers = timers
-        self._book = content_book.ContentBook()
-        self._saved = saved_contents.SavedContents(folder, self._book, timers)
+        self._registry = content_registry.ContentRegistry()
+        self._saved = saved_contents.SavedContents(folder, self._registry, timers)
 
     def welcome(self, session: peer_server.PeerSession) -> None:
         """Tell all that is known to an entry that has just connected."""
-        known = self._pack(self._book.get_ids())
+        known = self._pack(self._registry.get_ids())
         if known:
             session.send(messages.Contents(items=known))
 
@@ -47,7 +47,7 @@
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
             raise messages.MessageError(f"records of contents: {error}") from error
-        changed = self._book.merge(records, clocks.get_s())
+        changed = self._registry.merge(records, clocks.get_s())
         self._saved.record()
         self._tell([record.content_id for record in changed], except_to=session)
 
@@ -58,10 +58,10 @@
         """
         record = content_record.begin_epoch(
             message.content_id,
-            self._book.get(message.content_id),
+            self._registry.get(message.content_id),
             is_by_hand=message.is_held,
         )
-        self._book.set(record, clocks.get_s())
+        self._registry.set(record, clocks.get_s())
         self._saved.record()
         fields = {
             "content": message.content_id.hex(),
@@ -80,7 +80,7 @@
 
     def send_all(self, session: peer_server.PeerSession, message: messages.GetContents) -> None:
         """Send all records to an operator."""
-        self._answer(session, message.request, self._book.get_ids())
+        self._answer(session, message.request, self._registry.get_ids())
 
     def _answer(
         self, session: peer_server.PeerSession, request: int, content_ids: list[bytes]
@@ -99,4 +99,4 @@
                 session.send_encoded(data)
 
     def _pack(self, content_ids: list[bytes]) -> list[list[object]]:
-        return content_record.pack(self._book.get_all_aged(content_ids, clocks.get_s()))
+        return content_record.pack(self._registry.get_all_aged(content_ids, clocks.get_s()))
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -91,7 +91,7 @@
         if follower is not None and follower.session is session:
             follower.session = None
             follower.seen_s = clocks.get_s()
-            self._tell_members()
+            self._send_members()
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
         """Handle one message."""
@@ -104,7 +104,7 @@
             raise messages.MessageError("only the present stream of an entry introduces it")
         follower.hall = message.hall
         follower.address = message.address
-        self._tell_members()
+        self._send_members()
         self.contents.welcome(session)
 
     def follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
@@ -127,7 +127,7 @@
             session.send_encoded(self._encode_change(change))
         session.send(messages.Current(version=self.version))
 
-    def note_in_force(self, session: peer_server.PeerSession, message: messages.InForce) -> None:
+    def record_in_force(self, session: peer_server.PeerSession, message: messages.InForce) -> None:
         """Note the version that an entry has in force."""
         follower = self._followers.get(session.name)
         if follower is not None:
@@ -308,7 +308,7 @@
         sessions = [follower.session for follower in self._followers.values()]
         return [session for session in sessions if session is not None]
 
-    def _tell_members(self) -> None:
+    def _send_members(self) -> None:
         present = {
             name: item
             for name, item in self._followers.items()
@@ -379,7 +379,7 @@
 
 _register(messages.Introduce, KeeperService.introduce)
 _register(messages.Follow, KeeperService.follow)
-_register(messages.InForce, KeeperService.note_in_force)
+_register(messages.InForce, KeeperService.record_in_force)
 _register(messages.Propose, KeeperService.propose)
 _register(messages.GetTable, KeeperService.send_table)
 _register(messages.GetHistory, KeeperService.send_history)
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -84,21 +84,21 @@
         if self._hub.is_idle:
             self._hub.become_idle(now_s)
         if isinstance(message, shared_load.Totals):
-            self._hub.take_totals(message, sender, now_s)
+            self._hub.handle_totals(message, sender, now_s)
         else:
-            self._take_report(message, sender, now_s)
+            self._handle_report(message, sender, now_s)
         if self._hub.is_idle:
             return
-        if self._hub.has_new_alarms:
+        if self._hub.has_urgent_updates:
             self._tell()
             return
-        has_news = self._hub.has_totals_to_tell or self._hub.has_updates_to_tell
-        self._wake(now_s, FIRST_S if has_news else IDLE_S)
+        has_new = self._hub.has_unsent_totals or self._hub.has_unsent_updates
+        self._wake(now_s, FIRST_S if has_new else IDLE_S)
 
-    def _take_report(
+    def _handle_report(
         self, report: shared_load.Report, sender: endpoints.Endpoint, now_s: float
     ) -> None:
-        if self._hub.take_report(report, sender, now_s):
+        if self._hub.handle_report(report, sender, now_s):
             fields = {"entry": report.sender, "hall": report.hall}
             logger.info("entry reports its load here", extra={"fields": fields})
         update = self._hub.make_due_snapshot(report.sender, now_s)
@@ -123,16 +123,16 @@
         self._hub.forget_silent(now_s)
         if self._hub.is_idle:
             return
-        totals = self._tell_hubs(now_s)
-        updates = self._tell_reporters(now_s)
+        totals = self._send_totals(now_s)
+        updates = self._send_updates(now_s)
         sent_bytes = totals.all_bytes + updates.all_bytes
         part_bytes = max(totals.part_bytes, updates.part_bytes)
         pause_s = max(PART_S, part_bytes / PART_BYTES_PER_S, sent_bytes / self._bytes_per_s)
         self._earliest_s = now_s + pause_s
-        self._wake(now_s, 0.0 if self._hub.has_updates_to_tell else IDLE_S)
+        self._wake(now_s, 0.0 if self._hub.has_unsent_updates else IDLE_S)
 
-    def _tell_hubs(self, now_s: float) -> _Sent:
-        if not self._hub.has_totals_to_tell and not _is_due(self._totals_s, now_s):
+    def _send_totals(self, now_s: float) -> _Sent:
+        if not self._hub.has_unsent_totals and not _is_due(self._totals_s, now_s):
             return _Sent(0, 0)
         self._totals_s = now_s
         data = shared_load.encode_totals(self._hub.make_totals(now_s))
@@ -141,8 +141,8 @@
             self._send(data, address)
         return _Sent(len(data) + HEADER_BYTES, len(addresses))
 
-    def _tell_reporters(self, now_s: float) -> _Sent:
-        if not self._hub.has_updates_to_tell and not _is_due(self._updates_s, now_s):
+    def _send_updates(self, now_s: float) -> _Sent:
+        if not self._hub.has_unsent_updates and not _is_due(self._updates_s, now_s):
             return _Sent(0, 0)
         self._updates_s = now_s
         encoded = shared_load.encode_update(self._hub.make_update(now_s))
--- a/src/spoolhead/_internal/models/codes.py
+++ b/src/spoolhead/_internal/models/codes.py
@@ -82,7 +82,7 @@
     INTERNAL = 6999
 
 
-BY_THE_TABLE = frozenset(
+TABLE_REFUSALS = frozenset(
     {
         ResultCode.KEY_UNKNOWN,
         ResultCode.NOT_PERMITTED,
@@ -93,7 +93,7 @@
 """Refusals that hold only as long as the table does."""
 
 
-class CodeFacts:
+class CodeInfo:
     """What a result code stands for.
 
     :ivar status: HTTP status of an answer that carries the code, or None where no caller
@@ -110,135 +110,135 @@
 
 _S = HTTPStatus
 
-FACTS: dict[ResultCode, CodeFacts] = {
-    ResultCode.OK: CodeFacts(_S.OK, "The request or edit succeeded."),
-    ResultCode.MALFORMED_REQUEST: CodeFacts(_S.BAD_REQUEST, "The bytes are not valid HTTP."),
-    ResultCode.CONFLICTING_LENGTHS: CodeFacts(
+CODE_INFO: dict[ResultCode, CodeInfo] = {
+    ResultCode.OK: CodeInfo(_S.OK, "The request or edit succeeded."),
+    ResultCode.MALFORMED_REQUEST: CodeInfo(_S.BAD_REQUEST, "The bytes are not valid HTTP."),
+    ResultCode.CONFLICTING_LENGTHS: CodeInfo(
         _S.BAD_REQUEST, "The length of the body is stated twice, wrongly or in two ways."
     ),
-    ResultCode.HEAD_TOO_LARGE: CodeFacts(
+    ResultCode.HEAD_TOO_LARGE: CodeInfo(
         _S.REQUEST_HEADER_FIELDS_TOO_LARGE, "Request line and headers exceed the limit."
     ),
-    ResultCode.BODY_TOO_LARGE: CodeFacts(
+    ResultCode.BODY_TOO_LARGE: CodeInfo(
         _S.REQUEST_ENTITY_TOO_LARGE, "The request body exceeds the limit."
     ),
-    ResultCode.REQUEST_TOO_SLOW: CodeFacts(
+    ResultCode.REQUEST_TOO_SLOW: CodeInfo(
         _S.REQUEST_TIMEOUT, "The request did not arrive whole within its time."
     ),
-    ResultCode.MALFORMED_JSON: CodeFacts(_S.BAD_REQUEST, "The body is not a JSON object."),
-    ResultCode.WRONG_FIELD: CodeFacts(
+    ResultCode.MALFORMED_JSON: CodeInfo(_S.BAD_REQUEST, "The body is not a JSON object."),
+    ResultCode.WRONG_FIELD: CodeInfo(
         _S.BAD_REQUEST, "A field or header is missing or of a wrong type or value."
     ),
-    ResultCode.UNKNOWN_PATH: CodeFacts(_S.NOT_FOUND, "No such path."),
-    ResultCode.METHOD_NOT_ALLOWED: CodeFacts(
+    ResultCode.UNKNOWN_PATH: CodeInfo(_S.NOT_FOUND, "No such path."),
+    ResultCode.METHOD_NOT_ALLOWED: CodeInfo(
         _S.METHOD_NOT_ALLOWED, "The path does not take this method."
     ),
-    ResultCode.TOO_MANY_PIPELINED: CodeFacts(
+    ResultCode.TOO_MANY_PIPELINED: CodeInfo(
         _S.BAD_REQUEST, "Too many requests were sent ahead on one connection."
     ),
-    ResultCode.KEY_MISSING: CodeFacts(_S.UNAUTHORIZED, "The request has no API key."),
-    ResultCode.KEY_UNKNOWN: CodeFacts(_S.UNAUTHORIZED, "The API key belongs to no workspace."),
-    ResultCode.NOT_PERMITTED: CodeFacts(
+    ResultCode.KEY_MISSING: CodeInfo(_S.UNAUTHORIZED, "The request has no API key."),
+    ResultCode.KEY_UNKNOWN: CodeInfo(_S.UNAUTHORIZED, "The API key belongs to no workspace."),
+    ResultCode.NOT_PERMITTED: CodeInfo(
         _S.FORBIDDEN, "The workspace may not use this model or service."
     ),
-    ResultCode.UNKNOWN_MODEL: CodeFacts(_S.NOT_FOUND, "No such model is served."),
-    ResultCode.UNKNOWN_SERVICE: CodeFacts(_S.NOT_FOUND, "No such service is served."),
-    ResultCode.QUEUE_FULL: CodeFacts(
+    ResultCode.UNKNOWN_MODEL: CodeInfo(_S.NOT_FOUND, "No such model is served."),
+    ResultCode.UNKNOWN_SERVICE: CodeInfo(_S.NOT_FOUND, "No such service is served."),
+    ResultCode.QUEUE_FULL: CodeInfo(
         _S.TOO_MANY_REQUESTS, "The workspace has as many requests waiting as its row allows."
     ),
-    ResultCode.DEADLINE_BEFORE_START: CodeFacts(
+    ResultCode.DEADLINE_BEFORE_START: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "The deadline passed while the request was waiting."
     ),
-    ResultCode.OVER_LIMIT: CodeFacts(
+    ResultCode.OVER_LIMIT: CodeInfo(
         _S.TOO_MANY_REQUESTS, "The workspace's row admits no request at all just now."
     ),
-    ResultCode.STOPPING: CodeFacts(
+    ResultCode.STOPPING: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "This entry is stopping and takes nothing new."
     ),
-    ResultCode.NO_UPSTREAM: CodeFacts(
+    ResultCode.NO_UPSTREAM: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "No upstream of the service is in use."
     ),
-    ResultCode.NO_TABLE: CodeFacts(
+    ResultCode.NO_TABLE: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "This entry has not yet received the table."
     ),
-    ResultCode.DEADLINE_UNREACHABLE: CodeFacts(
+    ResultCode.DEADLINE_UNREACHABLE: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "The expected wait is longer than the deadline."
     ),
-    ResultCode.ONCE_CLAIM_UNAVAILABLE: CodeFacts(
+    ResultCode.ONCE_CLAIM_UNAVAILABLE: CodeInfo(
         _S.SERVICE_UNAVAILABLE,
         "The record of keys that may run only once cannot be reached, so nothing was run.",
     ),
-    ResultCode.ENTRY_FULL: CodeFacts(
+    ResultCode.ENTRY_FULL: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "This entry holds as many requests as its settings allow."
     ),
-    ResultCode.TABLE_UNCONFIRMED: CodeFacts(
+    ResultCode.TABLE_UNCONFIRMED: CodeInfo(
         _S.SERVICE_UNAVAILABLE,
         "The table lets the request nowhere, but this entry cannot tell whether it is the newest.",
     ),
-    ResultCode.REQUEST_HELD: CodeFacts(
+    ResultCode.REQUEST_HELD: CodeInfo(
         _S.SERVICE_UNAVAILABLE,
         "Instances ended each time that this request ran, so it is held back; see CALLERS.md.",
     ),
-    ResultCode.UPSTREAM_UNREACHABLE: CodeFacts(
+    ResultCode.UPSTREAM_UNREACHABLE: CodeInfo(
         _S.BAD_GATEWAY, "No connection to an upstream could be made."
     ),
-    ResultCode.UPSTREAM_LOST: CodeFacts(
+    ResultCode.UPSTREAM_LOST: CodeInfo(
         _S.BAD_GATEWAY, "The upstream was lost before its answer was whole."
     ),
-    ResultCode.GENERATION_LOST: CodeFacts(
+    ResultCode.GENERATION_LOST: CodeInfo(
         _S.BAD_GATEWAY, "The generation was lost after tokens had been delivered."
     ),
-    ResultCode.STREAM_OUT_OF_ORDER: CodeFacts(
+    ResultCode.STREAM_OUT_OF_ORDER: CodeInfo(
         _S.BAD_GATEWAY, "The upstream skipped tokens or changed the generation."
     ),
-    ResultCode.DEADLINE_DURING_RUN: CodeFacts(
+    ResultCode.DEADLINE_DURING_RUN: CodeInfo(
         _S.GATEWAY_TIMEOUT, "The deadline passed while the request was running."
     ),
-    ResultCode.UPSTREAM_REFUSED: CodeFacts(
+    ResultCode.UPSTREAM_REFUSED: CodeInfo(
         _S.SERVICE_UNAVAILABLE, "Every upstream that was asked refused the request."
     ),
-    ResultCode.ONCE_OUTCOME_UNKNOWN: CodeFacts(
+    ResultCode.ONCE_OUTCOME_UNKNOWN: CodeInfo(
         _S.CONFLICT, "The same key was sent before and its outcome is not known."
     ),
-    ResultCode.ONCE_KEY_REUSED: CodeFacts(
+    ResultCode.ONCE_KEY_REUSED: CodeInfo(
         _S.UNPROCESSABLE_ENTITY, "The same key was sent before with a different request."
     ),
-    ResultCode.ONCE_IN_PROGRESS: CodeFacts(
+    ResultCode.ONCE_IN_PROGRESS: CodeInfo(
         _S.CONFLICT, "The same key was sent before and that request is still running."
     ),
-    ResultCode.CALLER_TOO_SLOW: CodeFacts(
+    ResultCode.CALLER_TOO_SLOW: CodeInfo(
         None, "The caller read so slowly that its buffer reached the limit."
     ),
-    ResultCode.UPSTREAM_SILENT: CodeFacts(
+    ResultCode.UPSTREAM_SILENT: CodeInfo(
         _S.GATEWAY_TIMEOUT, "The upstream sent nothing for longer than allowed."
     ),
-    ResultCode.ANSWER_TOO_LARGE: CodeFacts(
+    ResultCode.ANSWER_TOO_LARGE: CodeInfo(
         _S.BAD_GATEWAY, "The upstream's answer exceeds the limit for whole answers."
     ),
-    ResultCode.EDIT_INVALID: CodeFacts(_S.BAD_REQUEST, "The edit has faults; nothing was changed."),
-    ResultCode.EDIT_CONFLICT: CodeFacts(
+    ResultCode.EDIT_INVALID: CodeInfo(_S.BAD_REQUEST, "The edit has faults; nothing was changed."),
+    ResultCode.EDIT_CONFLICT: CodeInfo(
         None, "A row has changed since it was read; nothing was changed."
     ),
-    ResultCode.EDIT_ID_REUSED: CodeFacts(
+    ResultCode.EDIT_ID_REUSED: CodeInfo(
         None, "The edit id was used before for another edit; nothing was changed."
     ),
-    ResultCode.EDIT_OUTCOME_UNKNOWN: CodeFacts(
+    ResultCode.EDIT_OUTCOME_UNKNOWN: CodeInfo(
         _S.SERVICE_UNAVAILABLE,
         "The answer was lost; send the same edit again with the same edit id.",
     ),
-    ResultCode.SETTINGS_UNREADABLE: CodeFacts(None, "A file cannot be read or parsed."),
-    ResultCode.SETTINGS_INVALID: CodeFacts(None, "A settings file has faults."),
-    ResultCode.LOG_DAMAGED: CodeFacts(
+    ResultCode.SETTINGS_UNREADABLE: CodeInfo(None, "A file cannot be read or parsed."),
+    ResultCode.SETTINGS_INVALID: CodeInfo(None, "A settings file has faults."),
+    ResultCode.LOG_DAMAGED: CodeInfo(
         None, "The table's log is damaged before its end; the keeper does not start."
     ),
-    ResultCode.DISK_FAILED: CodeFacts(None, "Writing or syncing failed; the edit is not accepted."),
-    ResultCode.PEER_UNREACHABLE: CodeFacts(None, "The other process cannot be reached."),
-    ResultCode.PEER_REFUSED: CodeFacts(None, "The other process did not accept the shared key."),
-    ResultCode.PEER_PROTOCOL: CodeFacts(None, "The other process sent an unexpected message."),
-    ResultCode.DECISION_NOT_FOUND: CodeFacts(
+    ResultCode.DISK_FAILED: CodeInfo(None, "Writing or syncing failed; the edit is not accepted."),
+    ResultCode.PEER_UNREACHABLE: CodeInfo(None, "The other process cannot be reached."),
+    ResultCode.PEER_REFUSED: CodeInfo(None, "The other process did not accept the shared key."),
+    ResultCode.PEER_PROTOCOL: CodeInfo(None, "The other process sent an unexpected message."),
+    ResultCode.DECISION_NOT_FOUND: CodeInfo(
         None, "No entry that was asked remembers a decision for this request id."
     ),
-    ResultCode.INTERNAL: CodeFacts(
+    ResultCode.INTERNAL: CodeInfo(
         _S.INTERNAL_SERVER_ERROR, "A fault in spoolhead itself; see the log."
     ),
 }
@@ -250,5 +250,5 @@
     :param code: a result code.
     :returns: its status; 500 for a code that no caller should see.
     """
-    status = FACTS[code].status
+    status = CODE_INFO[code].status
     return int(status if status is not None else _S.INTERNAL_SERVER_ERROR)
--- a/src/spoolhead/_internal/models/fault.py
+++ b/src/spoolhead/_internal/models/fault.py
@@ -33,12 +33,12 @@
     __hash__ = None  # type: ignore[assignment]
 
 
-def make_held() -> Fault:
+def make_held_fault() -> Fault:
     """Return why a request is held back that ends what runs it."""
     text = "upstreams have ended each time that this request ran"
     return Fault(codes.ResultCode.REQUEST_HELD, text)
 
 
-def make_unconfirmed(item: Fault) -> Fault:
+def make_unconfirmed_fault(item: Fault) -> Fault:
     """Return what stands for a refusal by a table that may not be the newest."""
     return Fault(codes.ResultCode.TABLE_UNCONFIRMED, f"unconfirmed: {item.text}", path=item.path)
--- a/src/spoolhead/_internal/models/instances.py
+++ b/src/spoolhead/_internal/models/instances.py
@@ -8,7 +8,7 @@
     """One run of one upstream.
 
     An upstream that is started again may keep its id. What was known of it then is void, so all
-    that is remembered of an instance is remembered by :attr:`life_id`.
+    that is remembered of an instance is remembered by :attr:`incarnation_id`.
 
     :ivar instance_id: its id.
     :ivar service: service that it belongs to.
@@ -18,7 +18,7 @@
     :ivar is_leaving: it is being emptied and takes no new work.
     :ivar cold_ms: how much longer it is cold, counted from the reading of the list; 0 if it is
         not.
-    :ivar born_ms: Unix time of its start; 0 where that is not told.
+    :ivar started_ms: Unix time of its start; 0 where that is not told.
     """
 
     instance_id: str
@@ -28,12 +28,12 @@
     slots: int
     is_leaving: bool
     cold_ms: int = 0
-    born_ms: int = 0
+    started_ms: int = 0
 
     @property
-    def life_id(self) -> str:
+    def incarnation_id(self) -> str:
         """Name of this run; the id alone where its start is not told."""
-        return f"{self.instance_id}@{self.born_ms}" if self.born_ms else self.instance_id
+        return f"{self.instance_id}@{self.started_ms}" if self.started_ms else self.instance_id
 
 
 _FIELDS = tuple(field.name for field in dataclasses.fields(Instance))
@@ -62,7 +62,7 @@
     return Instance(**dict(zip(_FIELDS, value, strict=True)))
 
 
-def keep_one_each(listed: list[Instance], before: dict[str, Instance]) -> list[Instance]:
+def remove_duplicates(listed: list[Instance], before: dict[str, Instance]) -> list[Instance]:
     """Return one instance for each id.
 
     Where an id is listed more than once, its latest start holds; with the same start, what the
@@ -79,8 +79,8 @@
 
 
 def _holds_before(item: Instance, other: Instance, known: Instance | None) -> bool:
-    if item.born_ms != other.born_ms:
-        return item.born_ms > other.born_ms
+    if item.started_ms != other.started_ms:
+        return item.started_ms > other.started_ms
     return known is not None and _is_same(item, known) and not _is_same(other, known)
 
 
