--- a/src/spoolhead/_internal/models/permits.py
+++ b/src/spoolhead/_internal/models/permits.py
@@ -22,12 +22,12 @@
     """The instance states no limit any more."""
 
 
-class PermitAsk:
+class PermitRequest:
     """One request that wants to go to a limited instance.
 
     :ivar sender: name of the entry that asks.
     :ivar hall: its hall.
-    :ivar ask_id: number of the ask, unique at that entry; sent again with the same number.
+    :ivar permit_id: number of the ask, unique at that entry; sent again with the same number.
     :ivar key: number by which datagrams name the instance.
     :ivar turn: 0 for the first granter of the instance, 1 for the one that stands in for it, ...
     :ivar rank: rank of the request, 0 for the most urgent.
@@ -39,7 +39,7 @@
     """
 
     __slots__ = (
-        "ask_id",
+        "permit_id",
         "hall",
         "is_final",
         "is_retry",
@@ -57,7 +57,7 @@
         *,
         sender: str,
         hall: str,
-        ask_id: int,
+        permit_id: int,
         key: int,
         turn: int,
         rank: int,
@@ -69,7 +69,7 @@
     ) -> None:
         self.sender = sender
         self.hall = hall
-        self.ask_id = ask_id
+        self.permit_id = permit_id
         self.key = key
         self.turn = turn
         self.rank = rank
@@ -83,34 +83,34 @@
 class PermitReply:
     """What becomes of an ask.
 
-    :ivar ask_id: its number.
+    :ivar permit_id: its number.
     :ivar verdict: what becomes of it.
     :ivar retry_after_ms: when the caller of a request that is refused now should come back.
     :ivar backoff_ms: time for which the entry should not ask again where it was rejected.
     :ivar stated: what the granter knows that the instance stated; None if nothing.
     """
 
-    __slots__ = ("ask_id", "backoff_ms", "retry_after_ms", "stated", "verdict")
+    __slots__ = ("permit_id", "backoff_ms", "retry_after_ms", "stated", "verdict")
 
     def __init__(
         self,
         *,
-        ask_id: int,
+        permit_id: int,
         verdict: Verdict,
         retry_after_ms: int = 0,
         backoff_ms: int = 0,
         stated: rate_limit.AgedLimit | None = None,
     ) -> None:
-        self.ask_id = ask_id
+        self.permit_id = permit_id
         self.verdict = verdict
         self.retry_after_ms = retry_after_ms
         self.backoff_ms = backoff_ms
         self.stated = stated
 
 
-def encode_ask(ask: PermitAsk) -> bytes:
+def encode_permit_request(ask: PermitRequest) -> bytes:
     """Write an ask."""
-    fields = [ask.sender, ask.hall, ask.ask_id, ask.turn, ask.rank, ask.is_retry]
+    fields = [ask.sender, ask.hall, ask.permit_id, ask.turn, ask.rank, ask.is_retry]
     fields += [ask.workspace, ask.wait_ms, ask.is_final]
     return msgpack.packb([REQUEST, *fields, rate_limit.pack([ask.stated])])
 
@@ -118,14 +118,14 @@
 def encode_reply(reply: PermitReply) -> bytes:
     """Write a reply."""
     stated = rate_limit.pack([reply.stated] if reply.stated is not None else [])
-    fields = [reply.ask_id, int(reply.verdict), reply.retry_after_ms, reply.backoff_ms]
+    fields = [reply.permit_id, int(reply.verdict), reply.retry_after_ms, reply.backoff_ms]
     return msgpack.packb([REPLY, *fields, stated])
 
 
-def read_ask(
+def read_permit_request(
     sender: object,
     hall: object,
-    ask_id: int,
+    permit_id: int,
     turn: int,
     rank: int,
     is_retry: object,
@@ -133,16 +133,16 @@
     wait_ms: int,
     is_final: object,
     stated: list,
-) -> PermitAsk:
+) -> PermitRequest:
     """Read the fields of an ask.
 
     :raises ValueError: if they are none.
     """
     (limit,) = rate_limit.unpack(stated)
-    return PermitAsk(
+    return PermitRequest(
         sender=str(sender),
         hall=str(hall),
-        ask_id=int(ask_id),
+        permit_id=int(permit_id),
         key=limit.key,
         turn=int(turn),
         rank=int(rank),
@@ -155,7 +155,7 @@
 
 
 def read_reply(
-    ask_id: int, verdict: int, retry_after_ms: int, backoff_ms: int, stated: list
+    permit_id: int, verdict: int, retry_after_ms: int, backoff_ms: int, stated: list
 ) -> PermitReply:
     """Read the fields of a reply.
 
@@ -163,7 +163,7 @@
     """
     limits = rate_limit.unpack(stated)
     return PermitReply(
-        ask_id=int(ask_id),
+        permit_id=int(permit_id),
         verdict=Verdict(verdict),
         retry_after_ms=int(retry_after_ms),
         backoff_ms=int(backoff_ms),
--- a/src/spoolhead/_internal/models/shared_load.py
+++ b/src/spoolhead/_internal/models/shared_load.py
@@ -3,7 +3,7 @@
 An entry reports to one hub what it holds, hubs tell each other the totals of their reporters, and
 each hub updates its reporters with the totals of all. Every datagram holds absolute values, so a
 lost one is made good by a later one. Records of contents that may end instances go along, see
-:mod:`spoolhead._internal.policy.content_book`, and so do the rate limits that instances stated.
+:mod:`spoolhead._internal.policy.content_registry`, and so do the rate limits that instances stated.
 """
 
 import enum
@@ -20,33 +20,33 @@
 _UPDATE = 3
 
 
-def get_key(life_id: str) -> int:
+def get_key(incarnation_id: str) -> int:
     """Return the number by which datagrams name a run of an instance.
 
     Four bytes of its name's hash: half the size of the ids in use, and nobody has to agree on it.
     Among 1,600 instances two share a number with a chance of 3 in 10,000; they then seem to hold
     each other's work.
     """
-    return xxhash.xxh32_intdigest(life_id.encode())
+    return xxhash.xxh32_intdigest(incarnation_id.encode())
 
 
-class Held:
+class InstanceLoad:
     """Work at one instance.
 
     :ivar tokens: memory that it holds or will hold, in tokens.
     :ivar count: requests.
-    :ivar reading_tokens: tokens of prompts that are still to be read.
+    :ivar prefill_tokens: tokens of prompts that are still to be read.
     """
 
-    __slots__ = ("count", "reading_tokens", "tokens")
+    __slots__ = ("count", "prefill_tokens", "tokens")
 
-    def __init__(self, tokens: int = 0, count: int = 0, reading_tokens: int = 0) -> None:
+    def __init__(self, tokens: int = 0, count: int = 0, prefill_tokens: int = 0) -> None:
         self.tokens = tokens
         self.count = count
-        self.reading_tokens = reading_tokens
+        self.prefill_tokens = prefill_tokens
 
     def __eq__(self, other: object) -> bool:
-        if not isinstance(other, Held):
+        if not isinstance(other, InstanceLoad):
             return NotImplemented
         return self._get_values() == other._get_values()
 
@@ -56,21 +56,21 @@
     def __bool__(self) -> bool:
         return any(self._get_values())
 
-    def add(self, other: "Held", sign: int = 1) -> None:
+    def add(self, other: "InstanceLoad", sign: int = 1) -> None:
         """Add other work, or take it off with a sign of -1."""
         self.tokens += sign * other.tokens
         self.count += sign * other.count
-        self.reading_tokens += sign * other.reading_tokens
+        self.prefill_tokens += sign * other.prefill_tokens
 
-    def copy(self) -> "Held":
+    def copy(self) -> "InstanceLoad":
         """Return the same work, to be changed by itself."""
-        return Held(self.tokens, self.count, self.reading_tokens)
+        return InstanceLoad(self.tokens, self.count, self.prefill_tokens)
 
     def _get_values(self) -> tuple[int, int, int]:
-        return self.tokens, self.count, self.reading_tokens
+        return self.tokens, self.count, self.prefill_tokens
 
 
-Rows = dict[int, Held]
+Rows = dict[int, InstanceLoad]
 """Work by instance, under the numbers of :func:`get_key`."""
 
 
@@ -98,26 +98,26 @@
 class Alarm:
     """An instance that was found bad.
 
-    :ivar life_id: which run of which instance.
+    :ivar incarnation_id: which run of which instance.
     :ivar kind: what is wrong.
-    :ivar finder: name of the entry that found it.
+    :ivar reporter: name of the entry that found it.
     :ivar sequence: rises with each alarm of that entry, across its restarts.
     :ivar for_ms: time for which it stays cold or rests, for those kinds.
     """
 
-    __slots__ = ("finder", "for_ms", "kind", "life_id", "sequence")
+    __slots__ = ("reporter", "for_ms", "kind", "incarnation_id", "sequence")
 
     def __init__(
-        self, life_id: str, kind: AlarmKind, *, finder: str, sequence: int, for_ms: int = 0
+        self, incarnation_id: str, kind: AlarmKind, *, reporter: str, sequence: int, for_ms: int = 0
     ) -> None:
-        self.life_id = life_id
+        self.incarnation_id = incarnation_id
         self.kind = kind
-        self.finder = finder
+        self.reporter = reporter
         self.sequence = sequence
         self.for_ms = for_ms
 
 
-class ContentNews:
+class ContentUpdate:
     """What a process tells of contents that may end instances.
 
     :ivar records: some of its records.
@@ -181,11 +181,11 @@
         is_reporter: bool,
         rows: Rows,
         alarms: Sequence[Alarm],
-        contents: ContentNews | None = None,
+        contents: ContentUpdate | None = None,
         limits: Sequence[rate_limit.AgedLimit] = (),
         wants_snapshot: bool = False,
     ) -> None:
-        self.contents = contents or ContentNews()
+        self.contents = contents or ContentUpdate()
         self.limits = list(limits)
         self.wants_snapshot = wants_snapshot
         self.sender = sender
@@ -218,10 +218,10 @@
         rows: Rows,
         ages: Sequence[HallAge],
         alarms: Sequence[Alarm],
-        contents: ContentNews | None = None,
+        contents: ContentUpdate | None = None,
         limits: Sequence[rate_limit.AgedLimit] = (),
     ) -> None:
-        self.contents = contents or ContentNews()
+        self.contents = contents or ContentUpdate()
         self.limits = list(limits)
         self.hub = hub
         self.sequence = sequence
@@ -264,12 +264,12 @@
         ages: Sequence[HallAge],
         alarms: Sequence[Alarm],
         counted: int = 0,
-        contents: ContentNews | None = None,
+        contents: ContentUpdate | None = None,
         limits: Sequence[rate_limit.AgedLimit] = (),
         hub: str = "",
         is_snapshot: bool = False,
     ) -> None:
-        self.contents = contents or ContentNews()
+        self.contents = contents or ContentUpdate()
         self.limits = list(limits)
         self.is_snapshot = is_snapshot
         self.hub = hub
@@ -280,7 +280,7 @@
         self.counted = counted
 
 
-Message = Report | Totals | Update | permits.PermitAsk | permits.PermitReply
+Message = Report | Totals | Update | permits.PermitRequest | permits.PermitReply
 
 
 def encode_report(report: Report) -> bytes:
@@ -334,7 +334,7 @@
         if tag == _UPDATE:
             return _read_update(*fields, int(values[1]))
         if tag == permits.REQUEST:
-            return permits.read_ask(*fields)
+            return permits.read_permit_request(*fields)
         if tag == permits.REPLY:
             return permits.read_reply(*fields)
     except (TypeError, IndexError, OverflowError, msgpack.UnpackException) as error:
@@ -413,7 +413,7 @@
 def _list_rows(rows: Rows) -> list[int]:
     values: list[int] = []
     for key, held in rows.items():
-        values += (key, held.tokens, held.count, held.reading_tokens)
+        values += (key, held.tokens, held.count, held.prefill_tokens)
     return values
 
 
@@ -422,8 +422,8 @@
         raise ValueError("rows with odd numbers")
     rows: Rows = {}
     for start in range(0, len(values), _ROW_FIELDS):
-        key, tokens, count, reading_tokens = values[start : start + _ROW_FIELDS]
-        rows[key] = Held(tokens, count, reading_tokens)
+        key, tokens, count, prefill_tokens = values[start : start + _ROW_FIELDS]
+        rows[key] = InstanceLoad(tokens, count, prefill_tokens)
     return rows
 
 
@@ -435,29 +435,29 @@
     return [HallAge(str(hall), int(age_ms)) for hall, age_ms in values]
 
 
-def _list_contents(contents: ContentNews) -> list[object]:
+def _list_contents(contents: ContentUpdate) -> list[object]:
     return [content_record.pack(contents.records), contents.digest]
 
 
-def _read_contents(values: list) -> ContentNews:
+def _read_contents(values: list) -> ContentUpdate:
     records, digest = values
-    return ContentNews(content_record.unpack(records), int(digest))
+    return ContentUpdate(content_record.unpack(records), int(digest))
 
 
 def _list_alarms(alarms: Iterable[Alarm]) -> list[list[object]]:
     return [
-        [item.life_id, int(item.kind), item.finder, item.sequence, item.for_ms] for item in alarms
+        [item.incarnation_id, int(item.kind), item.reporter, item.sequence, item.for_ms] for item in alarms
     ]
 
 
 def _read_alarms(values: list) -> list[Alarm]:
     return [
         Alarm(
-            str(life_id),
+            str(incarnation_id),
             AlarmKind(kind),
-            finder=str(finder),
+            reporter=str(reporter),
             sequence=int(sequence),
             for_ms=int(for_ms),
         )
-        for life_id, kind, finder, sequence, for_ms in values
+        for incarnation_id, kind, reporter, sequence, for_ms in values
     ]
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -101,7 +101,7 @@
         return exceptions.PeerError(code, f"{self.address}: {text}")
 
 
-def open_first(addresses: Sequence[str], config: settings.OperatorSettings) -> PeerCall:
+def open_to_any(addresses: Sequence[str], config: settings.OperatorSettings) -> PeerCall:
     """Open a connection to the first of several equal processes that answers.
 
     :raises exceptions.PeerError: of the last one, if none answers.
--- a/src/spoolhead/_internal/network/peer_client.py
+++ b/src/spoolhead/_internal/network/peer_client.py
@@ -192,7 +192,7 @@
         elif isinstance(message, messages.Challenge):
             self._answer_challenge(message)
         elif isinstance(message, messages.Welcome):
-            self._take_welcome(message)
+            self._handle_welcome(message)
         else:
             raise messages.MessageError("neither challenge nor welcome")
 
@@ -206,7 +206,7 @@
         assert self._link is not None
         self._link.send(messages.encode(hello))
 
-    def _take_welcome(self, welcome: messages.Welcome) -> None:
+    def _handle_welcome(self, welcome: messages.Welcome) -> None:
         if not handshake.check_welcome(self._shared_key, self._nonce, welcome):
             raise messages.MessageError("a welcome without the shared key")
         self.is_ready = True
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -117,14 +117,14 @@
 
     @circuits.handler("generate_events", channel="*")
     def _on_generate_events(self, event: circuits.Event) -> None:
-        self._note_suspension()
+        self._record_suspension()
         if self._run_due(event):
             # What the calls fired is already queued, so the poller must not wait this turn.
             event.reduce_time_left(0)
         elif self._heap:
             event.reduce_time_left(max(0.0, self._heap[0][0] - clocks.get_s()))
 
-    def _note_suspension(self) -> None:
+    def _record_suspension(self) -> None:
         suspended_s = clocks.get_s() - clocks.get_running_s()
         for_s = suspended_s - self._suspended_s
         if for_s > SUSPENDED_S:
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -292,7 +292,7 @@
         :param is_head: the method is HEAD, whose answer has no body whatever its length says.
         """
         call = UpstreamCall(self, address, request, user, is_head=is_head, is_fresh=fresh)
-        link = None if fresh else self._take_idle(address)
+        link = None if fresh else self._pop_idle(address)
         if link is None:
             link = self._outgoing.open(address, call, connect_ms=self._config.connect_ms)
         call.begin(link)
@@ -307,7 +307,7 @@
         link.user = _IdleUser(link)
         idle.append(_IdleLink(link, clocks.get_s()))
 
-    def let_end(self, call: UpstreamCall) -> None:
+    def finish_in_background(self, call: UpstreamCall) -> None:
         """Let a call end whose answer is no longer needed, so that its link may be kept.
 
         One that does not end within the time that idle connections are kept is cancelled.
@@ -320,7 +320,7 @@
         for item in self._idle.pop(address, ()):
             item.link.close()
 
-    def _take_idle(self, address: str) -> links.Link | None:
+    def _pop_idle(self, address: str) -> links.Link | None:
         idle = self._idle.get(address)
         while idle:
             item = idle.pop()
--- a/src/spoolhead/_internal/policy/admission.py
+++ b/src/spoolhead/_internal/policy/admission.py
@@ -231,7 +231,7 @@
         self._remove(waiting)
         self._drop_idle(waiting.workspace)
 
-    def take_overdue(self, now_s: float) -> list[Waiting]:
+    def pop_overdue(self, now_s: float) -> list[Waiting]:
         """Take out every request that can no longer be served: past its deadline, or its
         workspace was removed from the table.
         """
@@ -246,7 +246,7 @@
             self.withdraw(item)
         return overdue
 
-    def take_all(self, service: str) -> list[Waiting]:
+    def pop_all(self, service: str) -> list[Waiting]:
         """Take out everything that waits for a service."""
         queue = self._queues.get(service)
         if queue is None:
--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -5,7 +5,7 @@
 from spoolhead._internal.models import shared_load
 from spoolhead._internal.policy import repeats, standing_alarms
 
-SENT_TIMES = 3
+SEND_COUNT = 3
 """Datagrams in a row that carry an alarm: at one lost in ten, one alarm in a thousand is lost."""
 REPEATED_AT_ONCE = 8
 """Most alarms that one datagram repeats."""
@@ -18,7 +18,7 @@
 
     def __init__(self, alarm: shared_load.Alarm) -> None:
         self.alarm = alarm
-        self.left = SENT_TIMES
+        self.left = SEND_COUNT
 
 
 class AlarmBroadcast:
@@ -35,12 +35,12 @@
         self._repeats: repeats.Repeats[standing_alarms.Name] = repeats.Repeats()
 
     @property
-    def has_news(self) -> bool:
+    def has_new(self) -> bool:
         """Whether an alarm has not been sent at all."""
-        return any(item.left == SENT_TIMES for item in self._pending)
+        return any(item.left == SEND_COUNT for item in self._pending)
 
     @property
-    def has_more(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether anything is left to send that must not wait for the next datagram."""
         return bool(self._pending)
 
@@ -54,13 +54,13 @@
         """Have alarms that were sent before sent again."""
         self._repeats.add_due(names, now_s)
 
-    def take_part(self, now_s: float) -> list[shared_load.Alarm]:
+    def pop_batch(self, now_s: float) -> list[shared_load.Alarm]:
         """Return what is sent next, and count it as sent."""
         alarms = [item.alarm for item in self._pending]
         for item in self._pending:
             item.left -= 1
         self._pending = [item for item in self._pending if item.left]
-        names = self._repeats.take_due(REPEATED_AT_ONCE, now_s)
+        names = self._repeats.pop_due(REPEATED_AT_ONCE, now_s)
         return alarms + self._standing.get(names, now_s)
 
     def clear(self) -> None:
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -31,19 +31,19 @@
         """Whether a row has changed since it was last told."""
         return bool(self._changed)
 
-    def add(self, key: int, held: shared_load.Held, sign: int = 1) -> None:
+    def add(self, key: int, held: shared_load.InstanceLoad, sign: int = 1) -> None:
         """Add work to a row, or take it off with a sign of -1."""
         if not held:
             return
         row = self._rows.get(key)
         if row is None:
-            row = self._rows[key] = shared_load.Held()
+            row = self._rows[key] = shared_load.InstanceLoad()
             self._turn.append(key)
         row.add(held, sign)
         self._changed.setdefault(key)
         self._empty_rounds.pop(key, None)
 
-    def replace(self, key: int, old: shared_load.Held | None, new: shared_load.Held) -> None:
+    def replace(self, key: int, old: shared_load.InstanceLoad | None, new: shared_load.InstanceLoad) -> None:
         """Exchange one contribution to a row for another."""
         if old == new:
             return
@@ -51,7 +51,7 @@
             self.add(key, old, -1)
         self.add(key, new)
 
-    def take_part(self) -> shared_load.Rows:
+    def pop_batch(self) -> shared_load.Rows:
         """Return the rows to be told next, and count them as told."""
         part: shared_load.Rows = {}
         for key in list(self._changed)[:CHANGED_ROWS]:
--- a/src/spoolhead/_internal/policy/cold_start.py
+++ b/src/spoolhead/_internal/policy/cold_start.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from spoolhead._internal.models import fleet, instances, route_table
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 
 WINDOW_S = 1.0
 """Time over which requests are counted."""
@@ -66,7 +66,7 @@
         return []
 
     def _get_order(entry: fleet.Process) -> tuple[bool, int]:
-        weight = xxhash.xxh3_64_intdigest(f"{entry.name}/{instance.life_id}".encode())
+        weight = xxhash.xxh3_64_intdigest(f"{entry.name}/{instance.incarnation_id}".encode())
         return entry.hall != instance.hall, weight
 
     return sorted(entries, key=_get_order)[: max(1, math.floor(cold_per_s))]
@@ -94,20 +94,20 @@
             self._quotas.clear()
 
     def may_send(
-        self, service: route_table.Service, upstream: upstream_book.Upstream, now_s: float
+        self, service: route_table.Service, upstream: upstream_registry.Upstream, now_s: float
     ) -> bool:
         """Tell whether one more request may go to an instance now."""
         if not service.cold_per_s or not upstream.is_cold(now_s):
             return True
         quota = self._get_quota(service, upstream.instance)
         sent = upstream.count_sent(now_s - quota.window_s)
-        return sent + upstream.expected_count < quota.requests
+        return sent + upstream.copy_count < quota.requests
 
     def _get_quota(self, service: route_table.Service, instance: instances.Instance) -> Quota:
-        quota = self._quotas.get(instance.life_id)
+        quota = self._quotas.get(instance.incarnation_id)
         if quota is None:
             quota = get_quota(self._own.name, self._entries, instance, service.cold_per_s)
-            self._quotas[instance.life_id] = quota
+            self._quotas[instance.incarnation_id] = quota
         return quota
 
     def forget_quotas(self) -> None:
--- a/src/spoolhead/_internal/policy/content_book.py
+++ b/src/spoolhead/_internal/policy/content_registry.py
@@ -24,7 +24,7 @@
 
 RECORDS_AT_ONCE = 8
 """Records in one datagram: some 400 bytes."""
-TELL_TIMES = 3
+RECORD_SEND_COUNT = 3
 """Datagrams in a row that carry a changed record: at one lost in ten, one in a thousand is left to
 the comparison of all."""
 DIFFERS_S = 0.6
@@ -46,7 +46,7 @@
         self.changed_s = changed_s
 
 
-class ContentBook:
+class ContentRegistry:
     """The records that one process knows.
 
     :ivar digest: number that stands for all of them.
@@ -92,9 +92,9 @@
         """Return the names of all contents known, those known longest first."""
         return list(self._known)
 
-    def get_weightiest(self, count: int) -> list[bytes]:
+    def get_most_severe(self, count: int) -> list[bytes]:
         """Return the names of the contents that matter most, at most so many."""
-        known = heapq.nlargest(count, self._known.items(), key=lambda item: _get_weight(item[1]))
+        known = heapq.nlargest(count, self._known.items(), key=lambda item: _get_weight_of(item[1]))
         return [content_id for content_id, _ in known]
 
     def set(self, record: content_record.ContentRecord, now_s: float) -> bool:
@@ -151,14 +151,14 @@
     def _make_room(self) -> None:
         """Forget those that matter least: what is not held, and of that the oldest."""
         while len(self._known) > MOST_RECORDS:
-            least = min(self._known.items(), key=lambda item: _get_weight(item[1]))
+            least = min(self._known.items(), key=lambda item: _get_weight_of(item[1]))
             self._drop(least[0])
 
     def _drop(self, content_id: bytes) -> None:
         self.digest ^= self._known.pop(content_id).record.digest
 
 
-def _get_weight(known: _Known) -> tuple[bool, int, float]:
+def _get_weight_of(known: _Known) -> tuple[bool, int, float]:
     record = known.record
     return record.is_by_hand, record.waves, known.changed_s
 
@@ -166,55 +166,55 @@
 class ContentBroadcast:
     """What a process still has to tell one side of the records in its book.
 
-    :param book: the records.
+    :param registry: the records.
     """
 
-    def __init__(self, book: ContentBook) -> None:
-        self._book = book
+    def __init__(self, registry: ContentRegistry) -> None:
+        self._registry = registry
         self._left: dict[bytes, int] = {}
         self._turn: list[bytes] = []
         self._turned_s = -math.inf
         self._differs_s: dict[str, float] = {}
 
     @property
-    def has_news(self) -> bool:
+    def has_new(self) -> bool:
         """Whether a record has changed that was not told at all."""
-        return any(left == TELL_TIMES for left in self._left.values())
+        return any(left == RECORD_SEND_COUNT for left in self._left.values())
 
     @property
-    def has_more(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether anything is left to tell."""
         return bool(self._left or self._turn)
 
-    def note_changed(self, content_id: bytes) -> None:
+    def record_changed(self, content_id: bytes) -> None:
         """Tell a record soon."""
         self._left.pop(content_id, None)
-        self._left[content_id] = TELL_TIMES
+        self._left[content_id] = RECORD_SEND_COUNT
 
-    def note_digest(self, teller: str, digest: int, now_s: float) -> None:
+    def record_digest(self, teller: str, digest: int, now_s: float) -> None:
         """Take the number that stands for another process's records.
 
         One that knows nothing has just started, and is told all at once.
 
         :param teller: name of that process.
         """
-        if digest == self._book.digest:
+        if digest == self._registry.digest:
             self._differs_s.pop(teller, None)
             return
         since_s = self._differs_s.setdefault(teller, now_s)
         is_new = not digest
-        if self.has_more or (now_s - since_s < DIFFERS_S and not is_new):
+        if self.has_pending or (now_s - since_s < DIFFERS_S and not is_new):
             return
-        pause_s = max(TURN_AGAIN_S, TURN_AGAIN_S_PER_RECORD * len(self._book))
+        pause_s = max(TURN_AGAIN_S, TURN_AGAIN_S_PER_RECORD * len(self._registry))
         if now_s - self._turned_s >= pause_s:
             self._turned_s = now_s
-            self._turn = self._book.get_ids()
+            self._turn = self._registry.get_ids()
 
-    def forget_teller(self, teller: str) -> None:
+    def forget_peer(self, teller: str) -> None:
         """Forget a process that is no longer heard."""
         self._differs_s.pop(teller, None)
 
-    def take_part(self, now_s: float) -> list[content_record.AgedRecord]:
+    def pop_batch(self, now_s: float) -> list[content_record.AgedRecord]:
         """Return what is told next, and count it as told."""
         part = list(self._left)[:RECORDS_AT_ONCE]
         for content_id in part:
@@ -223,12 +223,12 @@
                 del self._left[content_id]
         while self._turn and len(part) < RECORDS_AT_ONCE:
             part.append(self._turn.pop())
-        return self._book.get_all_aged(part, now_s)
+        return self._registry.get_all_aged(part, now_s)
 
-    def take_changed(self, now_s: float) -> list[content_record.AgedRecord]:
+    def pop_changed(self, now_s: float) -> list[content_record.AgedRecord]:
         """Return all records that have changed, and count them as told."""
         changed, self._left = self._left, {}
-        return self._book.get_all_aged(changed, now_s)
+        return self._registry.get_all_aged(changed, now_s)
 
     def clear(self) -> None:
         """Forget what was to be told: nobody is there to hear it."""
--- a/src/spoolhead/_internal/policy/granter_choice.py
+++ b/src/spoolhead/_internal/policy/granter_choice.py
@@ -20,7 +20,7 @@
     """Return the entries to ask for permits, the first granter first."""
 
     def _get_order(entry: fleet.Process) -> tuple[bool, int]:
-        weight = xxhash.xxh3_64_intdigest(f"permit/{entry.name}/{instance.life_id}".encode())
+        weight = xxhash.xxh3_64_intdigest(f"permit/{entry.name}/{instance.incarnation_id}".encode())
         return entry.hall != instance.hall, weight
 
     return sorted(entries, key=_get_order)[:GRANTERS]
--- a/src/spoolhead/_internal/policy/hall_reach.py
+++ b/src/spoolhead/_internal/policy/hall_reach.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Collection, Iterable
 
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 
 SUSPECT_S = 0.5
 """Time for which a hall is not tried after a connection to it timed out and nothing came from it
@@ -41,15 +41,15 @@
         self._own_hall = own_hall
         self._halls: dict[str, _Hall] = {}
 
-    def note_time_out(self, hall: str, now_s: float) -> None:
+    def record_timeout(self, hall: str, now_s: float) -> None:
         """Take note that a connection to an instance of a hall timed out."""
         self._get(hall).timed_out_s = now_s
 
-    def note_answer(self, hall: str, now_s: float) -> None:
+    def record_answer(self, hall: str, now_s: float) -> None:
         """Take note that something came from an instance of a hall."""
         self._get(hall).answered_s = now_s
 
-    def get_cut_halls(self, silent_halls: Collection[str], now_s: float) -> frozenset[str]:
+    def get_cut_off_halls(self, silent_halls: Collection[str], now_s: float) -> frozenset[str]:
         """Return the halls that no request should be sent to.
 
         :param silent_halls: halls whose entries are not heard.
@@ -58,26 +58,26 @@
             name
             for name, hall in self._halls.items()
             if name != self._own_hall
-            and self._was_tried_in_vain(name)
+            and self._is_unanswered(name)
             and now_s - hall.timed_out_s
             <= (SILENT_SUSPECT_S if name in silent_halls else SUSPECT_S)
         )
 
-    def get_lost_halls(
-        self, silent_halls: Collection[str], now_s: float, *, is_alone: bool
+    def get_unreachable_halls(
+        self, silent_halls: Collection[str], now_s: float, *, is_isolated: bool
     ) -> frozenset[str]:
         """Return the silent halls that this one is cut off from.
 
-        :param is_alone: no other hall is heard, so it is this one that is cut off; no request
+        :param is_isolated: no other hall is heard, so it is this one that is cut off; no request
             need find that out, but an answer from a hall still speaks against it.
         """
         return frozenset(
             name
             for name in silent_halls
-            if self._was_tried_in_vain(name) or (is_alone and not self._answers(name, now_s))
+            if self._is_unanswered(name) or (is_isolated and not self._answers(name, now_s))
         )
 
-    def _was_tried_in_vain(self, name: str) -> bool:
+    def _is_unanswered(self, name: str) -> bool:
         hall = self._get(name)
         return hall.answered_s < hall.timed_out_s
 
@@ -88,8 +88,8 @@
         return self._halls.setdefault(hall, _Hall())
 
 
-def is_out_of_reach(
-    upstreams: Iterable[upstream_book.Upstream], lost_halls: Collection[str]
+def is_service_unreachable(
+    upstreams: Iterable[upstream_registry.Upstream], unreachable_halls: Collection[str]
 ) -> bool:
     """Tell whether a service has instances, and all that stay are in lost or evacuated halls.
 
@@ -97,5 +97,5 @@
     """
     staying = [upstream for upstream in upstreams if not upstream.is_leaving]
     return bool(staying) and all(
-        upstream.instance.hall in lost_halls or upstream.is_evacuated for upstream in staying
+        upstream.instance.hall in unreachable_halls or upstream.is_evacuated for upstream in staying
     )
--- a/src/spoolhead/_internal/policy/health.py
+++ b/src/spoolhead/_internal/policy/health.py
@@ -24,18 +24,18 @@
         self._rest_until_s = 0.0
         self._ramp_from_s = now_s if is_new else now_s - SLOW_START_S
 
-    def note_success(self, now_s: float) -> None:
+    def record_success(self, now_s: float) -> None:
         """Note an answer that came whole."""
         self._failures = 0
         if now_s - self._ramp_from_s > 2 * SLOW_START_S:
             self._ejections = 0
 
-    def note_unreachable(self, now_s: float) -> None:
+    def record_unreachable(self, now_s: float) -> None:
         """Note a connection that could not be made: nobody listens, so it is ejected at once."""
         self._failures = FAILURES_BEFORE_EJECTION
-        self.note_failure(now_s)
+        self.record_failure(now_s)
 
-    def note_failure(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Note an answer that was lost."""
         self._failures += 1
         if self._failures < FAILURES_BEFORE_EJECTION or self.is_ejected(now_s):
--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -42,7 +42,7 @@
         self.rest_until_s = -math.inf
 
 
-class Heard(enum.Enum):
+class UpdateSource(enum.Enum):
     """Who an update came from."""
 
     PRESENT = "present"
@@ -73,24 +73,24 @@
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
         """Take over which processes can be the hub."""
         self._candidates = sorted(
-            candidates, key=lambda item: (item.distance, self._get_weight(item.address))
+            candidates, key=lambda item: (item.distance, self._get_weight_of(item.address))
         )
         known = {item.address for item in self._candidates}
         self._states = {key: state for key, state in self._states.items() if key in known}
 
-    def note_heard(self, address: endpoints.Endpoint, now_s: float) -> Heard:
+    def record_update(self, address: endpoints.Endpoint, now_s: float) -> UpdateSource:
         """Take note of an update."""
         if address not in (self.current, self.probing):
-            return Heard.OTHER
+            return UpdateSource.OTHER
         is_new = address == self.probing
         if is_new:
             self.current = address
             self.probing = None
         self._heard_s = now_s
         self._get_state(address).rest_s = FIRST_REST_S
-        return Heard.NEW if is_new else Heard.PRESENT
+        return UpdateSource.NEW if is_new else UpdateSource.PRESENT
 
-    def note_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
+    def record_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
         """Take note that a process is known to be out of reach."""
         self._rest(address, now_s)
         if address == self.current:
@@ -135,5 +135,5 @@
     def _get_state(self, address: endpoints.Endpoint) -> _State:
         return self._states.setdefault(address, _State())
 
-    def _get_weight(self, address: endpoints.Endpoint) -> int:
+    def _get_weight_of(self, address: endpoints.Endpoint) -> int:
         return xxhash.xxh3_64_intdigest(f"{self._name}\0{address[0]}:{address[1]}".encode())
--- a/src/spoolhead/_internal/policy/limit_book.py
+++ b/src/spoolhead/_internal/policy/limit_registry.py
@@ -14,7 +14,7 @@
 """Age of the known statement from which one of the same limit counts as a change."""
 
 
-class LimitBook:
+class LimitRegistry:
     """Merges what one process reads in answers with what others report: the newest wins."""
 
     def __init__(self) -> None:
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -12,9 +12,9 @@
 from spoolhead._internal.policy import (
     alarm_broadcast,
     changed_rows,
-    content_book,
+    content_registry,
     datagram_order,
-    limit_book,
+    limit_registry,
     limit_broadcast,
     standing_alarms,
 )
@@ -58,7 +58,7 @@
 
     __slots__ = ("held", "sequence")
 
-    def __init__(self, held: shared_load.Held, sequence: int) -> None:
+    def __init__(self, held: shared_load.InstanceLoad, sequence: int) -> None:
         self.held = held
         self.sequence = sequence
 
@@ -91,24 +91,24 @@
         self,
         name: str,
         first_sequence: int,
-        contents: content_book.ContentBook | None = None,
+        contents: content_registry.ContentRegistry | None = None,
     ) -> None:
         self._name = name
         self._sequence = first_sequence
         self._reporters: dict[str, Reporter] = {}
         self._hubs: dict[str, _OtherHub] = {}
         self._halls_heard_s: dict[str, float] = {}
-        self._halls_told_s: dict[str, float] = {}
+        self._halls_reported_s: dict[str, float] = {}
         self._own = changed_rows.ChangedRows()
         self._all = changed_rows.ChangedRows()
         self._alarms_taken_s: dict[tuple[str, int], float] = {}
         self._standing_alarms = standing_alarms.StandingAlarms()
         self._alarms_to_hubs = alarm_broadcast.AlarmBroadcast(self._standing_alarms)
         self._alarms_to_reporters = alarm_broadcast.AlarmBroadcast(self._standing_alarms)
-        self._contents = contents if contents is not None else content_book.ContentBook()
-        self._to_hubs = content_book.ContentBroadcast(self._contents)
-        self._to_reporters = content_book.ContentBroadcast(self._contents)
-        self._limits = limit_book.LimitBook()
+        self._contents = contents if contents is not None else content_registry.ContentRegistry()
+        self._to_hubs = content_registry.ContentBroadcast(self._contents)
+        self._to_reporters = content_registry.ContentBroadcast(self._contents)
+        self._limits = limit_registry.LimitRegistry()
         self._limits_to_hubs = limit_broadcast.LimitBroadcast(self._limits)
         self._limits_to_reporters = limit_broadcast.LimitBroadcast(self._limits)
 
@@ -123,29 +123,29 @@
         return not self._reporters
 
     @property
-    def has_totals_to_tell(self) -> bool:
+    def has_unsent_totals(self) -> bool:
         """Whether other hubs wait for something new."""
-        has_rows = self._own.has_changes or self._alarms_to_hubs.has_more
-        return has_rows or self._to_hubs.has_more or self._limits_to_hubs.has_more
+        has_rows = self._own.has_changes or self._alarms_to_hubs.has_pending
+        return has_rows or self._to_hubs.has_pending or self._limits_to_hubs.has_pending
 
     @property
-    def has_updates_to_tell(self) -> bool:
+    def has_unsent_updates(self) -> bool:
         """Whether reporters wait for something new."""
-        has_rows = self._all.has_changes or self._alarms_to_reporters.has_more
-        return has_rows or self._to_reporters.has_more or self._limits_to_reporters.has_more
+        has_rows = self._all.has_changes or self._alarms_to_reporters.has_pending
+        return has_rows or self._to_reporters.has_pending or self._limits_to_reporters.has_pending
 
     @property
-    def has_new_alarms(self) -> bool:
+    def has_urgent_updates(self) -> bool:
         """Whether an alarm, content or limit has not been told at all, which must not wait."""
-        has_alarms = self._alarms_to_reporters.has_news
-        has_limits = self._limits_to_reporters.has_news
-        return has_alarms or has_limits or self._to_reporters.has_news
+        has_alarms = self._alarms_to_reporters.has_new
+        has_limits = self._limits_to_reporters.has_new
+        return has_alarms or has_limits or self._to_reporters.has_new
 
     def get_hub_addresses(self) -> list[endpoints.Endpoint]:
         """Return where the other hubs are that were heard lately."""
         return [hub.address for hub in self._hubs.values()]
 
-    def take_report(
+    def handle_report(
         self, report: shared_load.Report, address: endpoints.Endpoint, now_s: float
     ) -> bool:
         """Take what an entry reports.
@@ -172,15 +172,15 @@
         reporter.rows = report.rows
         for alarm in self._take_alarms(report.alarms, now_s):
             self._alarms_to_hubs.add(alarm, now_s)
-        for content_id in self._take_contents(report.contents, now_s):
-            self._to_hubs.note_changed(content_id)
-        self._to_reporters.note_digest(report.sender, report.contents.digest, now_s)
+        for content_id in self._handle_contents(report.contents, now_s):
+            self._to_hubs.record_changed(content_id)
+        self._to_reporters.record_digest(report.sender, report.contents.digest, now_s)
         limited = self._limits.merge(report.limits, now_s)
         self._limits_to_hubs.add(limited, now_s)
         self._limits_to_reporters.add(limited, now_s)
         return is_new
 
-    def take_totals(
+    def handle_totals(
         self, totals: shared_load.Totals, address: endpoints.Endpoint, now_s: float
     ) -> None:
         """Take what another hub tells."""
@@ -188,7 +188,7 @@
             return
         hub = self._hubs.get(totals.hub)
         if hub is None or datagram_order.is_other_start(totals.sequence, hub.newest):
-            self._tell_new_hub(now_s)
+            self._resend_to_new_hub(now_s)
         if hub is None:
             hub = self._hubs[totals.hub] = _OtherHub(address)
         if datagram_order.is_restart(totals.sequence, hub.newest):
@@ -201,10 +201,10 @@
             self._take_row(hub, key, held, totals.sequence)
         for age in totals.ages:
             heard_s = now_s - age.age_ms / 1000
-            self._halls_told_s[age.hall] = max(self._halls_told_s.get(age.hall, heard_s), heard_s)
+            self._halls_reported_s[age.hall] = max(self._halls_reported_s.get(age.hall, heard_s), heard_s)
         self._take_alarms(totals.alarms, now_s)
-        self._take_contents(totals.contents, now_s)
-        self._to_hubs.note_digest(totals.hub, totals.contents.digest, now_s)
+        self._handle_contents(totals.contents, now_s)
+        self._to_hubs.record_digest(totals.hub, totals.contents.digest, now_s)
         limited = self._limits.merge(totals.limits, now_s)
         self._limits_to_reporters.add(limited, now_s)
 
@@ -218,7 +218,7 @@
         for name, hub in list(self._hubs.items()):
             if now_s - hub.heard_s > HUB_EXPIRY_S:
                 del self._hubs[name]
-                self._to_hubs.forget_teller(name)
+                self._to_hubs.forget_peer(name)
                 self._forget_rows(hub)
         self._alarms_taken_s = {
             alarm: taken_s
@@ -229,8 +229,8 @@
     def become_idle(self, now_s: float) -> None:
         """Forget what a hub without reporters need not know any more, as telling it would."""
         self.forget_silent(now_s)
-        self._own.take_part()
-        self._all.take_part()
+        self._own.pop_batch()
+        self._all.pop_batch()
         self._alarms_to_hubs.clear()
         self._alarms_to_reporters.clear()
         self._to_hubs.clear()
@@ -244,19 +244,19 @@
         return shared_load.Totals(
             hub=self._name,
             sequence=self._sequence,
-            rows=self._own.take_part(),
+            rows=self._own.pop_batch(),
             ages=_get_ages(self._halls_heard_s, now_s),
-            alarms=self._alarms_to_hubs.take_part(now_s),
+            alarms=self._alarms_to_hubs.pop_batch(now_s),
             contents=self._make_contents(self._to_hubs, now_s),
-            limits=self._limits_to_hubs.take_part(now_s),
+            limits=self._limits_to_hubs.pop_batch(now_s),
         )
 
     def make_update(self, now_s: float) -> shared_load.Update:
         """Return what to tell the reporters next."""
-        rows = self._all.take_part()
+        rows = self._all.pop_batch()
         contents = self._make_contents(self._to_reporters, now_s)
-        alarms = self._alarms_to_reporters.take_part(now_s)
-        limits = self._limits_to_reporters.take_part(now_s)
+        alarms = self._alarms_to_reporters.pop_batch(now_s)
+        limits = self._limits_to_reporters.pop_batch(now_s)
         return self._make_update(rows, alarms, contents, limits, now_s)
 
     def make_due_snapshot(self, name: str, now_s: float) -> shared_load.Update | None:
@@ -277,9 +277,9 @@
         Of the records of contents it gets those that matter most, since it may serve at once; the
         others follow in the next round for all.
         """
-        content_ids = self._contents.get_weightiest(content_book.RECORDS_AT_ONCE)
+        content_ids = self._contents.get_most_severe(content_registry.RECORDS_AT_ONCE)
         records = self._contents.get_all_aged(content_ids, now_s)
-        contents = shared_load.ContentNews(records, self._contents.digest)
+        contents = shared_load.ContentUpdate(records, self._contents.digest)
         limits = self._limits.get_all_aged(now_s)
         alarms = self._standing_alarms.get_all(now_s)
         update = self._make_update(self._all.get_all(), alarms, contents, limits, now_s)
@@ -290,12 +290,12 @@
         self,
         rows: shared_load.Rows,
         alarms: list[shared_load.Alarm],
-        contents: shared_load.ContentNews,
+        contents: shared_load.ContentUpdate,
         limits: list[rate_limit.AgedLimit],
         now_s: float,
     ) -> shared_load.Update:
         self._sequence += 1
-        heard_s = dict(self._halls_told_s)
+        heard_s = dict(self._halls_reported_s)
         for hall, direct_s in self._halls_heard_s.items():
             heard_s[hall] = max(direct_s, heard_s.get(hall, direct_s))
         return shared_load.Update(
@@ -309,24 +309,24 @@
         )
 
     def _make_contents(
-        self, broadcast: content_book.ContentBroadcast, now_s: float
-    ) -> shared_load.ContentNews:
-        return shared_load.ContentNews(broadcast.take_part(now_s), self._contents.digest)
+        self, broadcast: content_registry.ContentBroadcast, now_s: float
+    ) -> shared_load.ContentUpdate:
+        return shared_load.ContentUpdate(broadcast.pop_batch(now_s), self._contents.digest)
 
-    def _take_contents(self, contents: shared_load.ContentNews, now_s: float) -> list[bytes]:
+    def _handle_contents(self, contents: shared_load.ContentUpdate, now_s: float) -> list[bytes]:
         """Take what a process tells of contents; returns those that this changed."""
         changed = self._contents.merge(contents.records, now_s)
         changed_ids = [record.content_id for record in changed]
         for content_id in changed_ids:
-            self._to_reporters.note_changed(content_id)
+            self._to_reporters.record_changed(content_id)
         return changed_ids
 
-    def _tell_new_hub(self, now_s: float) -> None:
+    def _resend_to_new_hub(self, now_s: float) -> None:
         """Have all limits and standing alarms sent to the hubs: one of them may know none."""
         self._limits_to_hubs.add(self._limits.get_keys(), now_s)
         self._alarms_to_hubs.send_again(self._standing_alarms.get_names(), now_s)
 
-    def _take_row(self, hub: _OtherHub, key: int, held: shared_load.Held, sequence: int) -> None:
+    def _take_row(self, hub: _OtherHub, key: int, held: shared_load.InstanceLoad, sequence: int) -> None:
         row = hub.rows.get(key)
         if row is not None and sequence <= row.sequence:
             return
@@ -339,7 +339,7 @@
     def _exchange_rows(self, old: shared_load.Rows, new: shared_load.Rows) -> None:
         for key in old.keys() | new.keys():
             before = old.get(key)
-            after = new.get(key) or shared_load.Held()
+            after = new.get(key) or shared_load.InstanceLoad()
             self._own.replace(key, before, after)
             self._all.replace(key, before, after)
 
@@ -350,7 +350,7 @@
 
     def _forget_reporter(self, name: str) -> None:
         reporter = self._reporters.pop(name, None)
-        self._to_reporters.forget_teller(name)
+        self._to_reporters.forget_peer(name)
         if reporter is not None:
             self._exchange_rows(reporter.rows, {})
 
@@ -360,7 +360,7 @@
         """Take alarms, and have the reporters sent those that are new; returns these."""
         new = []
         for alarm in alarms:
-            name = (alarm.finder, alarm.sequence)
+            name = (alarm.reporter, alarm.sequence)
             if name in self._alarms_taken_s or self._standing_alarms.has(alarm):
                 continue
             self._alarms_taken_s[name] = now_s
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -4,7 +4,7 @@
 import math
 
 from spoolhead._internal.models import shared_load
-from spoolhead._internal.policy import datagram_order, upstream_book
+from spoolhead._internal.policy import datagram_order, upstream_registry
 
 EXPIRY_S = 3.0
 """Time without any update after which what was told no longer counts: requests of a second or two
@@ -22,7 +22,7 @@
 
     __slots__ = ("others", "sequence")
 
-    def __init__(self, others: shared_load.Held, sequence: int) -> None:
+    def __init__(self, others: shared_load.InstanceLoad, sequence: int) -> None:
         self.others = others
         self.sequence = sequence
 
@@ -31,13 +31,13 @@
     """Keeps what others hold in the book of instances.
 
     :param hall: hall of the entry.
-    :param book: the instances.
+    :param registry: the instances.
     :ivar has_snapshot: the hub has sent all that it knows.
     """
 
-    def __init__(self, hall: str, book: upstream_book.UpstreamBook) -> None:
+    def __init__(self, hall: str, registry: upstream_registry.UpstreamRegistry) -> None:
         self._hall = hall
-        self._book = book
+        self._registry = registry
         self._rows: dict[int, _Row] = {}
         self._reports: collections.OrderedDict[int, shared_load.Rows] = collections.OrderedDict()
         self._halls_heard_s: dict[str, float] = {}
@@ -49,14 +49,14 @@
     def get_own(self) -> shared_load.Rows:
         """Return what this entry holds."""
         return {
-            upstream.key: shared_load.Held(
-                upstream.own_tokens, len(upstream.works), upstream.own_reading_tokens
+            upstream.key: shared_load.InstanceLoad(
+                upstream.own_tokens, len(upstream.in_flight), upstream.own_prefill_tokens
             )
-            for upstream in self._book.get_all()
-            if upstream.works
+            for upstream in self._registry.get_all()
+            if upstream.in_flight
         }
 
-    def note_report(self, sequence: int, rows: shared_load.Rows) -> None:
+    def record_report(self, sequence: int, rows: shared_load.Rows) -> None:
         """Remember what was reported: updates contain it, and it has to be taken off again."""
         self._reports[sequence] = rows
         while len(self._reports) > REPORTS_KEPT:
@@ -67,7 +67,7 @@
         self._is_new_hub = True
         self.has_snapshot = False
 
-    def take_update(self, update: shared_load.Update, now_s: float) -> bool:
+    def handle_update(self, update: shared_load.Update, now_s: float) -> bool:
         """Take an update of the hub.
 
         :returns: whether it is of use; one that counts an unknown report is not.
@@ -94,9 +94,9 @@
         if now_s - self._updated_s > EXPIRY_S:
             self._clear()
             self.has_snapshot = False
-        for upstream in self._book.get_all():
+        for upstream in self._registry.get_all():
             row = self._rows.get(upstream.key)
-            upstream.others = row.others if row is not None else shared_load.Held()
+            upstream.others = row.others if row is not None else shared_load.InstanceLoad()
 
     def get_silent_halls(self, now_s: float) -> frozenset[str]:
         """Return the halls that were heard of and are silent, as behind a cut.
@@ -112,7 +112,7 @@
             and at_s - max(heard_s, self._halls_due_s.get(hall, heard_s)) > SILENCE_S
         )
 
-    def is_alone(self, now_s: float) -> bool:
+    def is_isolated(self, now_s: float) -> bool:
         """Tell whether all other halls that were ever heard of are silent."""
         others = self._halls_heard_s.keys() - {self._hall}
         return bool(others) and len(self.get_silent_halls(now_s)) == len(others)
@@ -126,7 +126,7 @@
         return int((now_s - self._updated_s) * 1000) if math.isfinite(self._updated_s) else -1
 
     def _take_row(
-        self, key: int, total: shared_load.Held, own: shared_load.Held | None, sequence: int
+        self, key: int, total: shared_load.InstanceLoad, own: shared_load.InstanceLoad | None, sequence: int
     ) -> None:
         row = self._rows.get(key)
         if row is not None and datagram_order.is_late(sequence, row.sequence):
@@ -138,7 +138,7 @@
             self._rows[key] = _Row(others, sequence)
         else:
             self._rows.pop(key, None)
-        upstream = self._book.get_by_key(key)
+        upstream = self._registry.get_by_key(key)
         if upstream is not None:
             upstream.others = others
 
@@ -150,5 +150,5 @@
 
     def _clear(self) -> None:
         self._rows.clear()
-        for upstream in self._book.get_all():
-            upstream.others = shared_load.Held()
+        for upstream in self._registry.get_all():
+            upstream.others = shared_load.InstanceLoad()
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -39,51 +39,51 @@
         self._abandoned: dict[str, list[LostRun]] = {}
         self._ended_s: dict[str, float] = {}
 
-    def note_lost(self, life_id: str, run: LostRun) -> bool:
+    def record_lost(self, incarnation_id: str, run: LostRun) -> bool:
         """Take note of a lost request.
 
         :returns: whether its instance is known to have ended; otherwise the request waits for that.
         """
-        if self._has_ended(life_id, run.lost_s):
+        if self._has_ended(incarnation_id, run.lost_s):
             return True
-        self._lost.setdefault(life_id, []).append(run)
+        self._lost.setdefault(incarnation_id, []).append(run)
         return False
 
-    def note_abandoned(self, life_id: str, run: LostRun) -> bool:
+    def record_abandoned(self, incarnation_id: str, run: LostRun) -> bool:
         """Take note of a request that this entry has abandoned.
 
-        :returns: as :meth:`note_lost` does.
+        :returns: as :meth:`record_lost` does.
         """
-        if self._has_ended(life_id, run.lost_s):
+        if self._has_ended(incarnation_id, run.lost_s):
             return True
-        self._abandoned.setdefault(life_id, []).append(run)
+        self._abandoned.setdefault(incarnation_id, []).append(run)
         return False
 
-    def has_abandoned(self, life_id: str, now_s: float) -> bool:
+    def has_abandoned(self, incarnation_id: str, now_s: float) -> bool:
         """Tell whether this entry abandoned a request at an instance just now."""
-        return any(now_s - run.lost_s <= ABANDONED_S for run in self._abandoned.get(life_id, []))
+        return any(now_s - run.lost_s <= ABANDONED_S for run in self._abandoned.get(incarnation_id, []))
 
-    def note_ended(self, life_id: str, now_s: float) -> list[LostRun]:
+    def record_ended(self, incarnation_id: str, now_s: float) -> list[LostRun]:
         """Take note that an instance has ended; returns what it had of this entry's."""
         self._forget_old(now_s)
-        self._ended_s.setdefault(life_id, now_s)
+        self._ended_s.setdefault(incarnation_id, now_s)
         abandoned = [
             # What became of it is known only now.
             LostRun(run.content_id, sent_s=run.sent_s, lost_s=now_s)
-            for run in self._abandoned.pop(life_id, [])
+            for run in self._abandoned.pop(incarnation_id, [])
         ]
-        return self._lost.pop(life_id, []) + abandoned
+        return self._lost.pop(incarnation_id, []) + abandoned
 
-    def note_alive(self, life_id: str) -> None:
+    def record_alive(self, incarnation_id: str) -> None:
         """Take note that an instance lives: what it lost, it lost by something else.
 
         What was abandoned there may still wait to be run.
         """
-        self._lost.pop(life_id, None)
+        self._lost.pop(incarnation_id, None)
 
-    def _has_ended(self, life_id: str, now_s: float) -> bool:
+    def _has_ended(self, incarnation_id: str, now_s: float) -> bool:
         self._forget_old(now_s)
-        return life_id in self._ended_s
+        return incarnation_id in self._ended_s
 
     def _forget_old(self, now_s: float) -> None:
         oldest_s = now_s - KEPT_S
--- a/src/spoolhead/_internal/policy/operating_point.py
+++ b/src/spoolhead/_internal/policy/operating_point.py
@@ -28,7 +28,7 @@
         self._last_s: float | None = None
         self._fell_s = 0.0
 
-    def take_report(self, *, preemptions: int, was_binding: bool, now_s: float) -> None:
+    def handle_report(self, *, preemptions: int, was_binding: bool, now_s: float) -> None:
         """Learn from a load report.
 
         :param preemptions: the engine's count since its start.
--- a/src/spoolhead/_internal/policy/pace.py
+++ b/src/spoolhead/_internal/policy/pace.py
@@ -24,7 +24,7 @@
         self._gap_s: float | None = None
         self._patience = 1.0
 
-    def note_tokens(self, count: int, now_s: float) -> float:
+    def record_tokens(self, count: int, now_s: float) -> float:
         """Note tokens that arrived together.
 
         :returns: time since the tokens before, in seconds.
@@ -37,7 +37,7 @@
         self._gap_s = PACE_MEMORY * known_s + (1 - PACE_MEMORY) * per_token_s
         return gap_s
 
-    def note_resume(self, now_s: float) -> None:
+    def record_resume(self, now_s: float) -> None:
         """Note a new connection, which gets twice the time before it counts as stalled."""
         self._patience *= 2
         self.stalled_s += max(0.0, now_s - self.last_s - REPORTED_STALL_S)
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -10,7 +10,7 @@
 import math
 
 from spoolhead._internal.models import permits
-from spoolhead._internal.policy import limit_book, token_bucket
+from spoolhead._internal.policy import limit_registry, token_bucket
 
 BURST_S = 0.25
 """Time whose tokens are kept for later, besides one."""
@@ -58,7 +58,7 @@
 
     __slots__ = ("arrived_s", "request", "expires_s")
 
-    def __init__(self, ask: permits.PermitAsk, now_s: float) -> None:
+    def __init__(self, ask: permits.PermitRequest, now_s: float) -> None:
         self.request = ask
         self.arrived_s = now_s
         self.expires_s = now_s + max(0, ask.wait_ms) / 1000
@@ -95,14 +95,14 @@
 class PermitGranter:
     """The permits that one entry grants.
 
-    :param book: rate limits that instances stated.
+    :param registry: rate limits that instances stated.
     """
 
-    def __init__(self, book: limit_book.LimitBook) -> None:
-        self._book = book
+    def __init__(self, registry: limit_registry.LimitRegistry) -> None:
+        self._registry = registry
         self._shares: dict[int, _Share] = {}
 
-    def handle_request(self, ask: permits.PermitAsk, now_s: float) -> list[AddressedReply]:
+    def handle_request(self, ask: permits.PermitRequest, now_s: float) -> list[AddressedReply]:
         """Take an ask; returns the replies that are due, to this one or to others."""
         share = self._shares.get(ask.key)
         if share is None:
@@ -111,10 +111,10 @@
         share.askers_s[ask.sender] = now_s
         if ask.turn == 0:
             share.first_asked_s = now_s
-        limit_per_s = self._book.get_limit_per_s(ask.key)
+        limit_per_s = self._registry.get_limit_per_s(ask.key)
         if limit_per_s is None:
             return [self._reply(ask, permits.Verdict.UNLIMITED, now_s)]
-        known = share.replies.get((ask.sender, ask.ask_id))
+        known = share.replies.get((ask.sender, ask.permit_id))
         if known is not None and known is not permits.Verdict.REJECTED:
             return [self._reply(ask, known, now_s)]
         share.waiting.append(_Waiting(ask, now_s))
@@ -128,7 +128,7 @@
         """Return the replies that have become due to asks that waited."""
         replies: list[AddressedReply] = []
         for key, share in self._shares.items():
-            limit_per_s = self._book.get_limit_per_s(key)
+            limit_per_s = self._registry.get_limit_per_s(key)
             if limit_per_s is None:
                 replies += self._release(share, now_s)
             elif share.waiting:
@@ -153,9 +153,9 @@
         return min(dues_s, default=None)
 
     def _get_rate_per_s(self, key: int, share: _Share, now_s: float) -> float:
-        limit_per_s = self._book.get_limit_per_s(key)
+        limit_per_s = self._registry.get_limit_per_s(key)
         if limit_per_s is None:
-            return limit_book.UNLIMITED_PER_S
+            return limit_registry.UNLIMITED_PER_S
         rate_per_s = max(limit_per_s, TRIAL_PER_S)
         is_first = now_s - share.first_asked_s <= FIRST_S
         return rate_per_s if is_first else rate_per_s * STAND_IN_PART
@@ -192,7 +192,7 @@
     def _reject(
         self,
         share: _Share,
-        ask: permits.PermitAsk,
+        ask: permits.PermitRequest,
         granted_s: float,
         rate_per_s: float,
         now_s: float,
@@ -209,16 +209,16 @@
         return AddressedReply(ask.sender, reply)
 
     def _reply(
-        self, ask: permits.PermitAsk, verdict: permits.Verdict, now_s: float
+        self, ask: permits.PermitRequest, verdict: permits.Verdict, now_s: float
     ) -> AddressedReply:
         return AddressedReply(ask.sender, self._make_reply(ask, verdict, now_s))
 
     def _make_reply(
-        self, ask: permits.PermitAsk, verdict: permits.Verdict, now_s: float
+        self, ask: permits.PermitRequest, verdict: permits.Verdict, now_s: float
     ) -> permits.PermitReply:
-        stated = self._book.get_aged([ask.key], now_s)
+        stated = self._registry.get_aged([ask.key], now_s)
         return permits.PermitReply(
-            ask_id=ask.ask_id, verdict=verdict, stated=stated[0] if stated else None
+            permit_id=ask.permit_id, verdict=verdict, stated=stated[0] if stated else None
         )
 
 
@@ -239,7 +239,7 @@
     return ask.rank, ask.is_retry, of_workspace, of_hall, item.arrived_s
 
 
-def _remember(share: _Share, ask: permits.PermitAsk, verdict: permits.Verdict) -> None:
-    share.replies[ask.sender, ask.ask_id] = verdict
+def _remember(share: _Share, ask: permits.PermitRequest, verdict: permits.Verdict) -> None:
+    share.replies[ask.sender, ask.permit_id] = verdict
     while len(share.replies) > REPLIES_KEPT:
         share.replies.popitem(last=False)
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -11,7 +11,7 @@
 import math
 
 from spoolhead._internal.models import content_record
-from spoolhead._internal.policy import content_book
+from spoolhead._internal.policy import content_registry
 
 WAVES_TO_HOLD = 2
 """Ends, one after the other, after which a content is held. One end shows nothing: some twenty
@@ -59,11 +59,11 @@
     """What one entry knows of contents that may end instances, and its decisions.
 
     :param name: the entry's name.
-    :ivar book: the records.
+    :ivar registry: the records.
     """
 
     def __init__(self, name: str) -> None:
-        self.book = content_book.ContentBook()
+        self.registry = content_registry.ContentRegistry()
         self._name = name
         self._learnt_s: dict[bytes, float] = {}
         self._tried: set[bytes] = set()
@@ -71,48 +71,48 @@
     @property
     def held_count(self) -> int:
         """Contents that are held."""
-        return sum(is_held(record) for record in self.book.get_all())
+        return sum(is_held(record) for record in self.registry.get_all())
 
     def is_suspect(self, content_id: bytes) -> bool:
         """Tell whether a content was at an instance that ended, and has not ended well since."""
-        record = self.book.get(content_id)
+        record = self.registry.get(content_id)
         return record is not None and record.is_suspect
 
     def is_held(self, content_id: bytes) -> bool:
         """Tell whether a content is held."""
-        record = self.book.get(content_id)
+        record = self.registry.get(content_id)
         return record is not None and is_held(record)
 
-    def judge(self, content_id: bytes, now_s: float) -> Verdict:
+    def evaluate(self, content_id: bytes, now_s: float) -> Verdict:
         """Decide on a request that has just come."""
-        record = self.book.get(content_id)
+        record = self.registry.get(content_id)
         if record is None or not record.is_suspect:
             return Verdict.RUN
         if not is_held(record):
             return Verdict.RUN_APART
         if record.is_by_hand or record.trials >= MOST_TRIALS or record.waves >= PROVED_WAVES:
             return Verdict.REFUSE
-        if now_s - self.book.get_changed_s(content_id) < TRIAL_AFTER_S:
+        if now_s - self.registry.get_changed_s(content_id) < TRIAL_AFTER_S:
             return Verdict.REFUSE
         return Verdict.CLAIM
 
     def claim_trial(self, content_id: bytes, now_s: float) -> content_record.ContentRecord:
-        """Claim the one run that a held content is given; :meth:`may_try` tells who got it."""
-        record = self.book.get(content_id)
+        """Claim the one run that a held content is given; :meth:`may_run_trial` tells who got it."""
+        record = self.registry.get(content_id)
         assert record is not None
         self._tried.discard(content_id)
         claimed = dataclasses.replace(record, trials=record.trials + 1, trier=self._name)
         return self._change(claimed, now_s)
 
-    def may_try(self, content_id: bytes) -> bool:
+    def may_run_trial(self, content_id: bytes) -> bool:
         """Tell whether a claim of this entry still stands, once, after :data:`CLAIM_S`."""
-        record = self.book.get(content_id)
+        record = self.registry.get(content_id)
         if record is None or record.trier != self._name or content_id in self._tried:
             return False
         self._tried.add(content_id)
         return True
 
-    def note_end(
+    def record_end(
         self, content_id: bytes, instance_key: int, sent_s: float, now_s: float
     ) -> content_record.ContentRecord | None:
         """Take note that an instance has ended while it had a request of this entry.
@@ -121,7 +121,7 @@
         :param sent_s: when the request was sent there.
         :returns: the record of its content, if that changed.
         """
-        record = self.book.get(content_id) or content_record.ContentRecord(content_id=content_id)
+        record = self.registry.get(content_id) or content_record.ContentRecord(content_id=content_id)
         if instance_key in record.ends:
             return None
         is_later = record.waves and sent_s > self._learnt_s.get(content_id, math.inf)
@@ -132,15 +132,15 @@
         ends = tuple(sorted({*record.ends, instance_key}))
         return self._change(dataclasses.replace(record, ends=ends, waves=waves), now_s)
 
-    def note_sound(self, content_id: bytes, now_s: float) -> content_record.ContentRecord | None:
+    def record_harmless(self, content_id: bytes, now_s: float) -> content_record.ContentRecord | None:
         """Take note that a request has ended well.
 
         :returns: the record of its content, if it was suspected.
         """
-        record = self.book.get(content_id)
+        record = self.registry.get(content_id)
         if record is None or not record.ends or record.is_by_hand:
             return None
-        self._forget_former(content_id)
+        self._forget_previous(content_id)
         return self._change(content_record.begin_epoch(content_id, record), now_s)
 
     def merge_records(
@@ -150,16 +150,16 @@
 
         :returns: the records that this changed.
         """
-        changed = self.book.merge(items, now_s)
+        changed = self.registry.merge(items, now_s)
         for record in changed:
             if record.ends:
                 self._learnt_s[record.content_id] = now_s
             else:
-                self._forget_former(record.content_id)
+                self._forget_previous(record.content_id)
         self._forget_unknown()
         return changed
 
-    def _forget_former(self, content_id: bytes) -> None:
+    def _forget_previous(self, content_id: bytes) -> None:
         """Forget what is kept beside a record that became void."""
         self._learnt_s.pop(content_id, None)
         self._tried.discard(content_id)
@@ -167,20 +167,20 @@
     def _change(
         self, record: content_record.ContentRecord, now_s: float
     ) -> content_record.ContentRecord:
-        self.book.set(record, now_s)
+        self.registry.set(record, now_s)
         self._forget_unknown()
-        return self.book.get(record.content_id) or record
+        return self.registry.get(record.content_id) or record
 
     def _forget_unknown(self) -> None:
         """Forget what is kept beside records that are no longer known."""
-        if len(self._learnt_s) <= 2 * len(self.book) + 1:
+        if len(self._learnt_s) <= 2 * len(self.registry) + 1:
             return
-        known = set(self.book.get_ids())
+        known = set(self.registry.get_ids())
         self._learnt_s = {key: at_s for key, at_s in self._learnt_s.items() if key in known}
         self._tried &= known
 
 
-def ends_what_runs(record: content_record.ContentRecord) -> bool:
+def must_end_running(record: content_record.ContentRecord) -> bool:
     """Tell whether what runs of a held content is to be ended, too.
 
     Not where several instances ended at one moment and nothing more is known: a run that is under
@@ -189,7 +189,7 @@
     return record.is_by_hand or record.waves >= WAVES_TO_HOLD
 
 
-def shows_sound(status: int, *, is_trial: bool) -> bool:
+def shows_harmless(status: int, *, is_trial: bool) -> bool:
     """Tell whether an instance's whole answer shows that the request did it no harm.
 
     An instance that fails part of its requests, finds one too large or its time over may not have
--- a/src/spoolhead/_internal/policy/repeats.py
+++ b/src/spoolhead/_internal/policy/repeats.py
@@ -45,7 +45,7 @@
         others = {item: repeat for item, repeat in self._repeats.items() if item not in due}
         self._repeats = {**due, **others}
 
-    def take_due(self, most: int, now_s: float) -> list[Item]:
+    def pop_due(self, most: int, now_s: float) -> list[Item]:
         """Return the items that are due, and count them as sent.
 
         :param most: most items to return; the others stay due.
--- a/src/spoolhead/_internal/policy/replicas.py
+++ b/src/spoolhead/_internal/policy/replicas.py
@@ -15,7 +15,7 @@
 OTHERS_LIMIT_TOKENS = 1_000_000
 
 
-class RunningWork:
+class RunningRequest:
     """A request that this entry has running on an upstream.
 
     :ivar workspace: whose it is.
@@ -72,7 +72,7 @@
         self.health = health.Health(now_s, is_new=is_new)
         self.operating_point = operating_point.OperatingPoint()
         self.report: load_report.LoadReport | None = None
-        self.running: set[RunningWork] = set()
+        self.running: set[RunningRequest] = set()
         self.sent_tokens = 0.0
         self.sent_before_report = 0
         self.sent_since_report = 0
@@ -93,9 +93,9 @@
         """Tokens that this entry's work holds there."""
         return sum(work.prompt_tokens + work.generated_tokens for work in self.running)
 
-    def take_report(self, report: load_report.LoadReport) -> None:
+    def handle_report(self, report: load_report.LoadReport) -> None:
         """Take a load report."""
-        self.operating_point.take_report(
+        self.operating_point.handle_report(
             preemptions=report.preemptions,
             was_binding=self.held_back,
             now_s=report.received_s,
@@ -113,14 +113,14 @@
         """Whether its load report can be planned with."""
         return self.report is not None and now_s - self.report.received_s < REPORT_STALE_S
 
-    def start(self, work: RunningWork, planned_tokens: float) -> None:
+    def start(self, work: RunningRequest, planned_tokens: float) -> None:
         """Note that work was sent there."""
         self.running.add(work)
         self.sent_tokens += planned_tokens
         self.sent_since_report += 1
         self._profile_at_s = NEVER_S
 
-    def finish(self, work: RunningWork) -> None:
+    def finish(self, work: RunningRequest) -> None:
         """Note that work has ended there."""
         self.running.discard(work)
         self._profile_at_s = NEVER_S
--- a/src/spoolhead/_internal/policy/reporting.py
+++ b/src/spoolhead/_internal/policy/reporting.py
@@ -18,8 +18,8 @@
     :param upstream: name of the upstream.
     :param entries: names of the entries heard of, at least one.
     """
-    return max(entries, key=lambda entry: _get_weight(entry, upstream))
+    return max(entries, key=lambda entry: _get_weight_of(entry, upstream))
 
 
-def _get_weight(entry: str, upstream: str) -> int:
+def _get_weight_of(entry: str, upstream: str) -> int:
     return xxhash.xxh3_64_intdigest(f"{entry}\0{upstream}".encode())
--- a/src/spoolhead/_internal/policy/request_content.py
+++ b/src/spoolhead/_internal/policy/request_content.py
@@ -8,7 +8,7 @@
 have another's requests taken for his own."""
 
 
-class Asking(Protocol):
+class ContentSource(Protocol):
     """A request.
 
     :ivar method: its method.
@@ -21,7 +21,7 @@
     body: bytes
 
 
-def get_content_id(request: Asking, host: str, workspace: str) -> bytes:
+def get_content_id(request: ContentSource, host: str, workspace: str) -> bytes:
     """Return the name of a request's content.
 
     Requests of different workspaces never have the same content, so that nobody's request is
--- a/src/spoolhead/_internal/policy/requested_rest.py
+++ b/src/spoolhead/_internal/policy/requested_rest.py
@@ -41,11 +41,11 @@
 
         :returns: whether it did not rest already.
         """
-        is_news = not self.is_resting(now_s)
+        is_new = not self.is_resting(now_s)
         self._until_s = max(self._until_s, now_s + _get_granted_s(rest_ms))
         self._must_try = True
         self._tried_s = -math.inf
-        return is_news
+        return is_new
 
     def record_rejection(self, now_s: float) -> None:
         """Record that the instance turned a request away."""
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -62,7 +62,7 @@
     def __init__(self) -> None:
         self.tokens = LARGEST_BUDGET / 2
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn a part of a retry with a new request."""
         self.tokens = min(LARGEST_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -29,7 +29,7 @@
         self._used: collections.deque[float] = collections.deque()
         self.entry_count = 1
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count a caller's request."""
         self._requests.append(now_s)
 
--- a/src/spoolhead/_internal/policy/run_admission.py
+++ b/src/spoolhead/_internal/policy/run_admission.py
@@ -9,16 +9,16 @@
 import enum
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_book, upstream_choice
+from spoolhead._internal.policy import upstream_registry, upstream_choice
 
 FILL_LIMIT = 1.0
 """Share of an engine's memory that generations may be foreseen to fill at their full length."""
 RANK_FILL_STEP = 0.1
 """Memory kept free for more urgent routes, as a share, for each rank below the most urgent."""
-READ_TOKENS_PER_MS = 7.5
+PREFILL_TOKENS_PER_MS = 7.5
 """Prompt tokens that an engine reads while others stream beside: half of its speed alone, since
 each piece of 112 tokens (8 ms) alternates with a step for the others (7 ms)."""
-READING_PART = 0.7
+PREFILL_FRACTION = 0.7
 """Part of the objective that the reading of all prompts before may take."""
 REFUSE_PART = 0.2
 """Part of the objective for which what has little hope waits all the same. Engines come and runs
@@ -33,10 +33,10 @@
 HOPELESS_FILL = 1.4
 """Fill of the emptiest engine from which a start within the objective is not to be hoped for:
 two in five of its generations would have to end before."""
-COME_BACK_PART = 1 / 6
+RETRY_AFTER_FRACTION = 1 / 6
 """Part of the time left after which a refused caller is asked to come back: late enough for room
 to come (a new engine takes four seconds), early enough to be served."""
-LEAST_COME_BACK_MS = 300
+MIN_RETRY_AFTER_MS = 300
 
 
 class Verdict(enum.Enum):
@@ -86,14 +86,14 @@
 
 
 def has_room(
-    engine: route_table.Engine, upstream: upstream_book.Upstream, request: Request
+    engine: route_table.Engine, upstream: upstream_registry.Upstream, request: Request
 ) -> bool:
     """Tell whether a generation would begin at an engine within its objective."""
     limit = engine.memory_tokens * (FILL_LIMIT - RANK_FILL_STEP * request.rank)
     if upstream.count and upstream.tokens + request.need_tokens > limit:
         return False
-    reading_ms = (upstream.reading_tokens + request.prompt_tokens) / READ_TOKENS_PER_MS
-    return not upstream.reading_tokens or reading_ms <= request.objective_ms * READING_PART
+    reading_ms = (upstream.prefill_tokens + request.prompt_tokens) / PREFILL_TOKENS_PER_MS
+    return not upstream.prefill_tokens or reading_ms <= request.objective_ms * PREFILL_FRACTION
 
 
 def get_least_fill(engine: route_table.Engine, choice: upstream_choice.Choice) -> float:
@@ -128,9 +128,9 @@
     return Verdict.WAIT if open_s < request.refuse_s else Verdict.REFUSE
 
 
-def get_come_back_ms(remaining_ms: int) -> int:
+def compute_retry_after_ms(remaining_ms: int) -> int:
     """Return when a refused caller should come back.
 
     :param remaining_ms: time that its caller will still wait for the answer.
     """
-    return max(LEAST_COME_BACK_MS, int(remaining_ms * COME_BACK_PART))
+    return max(MIN_RETRY_AFTER_MS, int(remaining_ms * RETRY_AFTER_FRACTION))
--- a/src/spoolhead/_internal/policy/run_safety.py
+++ b/src/spoolhead/_internal/policy/run_migration_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_book, upstream_gate
+from spoolhead._internal.policy import upstream_registry, upstream_gate
 
 OTHER_HALL_COST = 0.4
 """What another hall counts against a holder, as a share of a memory: a copy between halls takes
@@ -19,16 +19,16 @@
 """Longest good pause on a route that states none."""
 
 
-def choose_holder(
+def choose_copy_target(
     service: route_table.Service,
-    upstreams: Sequence[upstream_book.Upstream],
+    upstreams: Sequence[upstream_registry.Upstream],
     *,
-    running_at: upstream_book.Upstream,
+    running_at: upstream_registry.Upstream,
     excluded: Collection[str],
     now_s: float,
     gate: upstream_gate.Gate,
     claim: upstream_gate.RequestPriority,
-) -> upstream_book.Upstream | None:
+) -> upstream_registry.Upstream | None:
     """Choose the instance that gets a copy of a run's memory.
 
     One that is foreseen to be full is tried too: what is foreseen is more than what is held, the
@@ -47,11 +47,11 @@
         upstream
         for upstream in upstreams
         if upstream is not running_at
-        and upstream.instance.life_id not in excluded
-        and gate.get_bar(service, upstream, now_s, claim=claim) is None
+        and upstream.instance.incarnation_id not in excluded
+        and gate.get_block_reason(service, upstream, now_s, claim=claim) is None
     ]
 
-    def _get_cost(upstream: upstream_book.Upstream) -> float:
+    def _get_cost(upstream: upstream_registry.Upstream) -> float:
         cost = upstream.tokens / engine.memory_tokens
         if upstream.instance.hall != running_at.instance.hall:
             cost += OTHER_HALL_COST
@@ -75,6 +75,6 @@
     return value / max(1, prompt_tokens + made_tokens)
 
 
-def get_good_pause_ms(route: route_table.Route) -> int:
+def get_max_pause_ms(route: route_table.Route) -> int:
     """Return the longest pause between two events that counts as good."""
     return route.pause_ms or DEFAULT_PAUSE_MS
--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -83,7 +83,7 @@
 
 def get_name(alarm: shared_load.Alarm) -> Name:
     """Return the name by which an alarm is kept; a newer one of the same name replaces it."""
-    return alarm.life_id, alarm.kind, alarm.finder
+    return alarm.incarnation_id, alarm.kind, alarm.reporter
 
 
 def _get_kept_s(alarm: shared_load.Alarm) -> float:
@@ -96,5 +96,5 @@
     alarm = item.alarm
     left_ms = 0 if alarm.for_ms == 0 else math.ceil((item.until_s - now_s) * 1000)
     return shared_load.Alarm(
-        alarm.life_id, alarm.kind, finder=alarm.finder, sequence=alarm.sequence, for_ms=left_ms
+        alarm.incarnation_id, alarm.kind, reporter=alarm.reporter, sequence=alarm.sequence, for_ms=left_ms
     )
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_book, upstream_gate
+from spoolhead._internal.policy import upstream_registry, upstream_gate
 
 OTHER_HALL_COST = 0.1
 """What another hall counts against an instance, as a share of its capacity: a tenth more work
@@ -21,13 +21,13 @@
 """What a start that is not over counts against an instance, as a share of its capacity."""
 SILENT_HALL_COST = 2.0
 """What a hall that nothing is heard from counts against its instances: more than any load."""
-READING_TOKENS_PER_COST = 14_000
+PREFILL_TOKENS_PER_COST = 14_000
 """Tokens still to be read that count as much as a full memory: the reading of one second, most
 of the time in which a first token is wanted."""
 
 
-_DEPARTED = (upstream_gate.Bar.LEAVING, upstream_gate.Bar.REPLACED)
-_OUT_OF_REACH = (upstream_gate.Bar.CUT_OFF, upstream_gate.Bar.EVACUATED)
+_DEPARTED = (upstream_gate.BlockReason.LEAVING, upstream_gate.BlockReason.REPLACED)
+_OUT_OF_REACH = (upstream_gate.BlockReason.CUT_OFF, upstream_gate.BlockReason.EVACUATED)
 
 
 class Candidate:
@@ -39,7 +39,7 @@
 
     __slots__ = ("cost", "upstream")
 
-    def __init__(self, upstream: upstream_book.Upstream, cost: float) -> None:
+    def __init__(self, upstream: upstream_registry.Upstream, cost: float) -> None:
         self.upstream = upstream
         self.cost = cost
 
@@ -53,26 +53,26 @@
         evacuated.
     :ivar retry_after_ms: when an instance that may get nothing just now is expected to; None where
         that is not known.
-    :ivar barred: how many untried instances may get nothing, by the reason.
+    :ivar blocked: how many untried instances may get nothing, by the reason.
     """
 
-    __slots__ = ("barred", "candidates", "is_cut_off", "retry_after_ms", "upstream")
+    __slots__ = ("blocked", "candidates", "is_cut_off", "retry_after_ms", "upstream")
 
     def __init__(
         self,
         candidates: Sequence[Candidate],
         *,
         is_cut_off: bool = False,
-        barred: Mapping[upstream_gate.Bar, int] | None = None,
+        blocked: Mapping[upstream_gate.BlockReason, int] | None = None,
         retry_after_ms: int | None = None,
     ) -> None:
         self.candidates = candidates
         self.is_cut_off = is_cut_off
-        self.barred = barred or {}
+        self.blocked = blocked or {}
         self.retry_after_ms = retry_after_ms
         self.upstream = candidates[0].upstream if candidates else None
 
-    def prefer(self, is_preferred: Callable[[upstream_book.Upstream], bool]) -> "Choice":
+    def prefer(self, is_preferred: Callable[[upstream_registry.Upstream], bool]) -> "Choice":
         """Return the choice with those that a test holds for before the others."""
         return self._order(lambda upstream: not is_preferred(upstream))
 
@@ -80,12 +80,12 @@
         """Return the choice with those before the others that run the fewest requests."""
         return self._order(lambda upstream: upstream.count)
 
-    def _order(self, get_rank: Callable[[upstream_book.Upstream], int]) -> "Choice":
+    def _order(self, get_rank: Callable[[upstream_registry.Upstream], int]) -> "Choice":
         ordered = sorted(self.candidates, key=lambda item: get_rank(item.upstream))
         return Choice(
             ordered,
             is_cut_off=self.is_cut_off,
-            barred=self.barred,
+            blocked=self.blocked,
             retry_after_ms=self.retry_after_ms,
         )
 
@@ -95,18 +95,18 @@
 
     :ivar hall: hall of the entry.
     :ivar silent_halls: halls from which nothing has been heard for a while.
-    :ivar cut_halls: halls that cannot be reached just now.
+    :ivar cut_off_halls: halls that cannot be reached just now.
     :ivar now_s: monotonic time in seconds.
     :ivar request_priority: what the request may claim where not all get something.
     :ivar permitted: run of a limited instance for which the request has a permit; empty for none.
     :ivar gate: what bounds this entry's requests to instances.
-    :ivar chance: source of random numbers.
+    :ivar rng: source of random numbers.
     """
 
     __slots__ = (
-        "chance",
+        "rng",
         "request_priority",
-        "cut_halls",
+        "cut_off_halls",
         "gate",
         "hall",
         "now_s",
@@ -119,26 +119,26 @@
         *,
         hall: str,
         silent_halls: Collection[str],
-        cut_halls: Collection[str],
+        cut_off_halls: Collection[str],
         now_s: float,
         gate: upstream_gate.Gate,
         claim: upstream_gate.RequestPriority,
         permitted: str = "",
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self.hall = hall
         self.silent_halls = silent_halls
-        self.cut_halls = cut_halls
+        self.cut_off_halls = cut_off_halls
         self.now_s = now_s
         self.gate = gate
         self.request_priority = claim
         self.permitted = permitted
-        self.chance = chance
+        self.rng = rng
 
 
 def choose(
     service: route_table.Service,
-    upstreams: Sequence[upstream_book.Upstream],
+    upstreams: Sequence[upstream_registry.Upstream],
     *,
     need_tokens: int,
     excluded: Collection[str],
@@ -156,11 +156,11 @@
     :param need_tokens: memory that the request will hold at a model engine.
     :param excluded: runs of instances that it must not go to.
     """
-    bars = [_get_bar(service, upstream, view) for upstream in upstreams]
+    bars = [_get_block_reason(service, upstream, view) for upstream in upstreams]
     untried = [
         (upstream, bar)
         for upstream, bar in zip(upstreams, bars, strict=True)
-        if upstream.instance.life_id not in excluded
+        if upstream.instance.incarnation_id not in excluded
     ]
     usable = [upstream for upstream, bar in untried if bar is None]
     if not usable:
@@ -176,31 +176,31 @@
         Candidate(upstream, _get_cost(service, upstream, need_tokens, view, other_hall_cost))
         for upstream in usable
     ]
-    view.chance.shuffle(candidates)
+    view.rng.shuffle(candidates)
     candidates.sort(key=lambda candidate: candidate.cost)
     return Choice(
         candidates,
         is_cut_off=_is_cut_off(bars),
-        barred=collections.Counter(bar for _, bar in untried if bar is not None),
+        blocked=collections.Counter(bar for _, bar in untried if bar is not None),
         retry_after_ms=_get_retry_after_ms(untried, view),
     )
 
 
-def _get_bar(
-    service: route_table.Service, upstream: upstream_book.Upstream, view: View
-) -> upstream_gate.Bar | None:
-    return view.gate.get_bar(
+def _get_block_reason(
+    service: route_table.Service, upstream: upstream_registry.Upstream, view: View
+) -> upstream_gate.BlockReason | None:
+    return view.gate.get_block_reason(
         service,
         upstream,
         view.now_s,
         claim=view.claim,
-        has_permit=upstream.instance.life_id == view.permitted,
-        cut_halls=view.cut_halls,
+        has_permit=upstream.instance.incarnation_id == view.permitted,
+        cut_off_halls=view.cut_off_halls,
     )
 
 
 def _get_retry_after_ms(
-    untried: Sequence[tuple[upstream_book.Upstream, upstream_gate.Bar | None]], view: View
+    untried: Sequence[tuple[upstream_registry.Upstream, upstream_gate.BlockReason | None]], view: View
 ) -> int | None:
     waits_ms = [
         view.gate.get_retry_after_ms(upstream, bar, view.now_s) for upstream, bar in untried
@@ -208,20 +208,20 @@
     return min((wait_ms for wait_ms in waits_ms if wait_ms is not None), default=None)
 
 
-def _is_cut_off(bars: Collection[upstream_gate.Bar | None]) -> bool:
+def _is_cut_off(bars: Collection[upstream_gate.BlockReason | None]) -> bool:
     """Tell whether instances are there, but only where nothing may go."""
     staying = [bar for bar in bars if bar not in _DEPARTED]
     return bool(staying) and all(bar in _OUT_OF_REACH for bar in staying)
 
 
-def _get_other_hall_cost(usable: Sequence[upstream_book.Upstream], hall: str) -> float:
+def _get_other_hall_cost(usable: Sequence[upstream_registry.Upstream], hall: str) -> float:
     home_count = sum(upstream.instance.hall == hall for upstream in usable)
     return OTHER_HALL_COST * min(max(1, home_count - 1), HOME_COUNT_LIMIT)
 
 
 def _get_cost(
     service: route_table.Service,
-    upstream: upstream_book.Upstream,
+    upstream: upstream_registry.Upstream,
     need_tokens: int,
     view: View,
     other_hall_cost: float,
@@ -229,7 +229,7 @@
     instance = upstream.instance
     if service.engine is not None:
         cost = (upstream.tokens + need_tokens) / service.engine.memory_tokens
-        cost += upstream.reading_tokens / READING_TOKENS_PER_COST
+        cost += upstream.prefill_tokens / PREFILL_TOKENS_PER_COST
     else:
         known = max(upstream.count, upstream.get_reported_count(view.now_s))
         cost = known / max(1, instance.slots)
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -9,10 +9,10 @@
 from collections.abc import Collection
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import cold_start, limit_book, permit_backoff, upstream_book
+from spoolhead._internal.policy import cold_start, limit_registry, permit_backoff, upstream_registry
 
 
-class Bar(enum.Enum):
+class BlockReason(enum.Enum):
     """Why nothing more may go to an instance now; the first that applies counts."""
 
     LEAVING = "leaving"
@@ -30,7 +30,7 @@
     @property
     def is_binding(self) -> bool:
         """Whether it holds even where no other instance is left."""
-        return self is not Bar.SUSPECTED
+        return self is not BlockReason.SUSPECTED
 
 
 class RequestPriority:
@@ -60,67 +60,67 @@
     def __init__(
         self,
         cold_starts: cold_start.ColdStarts,
-        limits: limit_book.LimitBook,
+        limits: limit_registry.LimitRegistry,
         backoff: permit_backoff.PermitBackoff,
     ) -> None:
         self.cold_starts = cold_starts
         self.limits = limits
         self.backoff = backoff
 
-    def get_bar(
+    def get_block_reason(
         self,
         service: route_table.Service,
-        upstream: upstream_book.Upstream,
+        upstream: upstream_registry.Upstream,
         now_s: float,
         *,
         claim: RequestPriority,
         has_permit: bool = False,
-        cut_halls: Collection[str] = (),
-    ) -> Bar | None:
+        cut_off_halls: Collection[str] = (),
+    ) -> BlockReason | None:
         """Return why no request may go to an instance; None if one may.
 
         One that may go to a limited instance still needs a permit.
 
         :param claim: what the request may claim where not all get something.
         :param has_permit: the request was granted a permit for it.
-        :param cut_halls: halls that cannot be reached just now.
+        :param cut_off_halls: halls that cannot be reached just now.
         """
         if upstream.is_leaving:
-            return Bar.LEAVING
+            return BlockReason.LEAVING
         if upstream.is_replaced(now_s):
-            return Bar.REPLACED
-        if upstream.instance.hall in cut_halls:
-            return Bar.CUT_OFF
+            return BlockReason.REPLACED
+        if upstream.instance.hall in cut_off_halls:
+            return BlockReason.CUT_OFF
         if upstream.is_evacuated:
-            return Bar.EVACUATED
+            return BlockReason.EVACUATED
         if upstream.rest.is_resting(now_s):
-            return Bar.RESTING
+            return BlockReason.RESTING
         if not self.cold_starts.may_send(service, upstream, now_s):
-            return Bar.COLD
+            return BlockReason.COLD
         if not has_permit and self._must_back_off(upstream, claim, now_s):
-            return Bar.LIMITED
+            return BlockReason.LIMITED
         if not upstream.is_usable(now_s):
-            return Bar.SUSPECTED
+            return BlockReason.SUSPECTED
         return None
 
-    def _must_back_off(self, upstream: upstream_book.Upstream, claim: RequestPriority, now_s: float) -> bool:
+    def _must_back_off(self, upstream: upstream_registry.Upstream, claim: RequestPriority, now_s: float) -> bool:
         if not self.is_limited(upstream):
             return False
         return self.backoff.blocks(upstream.key, claim.rank, claim.workspace, now_s)
 
-    def is_limited(self, upstream: upstream_book.Upstream) -> bool:
+    def is_limited(self, upstream: upstream_registry.Upstream) -> bool:
         """Tell whether a request needs a permit to go to an instance."""
         return self.limits.get_limit_per_s(upstream.key) is not None
 
     def get_retry_after_ms(
-        self, upstream: upstream_book.Upstream, bar: Bar | None, now_s: float
+        self, upstream: upstream_registry.Upstream, bar: BlockReason | None, now_s: float
     ) -> int | None:
         """Return when a request that an instance may not get should come back.
 
         :returns: None where that is not known.
         """
-        if bar is Bar.LIMITED:
+        if bar is BlockReason.LIMITED:
             return self.backoff.get_retry_after_ms(upstream.key, now_s)
-        if bar is Bar.RESTING:
+        if bar is BlockReason.RESTING:
             return upstream.rest.get_left_ms(now_s)
         return None
--- a/src/spoolhead/_internal/policy/upstream_book.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -33,24 +33,24 @@
 """Ignores repeated alarms for an instance after a false positive."""
 
 
-class Work:
+class InFlightRequest:
     """A request at an instance.
 
     :ivar request_id: its id.
     :ivar tokens: memory that it holds or will hold, in tokens; 0 for a plain request.
-    :ivar reading_tokens: tokens of its prompt that are still to be read.
-    :ivar is_expected: it is a copy of a run that may go on there.
+    :ivar prefill_tokens: tokens of its prompt that are still to be read.
+    :ivar is_copy: it is a copy of a run that may go on there.
     """
 
-    __slots__ = ("is_expected", "reading_tokens", "request_id", "tokens")
+    __slots__ = ("is_copy", "prefill_tokens", "request_id", "tokens")
 
     def __init__(
-        self, request_id: str, tokens: int, *, reading_tokens: int, is_expected: bool = False
+        self, request_id: str, tokens: int, *, prefill_tokens: int, is_copy: bool = False
     ) -> None:
         self.request_id = request_id
         self.tokens = tokens
-        self.reading_tokens = reading_tokens
-        self.is_expected = is_expected
+        self.prefill_tokens = prefill_tokens
+        self.is_copy = is_copy
 
 
 class Upstream:
@@ -58,15 +58,15 @@
 
     :ivar instance: as listed.
     :ivar key: number by which datagrams name it.
-    :ivar works: this entry's requests there.
+    :ivar in_flight: this entry's requests there.
     :ivar others: what other entries' requests hold there.
     :ivar is_leaving: it takes no new work.
-    :ivar has_announced_end: it said itself that it leaves, whatever the list shows.
+    :ivar has_announced_leaving: it said itself that it leaves, whatever the list shows.
     :ivar is_gone: it is no longer listed.
     :ivar is_evacuated: its hall is, so nothing more is sent to it.
     :ivar rest: rest that it asked for.
     :ivar listed_cold: reading by which it was last taken for cold.
-    :ivar has_started_again: its instance has, so this run of it is over.
+    :ivar has_restarted: its instance has, so this run of it is over.
     """
 
     __slots__ = (
@@ -81,8 +81,8 @@
         "_ejected_until_s",
         "_last_reported_s",
         "_sent_s",
-        "has_announced_end",
-        "has_started_again",
+        "has_announced_leaving",
+        "has_restarted",
         "instance",
         "is_evacuated",
         "is_gone",
@@ -91,20 +91,20 @@
         "listed_cold",
         "others",
         "rest",
-        "works",
+        "in_flight",
     )
 
     def __init__(self, instance: instances.Instance) -> None:
         self.instance = instance
-        self.key = shared_load.get_key(instance.life_id)
-        self.works: dict[str, Work] = {}
-        self.others = shared_load.Held()
+        self.key = shared_load.get_key(instance.incarnation_id)
+        self.in_flight: dict[str, InFlightRequest] = {}
+        self.others = shared_load.InstanceLoad()
         self.rest = requested_rest.RequestedRest()
         self.is_leaving = instance.is_leaving
         self.is_gone = False
-        self.has_announced_end = False
+        self.has_announced_leaving = False
         self.is_evacuated = False
-        self.has_started_again = False
+        self.has_restarted = False
         self.listed_cold: instances.Instance | None = None
         self._cold_until_s = -math.inf
         self._replaced_until_s = -math.inf
@@ -125,35 +125,35 @@
         return self.others.tokens + self.own_tokens
 
     @property
-    def reading_tokens(self) -> int:
+    def prefill_tokens(self) -> int:
         """Tokens of all known prompts that are still to be read."""
-        return self.others.reading_tokens + self.own_reading_tokens
+        return self.others.prefill_tokens + self.own_prefill_tokens
 
     @property
     def own_tokens(self) -> int:
         """Memory that this entry's requests hold or will hold, in tokens."""
-        return sum(work.tokens for work in self.works.values())
+        return sum(work.tokens for work in self.in_flight.values())
 
     @property
-    def own_reading_tokens(self) -> int:
+    def own_prefill_tokens(self) -> int:
         """Tokens of this entry's prompts that are still to be read."""
-        return sum(work.reading_tokens for work in self.works.values())
+        return sum(work.prefill_tokens for work in self.in_flight.values())
 
     @property
     def count(self) -> int:
         """Known requests of all entries."""
-        return self.others.count + len(self.works)
+        return self.others.count + len(self.in_flight)
 
     def is_usable(self, now_s: float) -> bool:
         """Tell whether new work may go there."""
-        is_open = not self.is_evacuated and not self.is_departing(now_s)
+        is_open = not self.is_evacuated and not self.may_be_leaving(now_s)
         is_sound = now_s >= self._ejected_until_s and not self.rest.is_doubtful(now_s)
         return is_open and not self.is_replaced(now_s) and is_sound
 
     @property
-    def expected_count(self) -> int:
+    def copy_count(self) -> int:
         """This entry's runs that may go on there from a copy."""
-        return sum(work.is_expected for work in self.works.values())
+        return sum(work.is_copy for work in self.in_flight.values())
 
     def is_cold(self, now_s: float) -> bool:
         """Tell whether it has started a moment ago."""
@@ -163,29 +163,29 @@
         """Tell whether another instance answers at its address, though it is still listed."""
         return now_s < self._replaced_until_s
 
-    def note_replaced(self, now_s: float) -> bool:
+    def record_replaced(self, now_s: float) -> bool:
         """Take note that another instance answers at its address.
 
         :returns: whether that is news.
         """
-        is_news = not self.is_replaced(now_s)
+        is_new = not self.is_replaced(now_s)
         self._replaced_until_s = now_s + REPLACED_S
-        return is_news
+        return is_new
 
-    def note_cold(self, cold_ms: int, now_s: float) -> bool:
+    def record_cold(self, cold_ms: int, now_s: float) -> bool:
         """Take note of how much longer it is cold, by its own word or the list's.
 
         :returns: whether it was not known to be.
         """
-        is_news = cold_ms > 0 and not self.is_cold(now_s)
+        is_new = cold_ms > 0 and not self.is_cold(now_s)
         self._cold_until_s = now_s + cold_ms / 1000
-        return is_news
+        return is_new
 
     def assume_cold(self, cold_ms: int, now_s: float) -> None:
         """Take it for cold for a time, unless it is known to be so for longer."""
         self._cold_until_s = max(self._cold_until_s, now_s + cold_ms / 1000)
 
-    def note_sent(self, now_s: float) -> None:
+    def record_sent(self, now_s: float) -> None:
         """Take note of a request that is sent to it."""
         if self._sent_s is None:
             self._sent_s = collections.deque(maxlen=SENT_KEPT)
@@ -196,23 +196,23 @@
         """Return how many requests this entry has sent to it after a moment."""
         return sum(sent_s > since_s for sent_s in self._sent_s or ())
 
-    def record_announced_end(self) -> bool:
+    def record_announced_leaving(self) -> bool:
         """Record that it said itself that it leaves, which it does not take back.
 
         :returns: whether that is news.
         """
-        is_news = not self.has_announced_end
-        self.has_announced_end = True
+        is_new = not self.has_announced_leaving
+        self.has_announced_leaving = True
         self.is_leaving = True
-        return is_news
+        return is_new
 
-    def is_departing(self, now_s: float) -> bool:
+    def may_be_leaving(self, now_s: float) -> bool:
         """Tell whether it leaves, or says something that may mean so."""
         return self.is_leaving or self.is_alarmed(now_s)
 
-    def is_ending_as_planned(self, now_s: float) -> bool:
+    def is_expected_to_end(self, now_s: float) -> bool:
         """Tell whether it has announced that it leaves, so that its end shows nothing."""
-        has_announced = self.instance.is_leaving or self.has_announced_end
+        has_announced = self.instance.is_leaving or self.has_announced_leaving
         return has_announced or now_s - self._last_reported_s < ALARM_S
 
     def is_alarmed(self, now_s: float) -> bool:
@@ -286,7 +286,7 @@
         self._ejection_s = min(self._ejection_s * 2, LONGEST_EJECTION_S)
 
 
-class UpstreamBook:
+class UpstreamRegistry:
     """All listed instances."""
 
     def __init__(self) -> None:
@@ -295,9 +295,9 @@
         self._upstreams: dict[str, Upstream] = {}
         self._by_key: dict[int, Upstream] = {}
 
-    def get(self, life_id: str) -> Upstream | None:
+    def get(self, incarnation_id: str) -> Upstream | None:
         """Return a run of an instance, or None if it is not listed."""
-        return self._upstreams.get(life_id)
+        return self._upstreams.get(incarnation_id)
 
     def get_by_key(self, key: int) -> Upstream | None:
         """Return the instance that datagrams name by a number, or None if it is not listed."""
@@ -326,15 +326,15 @@
             if self._starts.record(instance):
                 self._take_listed(instance, before, leaving, now_s)
             else:
-                self._keep_present(instance, before)
+                self._keep_current(instance, before)
         self._by_key = {item.key: item for item in self._upstreams.values()}
         self._starts.forget_oldest(len(self._upstreams))
         for upstream in before.values():
             upstream.is_leaving = True
             upstream.is_gone = True
             if self._starts.is_former(upstream.instance):
-                upstream.has_started_again = True
-            if upstream.works:
+                upstream.has_restarted = True
+            if upstream.in_flight:
                 leaving.append(upstream)
         return leaving
 
@@ -356,14 +356,14 @@
         leaving: list[Upstream],
         now_s: float,
     ) -> None:
-        known = before.pop(instance.life_id, None)
-        upstream = known if known is not None and _is_same_place(known, instance) else None
+        known = before.pop(instance.incarnation_id, None)
+        upstream = known if known is not None and _has_same_endpoint(known, instance) else None
         if upstream is None:
             upstream = Upstream(instance)
             if known is not None:
                 # It was started elsewhere, which an id alone does not tell.
-                known.has_started_again = True
-                before[instance.life_id] = known
+                known.has_restarted = True
+                before[instance.incarnation_id] = known
         if instance.cold_ms and upstream.listed_cold is not instance:
             # The same reading comes again with each one in which the instance has not changed.
             upstream.listed_cold = instance
@@ -373,15 +373,15 @@
         if instance.is_leaving and not upstream.is_leaving:
             upstream.is_leaving = True
             leaving.append(upstream)
-        self._upstreams[instance.life_id] = upstream
+        self._upstreams[instance.incarnation_id] = upstream
 
-    def _keep_present(self, former: instances.Instance, before: dict[str, Upstream]) -> None:
-        life_id = self._starts.get_present_life_id(former)
-        upstream = before.pop(life_id, None)
+    def _keep_current(self, former: instances.Instance, before: dict[str, Upstream]) -> None:
+        incarnation_id = self._starts.get_current_incarnation_id(former)
+        upstream = before.pop(incarnation_id, None)
         if upstream is not None:
-            self._upstreams[life_id] = upstream
+            self._upstreams[incarnation_id] = upstream
 
 
-def _is_same_place(upstream: Upstream, instance: instances.Instance) -> bool:
+def _has_same_endpoint(upstream: Upstream, instance: instances.Instance) -> bool:
     known = upstream.instance
     return (known.address, known.service) == (instance.address, instance.service)
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/watch_duty.py
@@ -37,15 +37,15 @@
         self._watchers = described
         self._duties = {}
         for instance in listed:
-            life_id = instance.life_id
-            duty = known.get(life_id)
+            incarnation_id = instance.incarnation_id
+            duty = known.get(incarnation_id)
             if duty is None:
                 duty = is_on_duty(self._own_name, watchers, instance)
-            self._duties[life_id] = duty
+            self._duties[incarnation_id] = duty
 
     def has(self, instance: instances.Instance) -> bool:
         """Tell whether the entry watches an instance."""
-        return self._duties.get(instance.life_id, False)
+        return self._duties.get(instance.incarnation_id, False)
 
 
 def is_on_duty(
@@ -57,10 +57,10 @@
     :param watchers: all entries that are alive, this one among them.
     """
     near = [watcher for watcher in watchers if watcher.hall == instance.hall]
-    chosen = max(near or watchers, key=lambda watcher: _get_weight(watcher, instance))
+    chosen = max(near or watchers, key=lambda watcher: _get_weight_of(watcher, instance))
     return chosen.name == own_name
 
 
-def _get_weight(watcher: fleet.Process, instance: instances.Instance) -> int:
-    key = f"{watcher.name}/{instance.life_id}"
+def _get_weight_of(watcher: fleet.Process, instance: instances.Instance) -> int:
+    key = f"{watcher.name}/{instance.incarnation_id}"
     return xxhash.xxh3_64(key.encode()).intdigest()
--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -68,7 +68,7 @@
         self._keepers: list[str] = []
         self._told_entries: list[row_changes.Row] = []
         self._is_fleet_changed = False
-        timers.call_every(FLEET_S, self._tell_fleet)
+        timers.call_every(FLEET_S, self._send_fleet)
 
     @property
     def follower_count(self) -> int:
@@ -195,7 +195,7 @@
             gone=gone,
         )
 
-    def _tell_fleet(self) -> None:
+    def _send_fleet(self) -> None:
         """Tell all followers what has changed in the fleet."""
         keepers = self._get_keepers()
         if not self._is_fleet_changed and keepers == self._keepers:
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -26,8 +26,8 @@
     route_messages,
     upstream_calls,
 )
-from spoolhead._internal.policy import content_book, load_hub
-from spoolhead._internal.quorum import feed, keeper_figures, member, mesh, questions
+from spoolhead._internal.policy import content_registry, load_hub
+from spoolhead._internal.quorum import feed, keeper_metrics, member, mesh, pending_operations
 from spoolhead._internal.routing import table_checks
 from spoolhead._internal.utils import clocks, endpoints, prometheus_metrics
 from spoolhead.coordination import consensus_messages
@@ -66,10 +66,10 @@
             outgoing,
             name=config.name,
             shared_key=config.shared_key,
-            take=self._take_answer,
+            take=self._handle_answer,
             note=_note_stream,
         )
-        self._contents = content_book.ContentBook()
+        self._contents = content_registry.ContentRegistry()
         self._feed = feed.Feed(
             self.loop.scheduler,
             config.hall,
@@ -84,9 +84,9 @@
         self._saved_contents = saved_contents.SavedContents(
             pathlib.Path(config.data_dir), self._contents, self.loop.scheduler
         )
-        self._questions = questions.Questions(self.loop.scheduler, self._mesh, self._member, config)
+        self._pending_operations = pending_operations.PendingOperations(self.loop.scheduler, self._mesh, self._member, config)
         self._reader = list_reader.ListReader(
-            self.loop, calls, config.instance_list, dialect, self._take_instances
+            self.loop, calls, config.instance_list, dialect, self._handle_instances
         )
         self._peers = peer_server.PeerServer(
             self.loop,
@@ -98,12 +98,12 @@
         self._front = caller_front.CallerFront(
             self.loop, config, take=self._take, refuse=self._refuse
         ).register(self.loop)
-        made = prometheus_metrics.Figures()
-        self._figures = keeper_figures.KeeperFigures(made)
-        self._figures.table_version.set_function(lambda: self._member.register.version)
-        self._figures.is_leader.set_function(lambda: int(self._member.is_leader))
-        self._figures.term.set_function(lambda: self._member.term)
-        self._figures.followers.set_function(lambda: self._feed.follower_count)
+        made = prometheus_metrics.PrometheusMetrics()
+        self._metrics = keeper_metrics.KeeperMetrics(made)
+        self._metrics.table_version.set_function(lambda: self._member.register.version)
+        self._metrics.is_leader.set_function(lambda: int(self._member.is_leader))
+        self._metrics.term.set_function(lambda: self._member.term)
+        self._metrics.followers.set_function(lambda: self._feed.follower_count)
         made.serve(self.loop, config)
         interval_s = config.instance_list.interval_ms / 1000
         self.loop.scheduler.call_every(interval_s, self._read_instances)
@@ -116,7 +116,7 @@
 
     def _make_hub_port(self, address: endpoints.Endpoint) -> hub_port.HubPort:
         """Return the hub by which the entries of this hall tell each other of their work."""
-        sock = load_socket.LoadSocket(self.loop, address, self._take_load)
+        sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         return hub_port.HubPort(
             self.loop.scheduler,
             load_hub.LoadHub(self._config.name, int(time.time() * 1000), self._contents),
@@ -125,7 +125,7 @@
             bytes_per_s=self._config.hub_bytes_per_s,
         )
 
-    def _take_load(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
+    def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
         if not isinstance(message, shared_load.Report | shared_load.Totals):
             fields = {"kind": type(message).__name__}
             logger.warning("datagram that is not for a keeper", extra={"fields": fields})
@@ -153,11 +153,11 @@
             case route_messages.GetRouteTable():
                 self._feed.send_table(session, message.digest)
             case route_messages.ForwardTable():
-                self._questions.answer_forwarded(session, message)
+                self._pending_operations.answer_forwarded(session, message)
             case route_messages.ForwardHallOrder():
-                self._questions.answer_forwarded_order(message)
+                self._pending_operations.answer_forwarded_order(message)
             case route_messages.ConfirmRead():
-                self._questions.answer_confirmation(session, message)
+                self._pending_operations.answer_confirmation(session, message)
             case _ if isinstance(message, tuple(consensus_messages.CLASSES.values())):
                 self._member.receive(message)
             case _:
@@ -189,15 +189,15 @@
                 "took_ms": took_ms,
             }
             logger.info("order on a hall answered", extra={"fields": fields})
-            self._figures.orders.labels("acknowledged" if is_sure else "unsure").inc()
-            self._figures.order_ms.observe(took_ms)
+            self._metrics.orders.labels("acknowledged" if is_sure else "unsure").inc()
+            self._metrics.order_ms.observe(took_ms)
             if is_sure:
                 state = {"hall": wanted.hall, "is_evacuated": wanted.is_evacuated}
                 answers.send_json(caller, 200, state)
             else:
                 self._send_unsure(caller)
 
-        self._questions.order(wanted.hall, wanted.is_evacuated, _answer)
+        self._pending_operations.order(wanted.hall, wanted.is_evacuated, _answer)
 
     def _put_table(self, caller: caller_front.Caller, document: bytes) -> None:
         decoded = self._dialect.decode_table(document)
@@ -205,7 +205,7 @@
         if faults:
             fields = {"faults": [str(item) for item in faults], "bytes": len(document)}
             logger.info("table refused", extra={"fields": fields})
-            self._figures.orders.labels("refused").inc()
+            self._metrics.orders.labels("refused").inc()
             self._refuse(caller, faults[0])
             return
         version = decoded.ok.version
@@ -219,21 +219,21 @@
                 "took_ms": int((clocks.get_s() - began_s) * 1000),
             }
             logger.info("table order answered", extra={"fields": fields})
-            self._figures.orders.labels("acknowledged" if is_sure else "unsure").inc()
-            self._figures.order_ms.observe((clocks.get_s() - began_s) * 1000)
+            self._metrics.orders.labels("acknowledged" if is_sure else "unsure").inc()
+            self._metrics.order_ms.observe((clocks.get_s() - began_s) * 1000)
             if is_sure:
                 answers.send_json(caller, 200, {"version": version})
             else:
                 self._send_unsure(caller)
 
-        self._questions.put(version, document, _answer)
+        self._pending_operations.put(version, document, _answer)
 
     def _read_table(self, caller: caller_front.Caller) -> None:
         def _answer(is_sure: bool) -> None:
             register = self._member.register
             fields = {"version": register.version, "sure": is_sure}
             logger.info("table read", extra={"fields": fields})
-            self._figures.reads.labels("answered" if is_sure else "unsure").inc()
+            self._metrics.reads.labels("answered" if is_sure else "unsure").inc()
             if not is_sure:
                 self._send_unsure(caller)
             elif not register.version:
@@ -243,7 +243,7 @@
                 headers = [("Content-Type", "application/json")]
                 caller.send_whole(200, headers, register.document)
 
-        self._questions.confirm(_answer)
+        self._pending_operations.confirm(_answer)
 
     def _send_unsure(self, caller: caller_front.Caller) -> None:
         text = "no majority of keepers confirmed this in time"
@@ -261,7 +261,7 @@
 
     def _on_change(self) -> None:
         self._feed.announce_version()
-        self._questions.on_change()
+        self._pending_operations.on_change()
 
     def _get_keepers(self) -> list[str]:
         return self._member.member_addresses
@@ -275,9 +275,9 @@
     def _get_evacuations(self) -> evacuations.Evacuations:
         return self._member.state.evacuations
 
-    def _take_answer(self, message: messages.Message) -> None:
+    def _handle_answer(self, message: messages.Message) -> None:
         if isinstance(message, route_messages.KeeperAnswer):
-            self._questions.take_answer(message)
+            self._pending_operations.handle_answer(message)
         else:
             logger.warning("unexpected %s of a keeper", type(message).__name__)
 
@@ -285,10 +285,10 @@
         if self._member.is_leader:
             self._reader.read()
 
-    def _take_instances(self, listed: list[instances.Instance]) -> None:
+    def _handle_instances(self, listed: list[instances.Instance]) -> None:
         self._feed.publish_instances(self._member.term, listed)
 
-    def take_settings(self, config: settings.QuorumKeeperSettings) -> None:
+    def apply_settings(self, config: settings.QuorumKeeperSettings) -> None:
         """Take over the keepers that changed settings name."""
         self._config.keepers = config.keepers
 
@@ -298,7 +298,7 @@
         self.loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
-        if not self._questions.open_count:
+        if not self._pending_operations.open_count:
             self._saved_contents.wait_until_synced(STOP_SYNC_S)
             self.loop.finish()
 
--- a/src/spoolhead/_internal/quorum/keeper_figures.py
+++ b/src/spoolhead/_internal/quorum/keeper_metrics.py
@@ -3,13 +3,13 @@
 from spoolhead._internal.utils import prometheus_metrics
 
 
-class KeeperFigures:
+class KeeperMetrics:
     """Counters and histograms.
 
     :param made: where they are registered.
     """
 
-    def __init__(self, made: prometheus_metrics.Figures) -> None:
+    def __init__(self, made: prometheus_metrics.PrometheusMetrics) -> None:
         self.orders = made.make_counter(
             "spoolhead_table_orders", "Operators' tables, by outcome.", "outcome"
         )
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -57,7 +57,7 @@
         self._on_leading = on_leading
         self._leader = ""
         self._members: tuple[str, ...] = ()
-        self._asked_s = 0.0
+        self._probed_s = 0.0
         self._asked: set[str] = set()
         self._askers: set[str] = set()
         self._held: list[consensus_types.Envelope] = []
@@ -132,7 +132,7 @@
     def receive(self, message: messages.Message) -> None:
         """Take a message of another keeper."""
         if isinstance(message, messages.JoinRequest):
-            self._note_join_request(message)
+            self._record_join_request(message)
         self._consensus.receive(message, clocks.get_s())
         self._carry_out()
 
@@ -181,9 +181,9 @@
         self._carry_out()
 
     def _ask_to_join(self, now_s: float) -> None:
-        if now_s - self._asked_s < ASK_TO_JOIN_S:
+        if now_s - self._probed_s < ASK_TO_JOIN_S:
             return
-        self._asked_s = now_s
+        self._probed_s = now_s
         request = messages.JoinRequest(
             member=self.member_id, is_first_start=self._config.is_first_start
         )
@@ -196,7 +196,7 @@
         for address in asked:
             self._peers.send(address, request)
 
-    def _note_join_request(self, request: messages.JoinRequest) -> None:
+    def _record_join_request(self, request: messages.JoinRequest) -> None:
         """Log the first request of each process that is not a member."""
         if request.member in self._consensus.members or request.member in self._askers:
             return
@@ -215,7 +215,7 @@
             if self._storage.needs_rewrite:
                 self._storage.rewrite(self._log.get_records())
         self._send_held()
-        self._note_changes()
+        self._record_changes()
 
     def _send_held(self) -> None:
         if not self._held:
@@ -227,7 +227,7 @@
             else:
                 self._peers.send(envelope.address, envelope.message)
 
-    def _note_changes(self) -> None:
+    def _record_changes(self) -> None:
         if self._leader != self._consensus.leader:
             self._leader = self._consensus.leader
             fields = {"leader": self._leader, "term": self.term}
@@ -239,9 +239,9 @@
             self._askers.difference_update(self._members)
             fields = {"members": list(self._members), "term": self.term}
             logger.info("members changed", extra={"fields": fields})
-        self._note_state()
+        self._record_state()
 
-    def _note_state(self) -> None:
+    def _record_state(self) -> None:
         """Tell of what was committed, and of having caught up: both make it one to hand out."""
         is_newer = self._seen_version != self.register.version
         is_ordered = self._seen_revision != self.state.evacuations.revision
--- a/src/spoolhead/_internal/quorum/questions.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -14,7 +14,7 @@
 
 CHECK_S = 0.02
 """Pause between looks at open questions; a round between halls takes a few milliseconds."""
-ASK_AGAIN_S = 0.3
+RETRY_INTERVAL_S = 0.3
 """Pause before a question is put to the leader again: a few times the longest round."""
 
 ORDER_ID_BYTES = 8
@@ -70,7 +70,7 @@
         self.version: int | None = None
 
 
-class Questions:
+class PendingOperations:
     """Open orders and reads of one keeper.
 
     An order is done once a version as high as its own is committed here, whoever brought that
@@ -169,7 +169,7 @@
         if self._group.is_leader:
             self.confirm(_answer)
 
-    def take_answer(self, message: route_messages.KeeperAnswer) -> None:
+    def handle_answer(self, message: route_messages.KeeperAnswer) -> None:
         """Take the leader's confirmation of a read."""
         for read in self._reads:
             if read.request == message.request and message.is_sure:
@@ -194,7 +194,7 @@
         elif now_s >= order.until_s:
             self._orders.remove(order)
             order.answer(False)
-        elif now_s - order.asked_s >= ASK_AGAIN_S:
+        elif now_s - order.asked_s >= RETRY_INTERVAL_S:
             self._propose(order, now_s)
 
     def _propose(self, order: _Order, now_s: float) -> None:
@@ -213,7 +213,7 @@
         if outcome is not None or now_s >= item.until_s:
             self._hall_orders.remove(item)
             item.answer(bool(outcome))
-        elif now_s - item.asked_s >= ASK_AGAIN_S:
+        elif now_s - item.asked_s >= RETRY_INTERVAL_S:
             self._propose_hall_order(item, now_s)
 
     def _propose_hall_order(self, item: _HallOrder, now_s: float) -> None:
@@ -235,7 +235,7 @@
         elif now_s >= read.until_s:
             self._reads.remove(read)
             read.answer(False)
-        elif now_s - read.asked_s >= ASK_AGAIN_S:
+        elif now_s - read.asked_s >= RETRY_INTERVAL_S:
             self._ask(read, now_s)
 
     def _is_confirmed(self, read: _Read) -> bool:
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -179,9 +179,9 @@
                     self._append(data)
                 break
             except (OSError, exceptions.DiskError) as error:
-                self._refusals.note_refused(error)
+                self._refusals.record_refused(error)
                 time.sleep(disk_refusals.RETRY_S)
-        self._refusals.note_taken()
+        self._refusals.record_success()
 
     def _append(self, data: bytes) -> None:
         written = 0
--- a/src/spoolhead/_internal/relay/pace_meter.py
+++ b/src/spoolhead/_internal/relay/pace_meter.py
@@ -19,7 +19,7 @@
         self.longest_pause_ms = 0
         self.longest_after = 0
 
-    def note_events(self, events_before: int, now_s: float) -> None:
+    def record_events(self, events_before: int, now_s: float) -> None:
         """Take note of events.
 
         :param events_before: events passed on before them.
--- a/src/spoolhead/_internal/relay/sequencer.py
+++ b/src/spoolhead/_internal/relay/sequencer.py
@@ -44,7 +44,7 @@
         """Whether any event was delivered."""
         return self.next_index > 0 or self._delivered_unnumbered
 
-    def judge(self, event: event_stream.Event) -> Verdict:
+    def evaluate(self, event: event_stream.Event) -> Verdict:
         """Decide on the next event and count it if it is to be delivered.
 
         :param event: the event, in the order of arrival on one connection.
--- a/src/spoolhead/_internal/relay/stream_relay.py
+++ b/src/spoolhead/_internal/relay/stream_relay.py
@@ -74,7 +74,7 @@
             parts.append(event.raw + b"\n\n")
             self.is_done = relayed.is_done = True
             return True
-        verdict = self.order.judge(event)
+        verdict = self.order.evaluate(event)
         if verdict is sequencer.Verdict.DELIVER:
             parts.append(event.raw + b"\n\n")
             relayed.tokens += 1
--- a/src/spoolhead/_internal/routing/matcher.py
+++ b/src/spoolhead/_internal/routing/matcher.py
@@ -85,9 +85,9 @@
         return self._owners.get(api_key)
 
 
-def choose_service(route: route_table.Route, chance: random.Random) -> str:
+def choose_service(route: route_table.Route, rng: random.Random) -> str:
     """Return the service that a route's next request goes to, by the weights."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
-    return chance.choices(route.shares, weights)[0].service
+    return rng.choices(route.shares, weights)[0].service
--- a/src/spoolhead/_internal/utils/disk_refusals.py
+++ b/src/spoolhead/_internal/utils/disk_refusals.py
@@ -21,14 +21,14 @@
         self._path = path
         self._began_s: float | None = None
 
-    def note_refused(self, error: Exception) -> None:
+    def record_refused(self, error: Exception) -> None:
         """Take note of a write that was refused."""
         if self._began_s is None:
             self._began_s = clocks.get_s()
             fields = {"path": str(self._path), "reason": str(error)}
             logger.error("disk refuses writes", extra={"fields": fields})
 
-    def note_taken(self) -> None:
+    def record_success(self) -> None:
         """Take note of a write that was taken."""
         if self._began_s is not None:
             fields = {"lost_ms": int((clocks.get_s() - self._began_s) * 1000)}
--- a/src/spoolhead/_internal/utils/log_losses.py
+++ b/src/spoolhead/_internal/utils/log_losses.py
@@ -4,7 +4,7 @@
 import enum
 from collections.abc import Iterable, Sequence
 
-from spoolhead._internal.utils import log_story
+from spoolhead._internal.utils import log_trace
 
 SEEN_LOSSES = 5
 """Ids kept of each cause, for ``spoolhead explain``."""
@@ -69,14 +69,14 @@
         self._noticed_s: dict[str, float] = {}
         self._silent_s: dict[str, list[tuple[float, bool]]] = {}
 
-    def note(self, line: log_story.Line) -> None:
+    def note(self, line: log_trace.Line) -> None:
         if line.text in _DEPARTURE_TEXTS:
             self._noticed_s.setdefault(str(line.fields.get("upstream")), line.time_s)
         elif line.text in ("hall is silent", "hall is heard again"):
             known = self._silent_s.setdefault(line.process, [])
             known.append((line.time_s, line.text == "hall is silent"))
 
-    def is_departing(self, instance_id: str, now_s: float) -> bool:
+    def may_be_leaving(self, instance_id: str, now_s: float) -> bool:
         noticed_s = self._noticed_s.get(instance_id)
         return noticed_s is not None and 0 <= now_s - noticed_s <= NEAR_S
 
@@ -88,13 +88,13 @@
         return is_silent
 
 
-def count(lines: Iterable[log_story.Line]) -> dict[tuple[str, Cause], Count]:
+def count(lines: Iterable[log_trace.Line]) -> dict[tuple[str, Cause], Count]:
     """Count ended requests by route and cause.
 
     :param lines: lines of all entries, in any order.
     """
     beliefs = _Beliefs()
-    requests: dict[str, list[log_story.Line]] = collections.defaultdict(list)
+    requests: dict[str, list[log_trace.Line]] = collections.defaultdict(list)
     for line in sorted(lines, key=lambda item: item.time_s):
         beliefs.note(line)
         request_id = line.fields.get("request")
@@ -107,8 +107,8 @@
     return dict(counts)
 
 
-def _get_cause(story: Sequence[log_story.Line], beliefs: _Beliefs) -> Cause:
-    end = next((line for line in story if line.text in log_story.END_TEXTS), None)
+def _get_cause(story: Sequence[log_trace.Line], beliefs: _Beliefs) -> Cause:
+    end = next((line for line in story if line.text in log_trace.END_TEXTS), None)
     if end is None:
         return Cause.NO_END
     if end.text == "answered":
@@ -122,7 +122,7 @@
     return _get_failure_cause(story, end, beliefs)
 
 
-def _get_answer_cause(story: Sequence[log_story.Line], end: log_story.Line) -> Cause:
+def _get_answer_cause(story: Sequence[log_trace.Line], end: log_trace.Line) -> Cause:
     texts = {line.text for line in story}
     if end.fields.get("is_late"):
         return Cause.LATE_AFTER_WAIT if "waits for room" in texts else Cause.LATE_FIRST
@@ -132,13 +132,13 @@
 
 
 def _get_failure_cause(
-    story: Sequence[log_story.Line], end: log_story.Line, beliefs: _Beliefs
+    story: Sequence[log_trace.Line], end: log_trace.Line, beliefs: _Beliefs
 ) -> Cause:
     places = [line for line in story if line.text in ("attempt", "run goes on elsewhere")]
     if not places:
         return Cause.LOST
     last = places[-1]
-    if not beliefs.is_departing(str(last.fields.get("upstream")), end.time_s):
+    if not beliefs.may_be_leaving(str(last.fields.get("upstream")), end.time_s):
         return Cause.LOST
     since = {line.text for line in story if line.time_s >= last.time_s}
     if "copy failed" in since:
@@ -146,6 +146,6 @@
     return Cause.CUT_COPY_LATE if "copy ordered" in since else Cause.CUT_NOT_COPIED
 
 
-def _get_events(story: Sequence[log_story.Line]) -> int:
+def _get_events(story: Sequence[log_trace.Line]) -> int:
     events = [line.fields["events"] for line in story if "events" in line.fields]
     return max((item for item in events if isinstance(item, int)), default=0)
--- a/src/spoolhead/_internal/utils/log_story.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -53,7 +53,7 @@
         self.fields = fields
 
 
-class Story:
+class RequestTrace:
     """What is known of a request.
 
     :ivar own: lines of the request, in order of time.
@@ -89,7 +89,7 @@
     return Line(words[-1] if words else process, time_s, message, kept)
 
 
-def tell(lines: Iterable[Line], request_id: str) -> Story:
+def tell(lines: Iterable[Line], request_id: str) -> RequestTrace:
     """Gather a request's story.
 
     :param lines: lines of all processes, in any order.
@@ -97,7 +97,7 @@
     known = sorted(lines, key=lambda line: line.time_s)
     own = [line for line in known if line.fields.get("request") == request_id]
     if not own:
-        return Story([], [])
+        return RequestTrace([], [])
     processes = {line.process for line in own}
     involved = {
         str(line.fields[name]) for line in own for name in _INSTANCE_FIELDS if name in line.fields
@@ -118,7 +118,7 @@
         and "request" not in line.fields
         and _is_about(line, involved)
     ]
-    return Story(own, beliefs)
+    return RequestTrace(own, beliefs)
 
 
 def _is_about(line: Line, involved: set[str]) -> bool:
--- a/src/spoolhead/_internal/utils/logs.py
+++ b/src/spoolhead/_internal/utils/logs.py
@@ -75,13 +75,13 @@
         if not self._take_credit(record):
             self._dropped += 1
             return
-        if self._dropped and not self._tell_dropped():
+        if self._dropped and not self._report_dropped():
             self._dropped += 1
             return
         if not self._write(self.format(record)):
             self._dropped += 1
 
-    def _tell_dropped(self) -> bool:
+    def _report_dropped(self) -> bool:
         note = logging.LogRecord(__name__, logging.WARNING, "", 0, "log lines dropped", (), None)
         note.fields = {"count": self._dropped}
         if not self._write(self.format(note)):
--- a/src/spoolhead/_internal/utils/programs.py
+++ b/src/spoolhead/_internal/utils/programs.py
@@ -12,7 +12,7 @@
 
     loop: loops.Loop
 
-    def take_settings(self, config: Any) -> None:
+    def apply_settings(self, config: Any) -> None:
         """Take over changed settings."""
 
     def run(self) -> None:
@@ -30,5 +30,5 @@
     config = read(path)
     logs.set_up(config.log)
     program = make(config)
-    settings_watch.SettingsWatch(program.loop, path, read, program.take_settings)
+    settings_watch.SettingsWatch(program.loop, path, read, program.apply_settings)
     program.run()
--- a/src/spoolhead/_internal/utils/prometheus_metrics.py
+++ b/src/spoolhead/_internal/utils/prometheus_metrics.py
@@ -17,7 +17,7 @@
 """Upper bounds: objectives and good pauses of routes in use among customary steps."""
 
 
-class Figures:
+class PrometheusMetrics:
     """The figures of one process."""
 
     def __init__(self) -> None:
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -36,7 +36,7 @@
     :param log: its log, as read from the disk.
     :param machine: gets the committed changes.
     :param timing: times.
-    :param chance: source of random numbers.
+    :param rng: source of random numbers.
     :param now_s: monotonic time in seconds.
     :ivar leader: id of the leader as far as known; empty for none.
     :ivar commit_index: index up to which entries are known to be committed and are applied.
@@ -50,7 +50,7 @@
         log: logs.ReplicatedLog,
         machine: consensus_types.StateMachine,
         timing: consensus_types.Timing,
-        chance: random.Random,
+        rng: random.Random,
         now_s: float,
     ) -> None:
         self.member_id = member_id
@@ -60,7 +60,7 @@
         self._log = log
         self._machine = machine
         self._timing = timing
-        self._chance = chance
+        self._rng = rng
         self._effects = consensus_types.Effects()
         self._disk = sync_progress.SyncProgress(log.last_index)
         self._ballot = ballot.Ballot()
@@ -172,7 +172,7 @@
     # Elections
 
     def _draw_election_s(self) -> float:
-        return self._timing.election_ms * self._chance.uniform(1.0, 2.0) / 1000
+        return self._timing.election_ms * self._rng.uniform(1.0, 2.0) / 1000
 
     def _begin_election(self, now_s: float, *, is_trial: bool) -> None:
         self.leader = ""
--- a/src/spoolhead/platform/tables.py
+++ b/src/spoolhead/platform/tables.py
@@ -232,7 +232,7 @@
         slots=fields.get_natural("slots"),
         is_leaving=_read_state(fields),
         cold_ms=math.ceil(fields.get_amount("cold_remaining_ms")),
-        born_ms=fields.get_natural("born") if fields.has("born") else 0,
+        started_ms=fields.get_natural("born") if fields.has("born") else 0,
     )
 
 
--- a/tests/lib/cold_fleet.py
+++ b/tests/lib/cold_fleet.py
@@ -4,7 +4,7 @@
 
 from lib import gateway_setting
 from spoolhead._internal.models import fleet, route_table
-from spoolhead._internal.policy import cold_start, upstream_book
+from spoolhead._internal.policy import cold_start, upstream_registry
 
 STEP_S = 0.002
 
@@ -25,10 +25,10 @@
 
     def __init__(self, process, known, instance):
         self.process = process
-        self.book = upstream_book.UpstreamBook()
-        self.book.update_instances([instance], 0.0)
-        (self.upstream,) = self.book.get_all()
-        self.upstream.note_cold(10**9, 0.0)
+        self.registry = upstream_registry.UpstreamRegistry()
+        self.registry.update_instances([instance], 0.0)
+        (self.upstream,) = self.registry.get_all()
+        self.upstream.record_cold(10**9, 0.0)
         self.quotas = cold_start.ColdStarts(process.name, process.hall)
         self.quotas.set_entries(known)
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, *, entries, halls, cold_per_s, lost=(), seed=1):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.service = make_service(cold_per_s)
         self.halls = [f"hall-{number}" for number in range(halls)]
         processes = [
@@ -69,14 +69,14 @@
         waiting = [0] * len(self.entries)
         for step in range(int(seconds / STEP_S)):
             now_s = step * STEP_S
-            for number in self.chance.sample(range(len(self.entries)), len(self.entries)):
+            for number in self.rng.sample(range(len(self.entries)), len(self.entries)):
                 if wanted_per_s is not None:
-                    waiting[number] += self.chance.random() < wanted_per_s * STEP_S
+                    waiting[number] += self.rng.random() < wanted_per_s * STEP_S
                     if not waiting[number]:
                         continue
                 entry = self.entries[number]
                 if entry.quotas.may_send(self.service, entry.upstream, now_s):
-                    entry.upstream.note_sent(now_s)
+                    entry.upstream.record_sent(now_s)
                     waiting[number] -= 1
                     sent_s.append(now_s)
         return sent_s
--- a/tests/lib/consensus_group.py
+++ b/tests/lib/consensus_group.py
@@ -74,7 +74,7 @@
             log,
             self.machine,
             TIMING,
-            random.Random(self.group.chance.random()),
+            random.Random(self.group.rng.random()),
             self.group.now_s,
         )
         # What the file begins with after a start is written anew, as a program does.
@@ -120,7 +120,7 @@
     """
 
     def __init__(self, seed, size=3, *, streams_end_with_processes=False):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.seed_chance = random.Random(seed)
         self.now_s = 100.0
         self.in_flight = []
@@ -185,7 +185,7 @@
                 if not self.in_flight:
                     break
                 self.deliver(0)
-                if self.chance.random() < 0.3:
+                if self.rng.random() < 0.3:
                     for node in self.up():
                         node.sync()
             self.in_flight.clear()
@@ -256,40 +256,40 @@
 def run_at_random(seed, steps=400, size=3, **options):
     """Drive a group at random, then let it settle and check that nothing was lost."""
     group = Group(seed, size, **options)
-    chance = group.chance
+    rng = group.rng
     wiped_s = -1e9
     for _ in range(steps):
-        draw = chance.random()
+        draw = rng.random()
         nodes = group.up()
         if draw < 0.35 and group.in_flight:
-            group.deliver(chance.randrange(min(len(group.in_flight), 4)))
+            group.deliver(rng.randrange(min(len(group.in_flight), 4)))
         elif draw < 0.50:
             group.advance()
         elif draw < 0.68 and nodes:
-            chance.choice(nodes).sync()
+            rng.choice(nodes).sync()
         elif draw < 0.78 and nodes:
-            group.propose(chance.choice(nodes))
+            group.propose(rng.choice(nodes))
         elif draw < 0.83 and nodes:
-            group.begin_read(chance.choice(nodes))
+            group.begin_read(rng.choice(nodes))
         elif draw < 0.87 and group.in_flight:
-            group.in_flight.pop(chance.randrange(len(group.in_flight)))
+            group.in_flight.pop(rng.randrange(len(group.in_flight)))
         elif draw < 0.90 and group.in_flight:
-            group.in_flight.append(chance.choice(group.in_flight))
+            group.in_flight.append(rng.choice(group.in_flight))
         elif draw < 0.92 and nodes:
-            chance.choice(nodes).crash()
+            rng.choice(nodes).crash()
         elif draw < 0.95:
             for node in group.nodes.values():
                 if not node.is_up:
                     node.start()
         elif draw < 0.98 and size > 1:
             addresses = list(group.nodes)
-            pair = frozenset(chance.sample(addresses, 2))
+            pair = frozenset(rng.sample(addresses, 2))
             group.cut ^= {pair}
         elif size > 2 and group.now_s - wiped_s > 6.0 and len(nodes) == len(group.nodes):
             group.settle(4.0)
             wiped_s = group.now_s
-            address = chance.choice(list(group.nodes))
-            if chance.random() < 0.5:
+            address = rng.choice(list(group.nodes))
+            if rng.random() < 0.5:
                 group.wipe(address)
             else:
                 group.replace(address)
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -6,7 +6,7 @@
 from lib import load_fleet
 from spoolhead._internal.contents import saved_contents
 from spoolhead._internal.models import shared_load
-from spoolhead._internal.policy import content_book, quarantine
+from spoolhead._internal.policy import content_registry, quarantine
 
 DOWN_S = 4.0
 """Time after which another process stands where one has ended."""
@@ -43,7 +43,7 @@
         self.runs = []
 
     @property
-    def life_id(self):
+    def incarnation_id(self):
         return f"i-{self.number}.{self.starts}"
 
 
@@ -71,7 +71,7 @@
     def send(self, number, content_id, *, lasting_s=1.0):
         """Have a request come to an entry; returns what was decided."""
         entry = self.entries[number]
-        verdict = entry.contents.judge(content_id)
+        verdict = entry.contents.evaluate(content_id)
         if verdict is quarantine.Verdict.REFUSE:
             self.refused.append((content_id, number, self.clock.now_s))
         elif verdict is quarantine.Verdict.CLAIM:
@@ -85,14 +85,14 @@
         return verdict
 
     def _try(self, number, entry, content_id, lasting_s):
-        if self.entries[number] is entry and entry.contents.may_try(content_id):
+        if self.entries[number] is entry and entry.contents.may_run_trial(content_id):
             self._run(number, content_id, lasting_s, is_apart=True)
 
     def _run(self, number, content_id, lasting_s, *, is_apart):
         places = [place for place in self.places if place.is_up]
         if not places:
             return
-        self.chance.shuffle(places)
+        self.rng.shuffle(places)
         place = min(places, key=lambda item: len(item.runs)) if is_apart else places[0]
         run = Run(number, content_id, self.clock.now_s)
         place.runs.append(run)
@@ -111,29 +111,29 @@
         if not run.is_over:
             run.is_over = True
             place.runs.remove(run)
-            self.entries[run.entry].contents.note_sound(run.content_id)
+            self.entries[run.entry].contents.record_harmless(run.content_id)
 
     def end(self, place):
         """End an instance, whatever the reason; all that runs there is lost."""
         if not place.is_up:
             return
         place.is_up = False
-        life_id = place.life_id
+        incarnation_id = place.incarnation_id
         runs, place.runs = place.runs, []
-        self.ended_lives[shared_load.get_key(life_id)] = {run.content_id for run in runs}
+        self.ended_lives[shared_load.get_key(incarnation_id)] = {run.content_id for run in runs}
         for run in runs:
             run.is_over = True
             self.lost.append(run)
             entry = self.entries[run.entry]
-            entry.contents.note_lost(life_id, run.content_id, run.sent_s)
+            entry.contents.record_lost(incarnation_id, run.content_id, run.sent_s)
         for number in {run.entry for run in runs}:
-            self._ask(self.entries[number], life_id)
+            self._ask(self.entries[number], incarnation_id)
         self.clock.call_later(DOWN_S, lambda: self._start(place))
 
-    def _ask(self, entry, life_id):
+    def _ask(self, entry, incarnation_id):
         def _refused():
-            entry.sharing.tell_alarm(life_id, shared_load.AlarmKind.ENDED)
-            entry.contents.note_ended(life_id, "Connection refused")
+            entry.sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED)
+            entry.contents.record_ended(incarnation_id, "Connection refused")
 
         self.clock.call_later(REFUSED_AFTER_S, _refused)
 
@@ -157,7 +157,7 @@
         process = self.hubs[number]
         self.kill(process.name)
         process.is_up = True
-        self.hub_books[number] = content_book.ContentBook()
+        self.hub_books[number] = content_registry.ContentRegistry()
         if disk is not None:
             items = saved_contents.decode(disk, self.clock())
             self.hub_books[number].merge(items, self.clock())
@@ -169,8 +169,8 @@
         :param lost_disks: numbers of keepers that lose their disk as well.
         """
         disks = []
-        for book in self.hub_books:
-            items = book.get_all_aged(book.get_ids(), self.clock())
+        for registry in self.hub_books:
+            items = registry.get_all_aged(registry.get_ids(), self.clock())
             disks.append(saved_contents.encode(items, self.clock()))
         for process in self.net.processes.values():
             process.is_up = False
@@ -186,7 +186,7 @@
         numbers = range(len(self.entries)) if entries is None else entries
 
         def _send(left):
-            self.send(self.chance.choice(list(numbers)), content_id)
+            self.send(self.rng.choice(list(numbers)), content_id)
             if left > 1:
                 self.clock.call_later(pause_s, lambda: _send(left - 1))
 
@@ -198,9 +198,9 @@
 
         def _send():
             content_id = b"sound-%010d" % next(numbers)
-            number = self.chance.randrange(len(self.entries))
-            self.send(number, content_id, lasting_s=self.chance.expovariate(1 / lasting_s))
-            self.clock.call_later(self.chance.expovariate(requests_per_s), _send)
+            number = self.rng.randrange(len(self.entries))
+            self.send(number, content_id, lasting_s=self.rng.expovariate(1 / lasting_s))
+            self.clock.call_later(self.rng.expovariate(requests_per_s), _send)
 
         _send()
 
@@ -219,7 +219,7 @@
             self.clock.call_later(0.05, _look)
 
         def _send(content_id):
-            self.send(self.chance.randrange(len(self.entries)), content_id, lasting_s=lasting_s)
+            self.send(self.rng.randrange(len(self.entries)), content_id, lasting_s=lasting_s)
 
         _look()
 
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -58,7 +58,7 @@
         self.made.append(call)
         return call
 
-    def let_end(self, call):
+    def finish_in_background(self, call):
         assert not call.is_over
 
     def forget(self, address):
@@ -124,7 +124,7 @@
         running.start(placement.Choice(self.replicas[0], 10.0, ()))
         return True
 
-    def note_attempt(self, running, action, choice, code):
+    def record_attempt(self, running, action, choice, code):
         pass
 
     def charge(self, running, tokens):
@@ -150,16 +150,16 @@
     def get_life_id(self, upstream):
         return f"{upstream}@entry.0"
 
-    def note_lost(self, replica, life_id, content_id, sent_s):
-        self.lost.append(life_id)
+    def record_lost(self, replica, incarnation_id, content_id, sent_s):
+        self.lost.append(incarnation_id)
 
-    def note_abandoned(self, replica, life_id, content_id, sent_s):
-        self.abandoned.append(life_id)
+    def record_abandoned(self, replica, incarnation_id, content_id, sent_s):
+        self.abandoned.append(incarnation_id)
 
-    def note_unreachable(self, replica):
+    def record_unreachable(self, replica):
         self.unreachable.append(replica.name)
 
-    def note_sound(self, content_id):
+    def record_harmless(self, content_id):
         self.sound.append(content_id)
 
 
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -5,14 +5,14 @@
 from lib import fakes
 from spoolhead._internal.contents import content_watch
 from spoolhead._internal.gateway import (
-    entry_figures,
+    entry_metrics,
     exchange_context,
     permit_exchange,
     plain_exchange,
     routed_job,
     stream_exchange,
     upstream_limits,
-    upstream_news,
+    upstream_events,
 )
 from spoolhead._internal.models import (
     dialects,
@@ -25,10 +25,10 @@
 from spoolhead._internal.network import request_reader
 from spoolhead._internal.policy import (
     cold_start,
-    limit_book,
+    limit_registry,
     permit_backoff,
     request_content,
-    upstream_book,
+    upstream_registry,
     upstream_gate,
 )
 from spoolhead._internal.utils import clocks, prometheus_metrics
@@ -169,7 +169,7 @@
 
 
 def make_instance(
-    name, *, hall="hall-a", service="s", is_leaving=False, cold_ms=0, born_ms=0, address=""
+    name, *, hall="hall-a", service="s", is_leaving=False, cold_ms=0, started_ms=0, address=""
 ):
     return instances.Instance(
         instance_id=name,
@@ -179,7 +179,7 @@
         slots=6,
         is_leaving=is_leaving,
         cold_ms=cold_ms,
-        born_ms=born_ms,
+        started_ms=started_ms,
     )
 
 
@@ -209,7 +209,7 @@
 def make_gate(name, hall):
     """Return what bounds an entry that knows of no limits."""
     return upstream_gate.Gate(
-        cold_start.ColdStarts(name, hall), limit_book.LimitBook(), permit_backoff.PermitBackoff()
+        cold_start.ColdStarts(name, hall), limit_registry.LimitRegistry(), permit_backoff.PermitBackoff()
     )
 
 
@@ -219,8 +219,8 @@
     def __init__(self, alarms):
         self.alarms = alarms
 
-    def tell_alarm(self, life_id, kind, *, for_ms=0):
-        self.alarms.append((life_id, kind, for_ms))
+    def broadcast_alarm(self, incarnation_id, kind, *, for_ms=0):
+        self.alarms.append((incarnation_id, kind, for_ms))
 
 
 class Setting:
@@ -239,7 +239,7 @@
         evacuated_halls=(),
         cold_per_s=0.0,
         cold_ms=0,
-        born_ms=0,
+        started_ms=0,
         contents=None,
         busy=None,
         limits_per_s=None,
@@ -248,19 +248,19 @@
     ):
         self.calls = GatewayCalls()
         self.timers = FakeTimers()
-        self.book = upstream_book.UpstreamBook()
+        self.registry = upstream_registry.UpstreamRegistry()
         self.names = names
         self.hall = hall
         self.cold_ms = cold_ms
-        self.born_ms = born_ms
+        self.started_ms = started_ms
         self.list()
-        self.book.set_evacuated(frozenset(evacuated_halls))
-        for upstream in self.book.get_all():
-            upstream.works["other"] = upstream_book.Work("other", fill, reading_tokens=0)
+        self.registry.set_evacuated(frozenset(evacuated_halls))
+        for upstream in self.registry.get_all():
+            upstream.in_flight["other"] = upstream_registry.InFlightRequest("other", fill, prefill_tokens=0)
             if not fill:
-                upstream.works.clear()
+                upstream.in_flight.clear()
         for name, count in (busy or {}).items():
-            self.book.get(name).others = shared_load.Held(count=count)
+            self.registry.get(name).others = shared_load.InstanceLoad(count=count)
         self.ended = []
         self.lost = []
         self.replaced = []
@@ -296,7 +296,7 @@
         self.alarms = []
         self.news = None
         self.limits = upstream_limits.UpstreamLimits(
-            self.book.get_by_key, tell=lambda: None, on_change=lambda key: None
+            self.registry.get_by_key, tell=lambda: None, on_change=lambda key: None
         )
         self.permits = permit_exchange.PermitExchange(
             self.timers,
@@ -307,7 +307,7 @@
             clock=lambda: clocks.get_s(),
         )
         for name, limit_per_s in (limits_per_s or {}).items():
-            self.limits.book.record(self.book.get(name).key, limit_per_s, clocks.get_s())
+            self.limits.registry.record(self.registry.get(name).key, limit_per_s, clocks.get_s())
         own = fleet.Process(name=config.name, hall=config.hall, address="")
         if knows_fleet:
             self.permits.set_entries([own])
@@ -316,22 +316,22 @@
             dialect=dialect.Dialect(),
             calls=self.calls,
             timers=self.timers,
-            book=self.book,
-            chance=random.Random(1),
+            registry=self.registry,
+            rng=random.Random(1),
             on_change=lambda: None,
             on_lost_request=self.lost.append,
-            on_answer=lambda *answer: self.news.take_answer(*answer),
+            on_answer=lambda *answer: self.news.handle_answer(*answer),
             on_replaced=self.replaced.append,
             contents=self.contents,
             limits=self.limits,
             permits=self.permits,
-            ask_lost=self.asked.append,
+            query_end=self.asked.append,
             get_silent_halls=frozenset,
             get_news_age_ms=lambda: 20,
-            figures=entry_figures.EntryFigures(prometheus_metrics.Figures()),
+            metrics=entry_metrics.EntryMetrics(prometheus_metrics.PrometheusMetrics()),
         )
         self.exchanges = set()
-        self.news = upstream_news.UpstreamNews(
+        self.news = upstream_events.UpstreamEvents(
             context, FakeSharing(self.alarms), self.exchanges, get_table=lambda: None
         )
         self.caller = RoutedCaller(wire)
@@ -350,12 +350,12 @@
                 hall=self.hall,
                 is_leaving=name in leaving,
                 cold_ms=self.cold_ms,
-                born_ms=self.born_ms,
+                started_ms=self.started_ms,
             )
             for name in self.names
             if name not in gone
         ]
-        return self.book.update_instances(listed, clocks.get_s())
+        return self.registry.update_instances(listed, clocks.get_s())
 
     def leave(self, name):
         self.list(leaving=[name])
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -86,7 +86,7 @@
 
     def _make_gate(self, entry):
         cold_starts = cold_start.ColdStarts(entry.process.name, entry.process.hall)
-        return upstream_gate.Gate(cold_starts, entry.limits.book, entry.permits.backoff)
+        return upstream_gate.Gate(cold_starts, entry.limits.registry, entry.permits.backoff)
 
     def set_limit(self, limit_per_s, *names):
         for name in names or self.instances:
@@ -105,8 +105,8 @@
         numbers = range(len(self.entries)) if entries is None else entries
 
         def _come():
-            self.send(self.chance.choice(list(numbers)), rank=rank, workspace=workspace)
-            self.clock.call_later(self.chance.expovariate(requests_per_s), _come)
+            self.send(self.rng.choice(list(numbers)), rank=rank, workspace=workspace)
+            self.clock.call_later(self.rng.expovariate(requests_per_s), _come)
 
         _come()
 
@@ -117,7 +117,7 @@
         """Send one request to an instance, whatever else entries would choose."""
         entry = next(entry for entry in self.entries if entry.process.is_up)
         request = Request(self.entries.index(entry), self.clock(), 0, "w")
-        self._send_to(entry, request, entry.book.get(name))
+        self._send_to(entry, request, entry.registry.get(name))
 
     def _go_on(self, entry, request):
         if entry is not self.entries[request.number] or not entry.process.is_up:
@@ -125,15 +125,15 @@
         gate = self.gates[request.number]
         now_s = self.clock()
         bars = {
-            upstream: gate.get_bar(
-                SERVICE, upstream, now_s, claim=request.claim, cut_halls=self._get_cut_halls(entry)
+            upstream: gate.get_block_reason(
+                SERVICE, upstream, now_s, claim=request.claim, cut_off_halls=self._get_cut_halls(entry)
             )
-            for upstream in entry.book.get_all()
+            for upstream in entry.registry.get_all()
         }
         open_ones = [upstream for upstream, bar in bars.items() if bar is None]
         if not open_ones:
             open_ones = [item for item, bar in bars.items() if not bar.is_binding]
-        self.chance.shuffle(open_ones)
+        self.rng.shuffle(open_ones)
         open_ones.sort(key=lambda upstream: not gate.is_limited(upstream))
         if not open_ones:
             waits_ms = [gate.get_retry_after_ms(*item, now_s) for item in bars.items()]
@@ -145,7 +145,7 @@
             self._send_to(entry, request, open_ones[0])
 
     def _get_cut_halls(self, entry):
-        cut = self.net.cut_halls
+        cut = self.net.cut_off_halls
         if entry.process.hall in cut:
             return set(self.halls) - {entry.process.hall}
         return cut
@@ -173,7 +173,7 @@
         if entry is not self.entries[request.number] or not entry.process.is_up:
             return
         instance = self.upstreams[upstream.instance.instance_id]
-        upstream.note_sent(self.clock())
+        upstream.record_sent(self.clock())
         self.clock.call_later(
             load_fleet.FAR_S, lambda: self._arrive(entry, request, upstream, instance)
         )
@@ -186,13 +186,13 @@
             head.has_not_run = True
             head.rest_ms = instance.rest_ms
         self.clock.call_later(
-            load_fleet.FAR_S, lambda: self._take_answer(entry, request, upstream, head)
+            load_fleet.FAR_S, lambda: self._handle_answer(entry, request, upstream, head)
         )
 
-    def _take_answer(self, entry, request, upstream, head):
+    def _handle_answer(self, entry, request, upstream, head):
         if entry.process.is_up:
-            entry.limits.take_answer(upstream, head, self.clock())
-            entry.news.take_answer(upstream, head, self.clock())
+            entry.limits.handle_answer(upstream, head, self.clock())
+            entry.news.handle_answer(upstream, head, self.clock())
         if head.has_not_run:
             self.refused.append((request, self.clock(), None))
         else:
@@ -207,7 +207,7 @@
     def find_granter(self, name):
         """Return the number of the entry that grants first for an instance."""
         entry = self.entries[0]
-        granter = entry.permits._get_granters(entry.book.get(name))[0]
+        granter = entry.permits._get_granters(entry.registry.get(name))[0]
         numbers = itertools.count()
         return next(number for number in numbers if self._get_name(number) == granter.name)
 
@@ -219,5 +219,5 @@
         return [
             number
             for number, entry in enumerate(self.entries)
-            if entry.process.is_up and self.gates[number].is_limited(entry.book.get(name))
+            if entry.process.is_up and self.gates[number].is_limited(entry.registry.get(name))
         ]
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -9,11 +9,11 @@
     load_sharing,
     permit_exchange,
     upstream_limits,
-    upstream_news,
+    upstream_events,
 )
 from spoolhead._internal.load_broadcast import hub_port
 from spoolhead._internal.models import fleet, permits, shared_load
-from spoolhead._internal.policy import content_book, load_hub, upstream_book
+from spoolhead._internal.policy import content_registry, load_hub, upstream_registry
 
 NEAR_S = 0.0005
 FAR_S = 0.0014
@@ -49,20 +49,20 @@
 class Net:
     """Delivers datagrams, or loses, delays and swaps them."""
 
-    def __init__(self, clock, chance, loss):
+    def __init__(self, clock, rng, loss):
         self.clock = clock
-        self.chance = chance
+        self.rng = rng
         self.loss = loss
-        self.cut_halls = set()
+        self.cut_off_halls = set()
         self.cut_keepers = set()
         self.processes = {}
 
     def deliver(self, sender, data, address):
         receiver = self.processes.get(address)
-        if receiver is None or self.chance.random() < self.loss or self._is_cut(sender, receiver):
+        if receiver is None or self.rng.random() < self.loss or self._is_cut(sender, receiver):
             return
         delay_s = NEAR_S if sender.hall == receiver.hall else FAR_S
-        delay_s += self.chance.expovariate(1 / 0.0005)
+        delay_s += self.rng.expovariate(1 / 0.0005)
         self.clock.call_later(delay_s, lambda: self._arrive(receiver, data, sender.address))
 
     def _arrive(self, receiver, data, sender_address):
@@ -70,7 +70,7 @@
             receiver.take(shared_load.decode(data), sender_address)
 
     def _is_cut(self, one, other):
-        if one.hall != other.hall and {one.hall, other.hall} & self.cut_halls:
+        if one.hall != other.hall and {one.hall, other.hall} & self.cut_off_halls:
             return True
         both = {one.name, other.name}
         return one.name != other.name and both <= self.cut_keepers
@@ -79,7 +79,7 @@
 class FakeContext:
     """What news need of an entry without requests."""
 
-    def ask_if_abandoned(self, upstream):
+    def query_end_if_abandoned(self, upstream):
         pass
 
 
@@ -89,8 +89,8 @@
     def __init__(self, entry):
         self.entry = entry
 
-    def tell_alarm(self, *args, **options):
-        self.entry.sharing.tell_alarm(*args, **options)
+    def broadcast_alarm(self, *args, **options):
+        self.entry.sharing.broadcast_alarm(*args, **options)
 
 
 class Entry:
@@ -99,8 +99,8 @@
     def __init__(self, fleet_, process, known, listed):
         self.process = process
         self.clock = fleet_.clock
-        self.book = upstream_book.UpstreamBook()
-        self.book.update_instances(listed, fleet_.clock())
+        self.registry = upstream_registry.UpstreamRegistry()
+        self.registry.update_instances(listed, fleet_.clock())
         self.alarms = []
         self.held = []
         self.contents = gateway_setting.make_contents(
@@ -111,8 +111,8 @@
         )
         config = gateway_setting.make_settings(name=process.name, hall=process.hall)
         self.limits = upstream_limits.UpstreamLimits(
-            self.book.get_by_key,
-            tell=lambda: self.sharing.tell_limits(),
+            self.registry.get_by_key,
+            tell=lambda: self.sharing.broadcast_limits(),
             on_change=lambda key: self.permits.backoff.clear(key),
         )
         self.permits = permit_exchange.PermitExchange(
@@ -123,13 +123,13 @@
             first_id=int(fleet_.clock() * 1000),
             clock=fleet_.clock,
         )
-        self.news = upstream_news.UpstreamNews(
+        self.news = upstream_events.UpstreamEvents(
             FakeContext(), LateSharing(self), set(), get_table=lambda: None
         )
         self.sharing = load_sharing.LoadSharing(
             fleet_.clock,
             config,
-            self.book,
+            self.registry,
             self.contents,
             self.limits,
             send=process.send,
@@ -142,7 +142,7 @@
         self.set_fleet(known)
 
     def take_list(self, listed):
-        self.book.update_instances(listed, self.clock())
+        self.registry.update_instances(listed, self.clock())
         self.sharing.refresh()
 
     def set_fleet(self, known):
@@ -150,18 +150,18 @@
         self.permits.set_entries(self.sharing.get_watchers())
 
     def take(self, message, sender):
-        if isinstance(message, permits.PermitAsk | permits.PermitReply):
+        if isinstance(message, permits.PermitRequest | permits.PermitReply):
             self.permits.handle_datagram(message, sender)
         else:
             self.sharing.handle_datagram(message, sender)
 
     def hold(self, instance_id, request_id, tokens):
-        work = upstream_book.Work(request_id, tokens, reading_tokens=0)
-        self.book.get(instance_id).works[request_id] = work
+        work = upstream_registry.InFlightRequest(request_id, tokens, prefill_tokens=0)
+        self.registry.get(instance_id).in_flight[request_id] = work
         self.sharing.schedule_report()
 
     def drop(self, instance_id, request_id):
-        self.book.get(instance_id).works.pop(request_id)
+        self.registry.get(instance_id).in_flight.pop(request_id)
         self.sharing.schedule_report()
 
 
@@ -177,8 +177,8 @@
 
     def __init__(self, *, entries, halls, keepers, instances, loss=0.01, seed=1):
         self.clock = simulated_clock.Clock()
-        self.chance = random.Random(seed)
-        self.net = Net(self.clock, self.chance, loss)
+        self.rng = random.Random(seed)
+        self.net = Net(self.clock, self.rng, loss)
         self.halls = [f"hall-{number}" for number in range(halls)]
         self.instances = [f"i-{number:08x}" for number in range(instances)]
         self.hubs = [self._add("keeper", number) for number in range(keepers)]
@@ -187,7 +187,7 @@
             keepers=tuple(_describe(item) for item in self.hubs),
             entries=tuple(_describe(item) for item in processes),
         )
-        self.hub_books = [content_book.ContentBook() for _ in self.hubs]
+        self.hub_books = [content_registry.ContentRegistry() for _ in self.hubs]
         self.hub_ports = [self._make_hub(number) for number in range(keepers)]
         self.listed = [
             gateway_setting.make_instance(name, hall=self.halls[number % halls])
@@ -249,22 +249,22 @@
     def _lose_keeper(self, process):
         address = _describe(process).address
         for entry in self.entries:
-            entry.sharing.note_keeper_lost(address)
+            entry.sharing.record_keeper_lost(address)
 
     def begin_load(self, requests_per_s, *, lasting_s, tokens=3_500):
         """Have requests begin at random entries and instances from now on."""
         numbers = itertools.count()
 
         def _begin():
-            entry = self.chance.choice(self.entries)
-            name = self.chance.choice(self.instances)
+            entry = self.rng.choice(self.entries)
+            name = self.rng.choice(self.instances)
             request_id = f"r{next(numbers)}"
             entry.hold(name, request_id, tokens)
             self._measure_age(entry, name)
             self.clock.call_later(
-                self.chance.expovariate(1 / lasting_s), lambda: entry.drop(name, request_id)
+                self.rng.expovariate(1 / lasting_s), lambda: entry.drop(name, request_id)
             )
-            self.clock.call_later(self.chance.expovariate(requests_per_s), _begin)
+            self.clock.call_later(self.rng.expovariate(requests_per_s), _begin)
 
         _begin()
 
@@ -273,12 +273,12 @@
 
         Given up if the truth changes before that.
         """
-        observer = self.chance.choice(self.entries)
+        observer = self.rng.choice(self.entries)
         if observer is entry:
             return
         began_s = self.clock.now_s
         expected = self.get_held(name, except_by=observer)
-        upstream = observer.book.get(name)
+        upstream = observer.registry.get(name)
 
         def _look():
             if upstream.others.tokens == expected:
@@ -291,7 +291,7 @@
     def get_held(self, name, *, except_by=None):
         """Return the memory that entries truly hold at an instance."""
         return sum(
-            entry.book.get(name).own_tokens
+            entry.registry.get(name).own_tokens
             for entry in self.entries
             if entry is not except_by and entry.process.is_up
         )
@@ -299,7 +299,7 @@
     def is_agreed(self):
         """Tell whether every living entry knows exactly what the others hold."""
         return all(
-            entry.book.get(name).others.tokens == self.get_held(name, except_by=entry)
+            entry.registry.get(name).others.tokens == self.get_held(name, except_by=entry)
             for entry in self.entries
             if entry.process.is_up
             for name in self.instances
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import route_table
 from spoolhead._internal.policy import (
     run_admission,
-    upstream_book,
+    upstream_registry,
     upstream_choice,
 )
 
@@ -57,16 +57,16 @@
     """
 
     def __init__(self, *, halls, engines, kinds, seed=1):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.halls = [f"hall-{number}" for number in range(halls)]
         self.kinds = kinds
         self.now_s = 0.0
-        self.book = upstream_book.UpstreamBook()
+        self.registry = upstream_registry.UpstreamRegistry()
         listed = [
             gateway_setting.make_instance(f"i-{number}", hall=self.halls[number % halls])
             for number in range(engines)
         ]
-        self.book.update_instances(listed, 0.0)
+        self.registry.update_instances(listed, 0.0)
         self.service = route_table.Service(
             name="s", health_path="/h", max_connections=1_000, engine=gateway_setting.ENGINE
         )
@@ -80,7 +80,7 @@
     def run(self, for_s):
         """Play the pattern."""
         for kind in self.kinds:
-            self._later(self.chance.expovariate(kind.per_s), lambda kind=kind: self._arrive(kind))
+            self._later(self.rng.expovariate(kind.per_s), lambda kind=kind: self._arrive(kind))
         until_s = self.now_s + for_s
         while self._due[0][0] <= until_s:
             self.now_s, _, call = heapq.heappop(self._due)
@@ -91,9 +91,9 @@
         heapq.heappush(self._due, (self.now_s + delay_s, next(self._numbers), call))
 
     def _arrive(self, kind):
-        self._later(self.chance.expovariate(kind.per_s), lambda: self._arrive(kind))
-        hall = self.chance.choice(self.halls)
-        made_tokens = int(kind.made_tokens * self.chance.uniform(0.5, 1.5))
+        self._later(self.rng.expovariate(kind.per_s), lambda: self._arrive(kind))
+        hall = self.rng.choice(self.halls)
+        made_tokens = int(kind.made_tokens * self.rng.uniform(0.5, 1.5))
         need_tokens = kind.prompt_tokens + made_tokens
         request = run_admission.Request(
             rank=0,
@@ -105,16 +105,16 @@
         view = upstream_choice.View(
             hall=hall,
             silent_halls=(),
-            cut_halls=(),
+            cut_off_halls=(),
             now_s=self.now_s,
             gate=gateway_setting.make_gate("entry-1", hall),
             claim=gateway_setting.CLAIM,
-            chance=self.chance,
+            rng=self.rng,
         )
         engine = self.service.engine
         choice = upstream_choice.choose(
             self.service,
-            self.book.get_service("s"),
+            self.registry.get_service("s"),
             need_tokens=need_tokens,
             excluded=(),
             view=view,
@@ -124,25 +124,25 @@
     def _begin(self, run, need_tokens, made_tokens):
         self.running.add(run)
         upstream = run.upstream
-        work = upstream_book.Work(
-            str(next(self._numbers)), need_tokens, reading_tokens=run.kind.prompt_tokens
+        work = upstream_registry.InFlightRequest(
+            str(next(self._numbers)), need_tokens, prefill_tokens=run.kind.prompt_tokens
         )
-        upstream.works[work.request_id] = work
+        upstream.in_flight[work.request_id] = work
         self.fills.append(upstream.tokens / self.service.engine.memory_tokens)
-        reading_s = run.kind.prompt_tokens / run_admission.READ_TOKENS_PER_MS / 1000
+        reading_s = run.kind.prompt_tokens / run_admission.PREFILL_TOKENS_PER_MS / 1000
         begin_s = max(self.now_s, self._read_until_s.get(upstream, 0.0))
         read_s = self._read_until_s[upstream] = begin_s + reading_s
         run.first_ms = (read_s - self.now_s) * 1000
 
-        def _note_read():
-            work.reading_tokens = 0
+        def _record_prefill_end():
+            work.prefill_tokens = 0
 
         def _end():
-            del upstream.works[work.request_id]
+            del upstream.in_flight[work.request_id]
             self.running.discard(run)
             self.ended.append(run)
 
-        self._later(read_s - self.now_s, _note_read)
+        self._later(read_s - self.now_s, _record_prefill_end)
         self._later(read_s - self.now_s + made_tokens * run.kind.token_ms / 1000, _end)
 
     def get_part_across(self):
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -11,7 +11,7 @@
 
 from lib import cold_fleet, gateway_setting
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_book, upstream_gate
+from spoolhead._internal.policy import upstream_registry, upstream_gate
 
 COLD_PER_S = 25.0
 ALLOWED = COLD_PER_S * 1.5 + 5
@@ -55,16 +55,16 @@
 def test_one_entry_counts_what_it_sends(kind):
     """The only entry there is may send 2 a second here: the third is refused or waits."""
     setting = gateway_setting.Setting(kind, names=("i-1",), cold_per_s=2.0, cold_ms=10_000)
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     assert len(setting.calls.attempts) == 1
-    upstream.note_sent(upstream_book.math.inf)
+    upstream.record_sent(upstream_registry.math.inf)
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
     setting.exchange._tried.clear()
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
-    assert choice.barred == {upstream_gate.Bar.COLD: 1}
-    upstream.note_cold(0, 0.0)
+    assert choice.blocked == {upstream_gate.BlockReason.COLD: 1}
+    upstream.record_cold(0, 0.0)
     assert setting.exchange.choose(0).upstream is upstream
 
 
@@ -73,9 +73,9 @@
     setting = gateway_setting.Setting(
         route_table.RequestKind.STREAM, names=("i-1",), cold_per_s=3.0, cold_ms=10_000
     )
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     setting.exchange._tried.clear()
     assert setting.exchange.choose(0).upstream is upstream
     for name in ("x", "y"):
-        upstream.works[name] = upstream_book.Work(name, 9, reading_tokens=0, is_expected=True)
+        upstream.in_flight[name] = upstream_registry.InFlightRequest(name, 9, prefill_tokens=0, is_copy=True)
     assert setting.exchange.choose(0).upstream is None
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -27,7 +27,7 @@
         self._fleet = fleet
         self._seen = seen
         self._get_version = get_version
-        self._chance = random.Random(number)
+        self._rng = random.Random(number)
         self._prefix = f"c{number}"
         self._count = 0
         self._connections = {}
@@ -35,15 +35,15 @@
 
     def run(self):
         while not self.is_told_to_stop.is_set():
-            entry = self._chance.choice(plan.ENTRIES)
-            kind = self._chance.choice(("once", "safe", "talk", "version"))
+            entry = self._rng.choice(plan.ENTRIES)
+            kind = self._rng.choice(("once", "safe", "talk", "version"))
             self._ask(entry, kind)
             self.is_told_to_stop.wait(PAUSE_S)
 
     def _ask(self, entry, kind):
         self._count += 1
         request_id = f"{self._prefix}-{self._count}"
-        asked = records.Asked(
+        asked = records.EndQuery(
             request_id=request_id, kind=kind, entry=entry, sent_s=time.monotonic()
         )
         if kind == "version":
@@ -68,7 +68,7 @@
         }
         body = asked.request_id.encode()
         if asked.kind == "talk":
-            asked.events = self._chance.choice(STREAM_EVENTS)
+            asked.events = self._rng.choice(STREAM_EVENTS)
             headers |= {"X-Model": "m", "X-Token-Usage": f"100,{asked.events}"}
         connection.request("POST", f"{path}x", body, headers)
         answer = connection.getresponse()
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -59,122 +59,122 @@
 
 def make_plan(seed):
     """Draw the steps of one run, in order of time."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     if seed >= WORDS_FROM_SEED:
-        steps = _draw_words(chance) + _draw_disks(chance) + _draw_tables(chance)
-        steps += _draw_processes(chance) if seed % 2 else []
+        steps = _draw_words(rng) + _draw_disks(rng) + _draw_tables(rng)
+        steps += _draw_processes(rng) if seed % 2 else []
         return sorted(steps, key=lambda step: step.at_s)
     is_hasty = seed >= HASTY_FROM_SEED and seed % 2 == 1
     if seed >= HASTY_FROM_SEED and not is_hasty:
-        steps = _draw_power(chance)
+        steps = _draw_power(rng)
     elif seed >= HALLS_FROM_SEED:
-        steps = _draw_processes(chance) + _draw_disks(chance) + _draw_halls(chance)
+        steps = _draw_processes(rng) + _draw_disks(rng) + _draw_halls(rng)
     elif seed >= POWER_FROM_SEED:
-        steps = _draw_power(chance)
+        steps = _draw_power(rng)
     else:
-        steps = _draw_processes(chance) + _draw_disks(chance)
+        steps = _draw_processes(rng) + _draw_disks(rng)
     if seed >= DEADLY_FROM_SEED:
-        steps.append(_draw_deadly(chance, "hasty" if is_hasty else "deadly"))
-    steps += _draw_upstreams(chance) + _draw_tables(chance)
+        steps.append(_draw_deadly(rng, "hasty" if is_hasty else "deadly"))
+    steps += _draw_upstreams(rng) + _draw_tables(rng)
     return sorted(steps, key=lambda step: step.at_s)
 
 
-def _draw_processes(chance):
+def _draw_processes(rng):
     steps = []
     for target in ENTRIES:
-        at_s = chance.uniform(0.5, 4.0)
+        at_s = rng.uniform(0.5, 4.0)
         while at_s < LENGTH_S - 2.0:
-            kind = chance.choice(PROCESS_KINDS)
-            for_s = chance.uniform(0.2, 2.0)
+            kind = rng.choice(PROCESS_KINDS)
+            for_s = rng.uniform(0.2, 2.0)
             steps.append(Step(at_s=at_s, kind=kind, target=target, for_s=for_s))
-            at_s += for_s + chance.uniform(0.1, 5.0)
+            at_s += for_s + rng.uniform(0.1, 5.0)
     return steps
 
 
-def _draw_disks(chance):
+def _draw_disks(rng):
     """Trouble of keepers: in series and overlapping, but for the loss of a disk."""
-    if chance.random() < 0.4:
-        at_s = chance.uniform(1.0, LENGTH_S - WIPE_QUIET_S)
-        kind = chance.choice(("wipe", "tear"))
-        target = chance.choice(KEEPERS)
-        return [Step(at_s=at_s, kind=kind, target=target, for_s=chance.uniform(0.2, 1.0))]
+    if rng.random() < 0.4:
+        at_s = rng.uniform(1.0, LENGTH_S - WIPE_QUIET_S)
+        kind = rng.choice(("wipe", "tear"))
+        target = rng.choice(KEEPERS)
+        return [Step(at_s=at_s, kind=kind, target=target, for_s=rng.uniform(0.2, 1.0))]
     steps = []
-    for target in chance.sample(KEEPERS, 2):
-        at_s = chance.uniform(0.5, 5.0)
-        for _ in range(chance.randint(1, 2)):
-            kind = chance.choice((*PROCESS_KINDS, "full_disk"))
-            for_s = chance.uniform(0.2, 2.0)
+    for target in rng.sample(KEEPERS, 2):
+        at_s = rng.uniform(0.5, 5.0)
+        for _ in range(rng.randint(1, 2)):
+            kind = rng.choice((*PROCESS_KINDS, "full_disk"))
+            for_s = rng.uniform(0.2, 2.0)
             steps.append(Step(at_s=at_s, kind=kind, target=target, for_s=for_s))
-            at_s += for_s + chance.uniform(0.1, 2.0)
+            at_s += for_s + rng.uniform(0.1, 2.0)
     return [step for step in steps if step.at_s < LENGTH_S - 1.0]
 
 
-def _draw_power(chance):
+def _draw_power(rng):
     """The keeper that comes back first, and alone for a while, is one that joined anew before."""
-    target = chance.choice(KEEPERS)
-    wiped_s = chance.uniform(0.5, 1.2)
-    wipe = Step(at_s=wiped_s, kind="wipe", target=target, for_s=chance.uniform(0.2, 0.8))
-    lost_s = wipe.end_s + WIPE_QUIET_S + chance.uniform(0.0, 1.0)
-    alone_s = chance.uniform(0.2, 3.0)
+    target = rng.choice(KEEPERS)
+    wiped_s = rng.uniform(0.5, 1.2)
+    wipe = Step(at_s=wiped_s, kind="wipe", target=target, for_s=rng.uniform(0.2, 0.8))
+    lost_s = wipe.end_s + WIPE_QUIET_S + rng.uniform(0.0, 1.0)
+    alone_s = rng.uniform(0.2, 3.0)
     return [wipe, Step(at_s=lost_s, kind="power", target=target, for_s=alone_s)]
 
 
-def _draw_halls(chance):
+def _draw_halls(rng):
     """The hall is evacuated once or twice, whoever is in trouble then."""
     steps = []
-    at_s = chance.uniform(0.3, 2.0)
+    at_s = rng.uniform(0.3, 2.0)
     while at_s < LENGTH_S - 2.0:
-        for_s = chance.uniform(0.5, 4.0)
-        target = chance.choice(KEEPERS)
+        for_s = rng.uniform(0.5, 4.0)
+        target = rng.choice(KEEPERS)
         steps.append(Step(at_s=at_s, kind="evacuate", target=target, for_s=for_s))
-        at_s += for_s + chance.uniform(1.0, 3.0)
+        at_s += for_s + rng.uniform(1.0, 3.0)
     for _ in range(2):
-        at_s = chance.uniform(0.5, LENGTH_S - 2.0)
-        target = chance.choice((*MODELS, *PLAIN))
+        at_s = rng.uniform(0.5, LENGTH_S - 2.0)
+        target = rng.choice((*MODELS, *PLAIN))
         steps.append(Step(at_s=at_s, kind="reborn", target=target, for_s=0.5))
-    at_s = chance.uniform(0.5, 4.0)
-    steps.append(Step(at_s=at_s, kind="foreign", target=MODELS[0], for_s=chance.uniform(1.0, 5.0)))
+    at_s = rng.uniform(0.5, 4.0)
+    steps.append(Step(at_s=at_s, kind="foreign", target=MODELS[0], for_s=rng.uniform(1.0, 5.0)))
     return steps
 
 
-def _draw_deadly(chance, kind):
-    path = chance.choice(("talk", "safe"))
-    at_s = chance.uniform(0.5, 2.0)
+def _draw_deadly(rng, kind):
+    path = rng.choice(("talk", "safe"))
+    at_s = rng.uniform(0.5, 2.0)
     return Step(at_s=at_s, kind=kind, target=path, for_s=LENGTH_S - 1.0 - at_s)
 
 
-def _draw_words(chance):
+def _draw_words(rng):
     """One instance of each service is limited; another asks for rest or says that it leaves."""
     steps = []
     for names in (MODELS, PLAIN):
-        limited, other = chance.sample(names, 2)
-        at_s = chance.uniform(0.3, 1.0)
-        for_s = chance.uniform(6.5, LENGTH_S - 1.5)
+        limited, other = rng.sample(names, 2)
+        at_s = rng.uniform(0.3, 1.0)
+        for_s = rng.uniform(6.5, LENGTH_S - 1.5)
         steps.append(Step(at_s=at_s, kind="limit", target=limited, for_s=for_s))
-        kind = chance.choice(("rest", "announce"))
-        at_s = chance.uniform(1.0, 4.0)
-        for_s = chance.uniform(2 * REST_S, 5.0)
+        kind = rng.choice(("rest", "announce"))
+        at_s = rng.uniform(1.0, 4.0)
+        for_s = rng.uniform(2 * REST_S, 5.0)
         steps.append(Step(at_s=at_s, kind=kind, target=other, for_s=for_s))
     return steps
 
 
-def _draw_upstreams(chance):
+def _draw_upstreams(rng):
     steps = []
-    leaving = chance.choice(MODELS)
-    at_s = chance.uniform(1.0, LENGTH_S - 4.0)
-    steps.append(Step(at_s=at_s, kind="drain", target=leaving, for_s=chance.uniform(1.5, 3.5)))
+    leaving = rng.choice(MODELS)
+    at_s = rng.uniform(1.0, LENGTH_S - 4.0)
+    steps.append(Step(at_s=at_s, kind="drain", target=leaving, for_s=rng.uniform(1.5, 3.5)))
     others = [name for name in (*MODELS, *PLAIN) if name != leaving]
-    for target in chance.sample(others, 2):
-        kind = chance.choice(LINK_KINDS)
-        at_s = chance.uniform(0.5, LENGTH_S - 2.0)
-        steps.append(Step(at_s=at_s, kind=kind, target=target, for_s=chance.uniform(0.1, 1.5)))
+    for target in rng.sample(others, 2):
+        kind = rng.choice(LINK_KINDS)
+        at_s = rng.uniform(0.5, LENGTH_S - 2.0)
+        steps.append(Step(at_s=at_s, kind=kind, target=target, for_s=rng.uniform(0.1, 1.5)))
     return steps
 
 
-def _draw_tables(chance):
+def _draw_tables(rng):
     steps = []
-    for _ in range(chance.randint(3, 8)):
-        at_s = chance.uniform(0.3, LENGTH_S - 0.5)
-        kind = chance.choice(("table", "table", "race", "bad_table"))
-        steps.append(Step(at_s=at_s, kind=kind, target=chance.choice(KEEPERS), for_s=0.0))
+    for _ in range(rng.randint(3, 8)):
+        at_s = rng.uniform(0.3, LENGTH_S - 0.5)
+        kind = rng.choice(("table", "table", "race", "bad_table"))
+        steps.append(Step(at_s=at_s, kind=kind, target=rng.choice(KEEPERS), for_s=0.0))
     return steps
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class Asked:
+class EndQuery:
     """One request of a caller.
 
     :ivar request_id: its id.
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -11,7 +11,7 @@
     alarm_broadcast,
     repeats,
     standing_alarms,
-    upstream_book,
+    upstream_registry,
 )
 
 KINDS = shared_load.AlarmKind
@@ -26,18 +26,18 @@
     return broadcast
 
 
-def _make_alarm(kind, *, life_id="i-1", sequence=1, for_ms=0):
-    return shared_load.Alarm(life_id, kind, finder="e1", sequence=sequence, for_ms=for_ms)
+def _make_alarm(kind, *, incarnation_id="i-1", sequence=1, for_ms=0):
+    return shared_load.Alarm(incarnation_id, kind, reporter="e1", sequence=sequence, for_ms=for_ms)
 
 
 def _get_later(broadcast, until_s):
     """Return what is repeated up to a time, as (time, time that is left)."""
-    for _ in range(alarm_broadcast.SENT_TIMES):
-        assert broadcast.take_part(0.0)
-    assert not broadcast.has_more
+    for _ in range(alarm_broadcast.SEND_COUNT):
+        assert broadcast.pop_batch(0.0)
+    assert not broadcast.has_pending
     steps = range(1, round(until_s / repeats.REPEAT_PAUSE_S) + 1)
     times_s = [number * repeats.REPEAT_PAUSE_S for number in steps]
-    return [(now_s, alarm.for_ms) for now_s in times_s for alarm in broadcast.take_part(now_s)]
+    return [(now_s, alarm.for_ms) for now_s in times_s for alarm in broadcast.pop_batch(now_s)]
 
 
 def test_an_alarm_that_holds_is_repeated_with_what_is_left_of_it():
@@ -60,23 +60,23 @@
     count = 3 * alarm_broadcast.REPEATED_AT_ONCE
     broadcast = _make(
         *(
-            _make_alarm(KINDS.LEAVING, life_id=f"i-{number}", sequence=number)
+            _make_alarm(KINDS.LEAVING, incarnation_id=f"i-{number}", sequence=number)
             for number in range(count)
         )
     )
-    for _ in range(alarm_broadcast.SENT_TIMES):
-        broadcast.take_part(0.0)
-    parts = [broadcast.take_part(1.0) for _ in range(3)]
+    for _ in range(alarm_broadcast.SEND_COUNT):
+        broadcast.pop_batch(0.0)
+    parts = [broadcast.pop_batch(1.0) for _ in range(3)]
     assert [len(part) for part in parts] == [alarm_broadcast.REPEATED_AT_ONCE] * 3
-    assert len({alarm.life_id for part in parts for alarm in part}) == count
+    assert len({alarm.incarnation_id for part in parts for alarm in part}) == count
 
 
 def test_what_is_due_at_once_does_not_wait_behind_what_is_due_later():
     items = repeats.Repeats()
     items.add(["later"], 0.0)
     items.add_due(["now"], 0.1)
-    assert items.take_due(9, 0.1) == ["now"]
-    assert items.take_due(9, 0.1 + repeats.REPEAT_PAUSE_S) == ["later", "now"]
+    assert items.pop_due(9, 0.1) == ["now"]
+    assert items.pop_due(9, 0.1 + repeats.REPEAT_PAUSE_S) == ["later", "now"]
 
 
 @pytest.mark.parametrize(
@@ -91,7 +91,7 @@
 def test_reports_carry_an_alarm_while_it_holds_and_no_longer(kind, for_ms, carried):
     """Guards against an instance taken for warm, or for cold anew, by a late report."""
     exchange = alarm_exchange.AlarmExchange(
-        "e1", 1, upstream_book.UpstreamBook(), on_alarm=None, on_ended=None
+        "e1", 1, upstream_registry.UpstreamRegistry(), on_alarm=None, on_ended=None
     )
     exchange.raise_alarm("i-1", kind, 0.0, for_ms=for_ms)
     times_s = [float(number) for number in range(8)]
@@ -106,14 +106,14 @@
     fleet = load_fleet.LoadFleet(entries=6, halls=3, keepers=3, instances=2)
     fleet.run(1.0)
     name = fleet.instances[0]
-    fleet.entries[0].sharing.tell_alarm(name, KINDS.RESTING, for_ms=3_000)
-    fleet.entries[0].sharing.tell_alarm(fleet.instances[1], KINDS.COLD, for_ms=9_000)
+    fleet.entries[0].sharing.broadcast_alarm(name, KINDS.RESTING, for_ms=3_000)
+    fleet.entries[0].sharing.broadcast_alarm(fleet.instances[1], KINDS.COLD, for_ms=9_000)
     fleet.run(0.3)
     for entry in fleet.entries[1:]:
-        entry.book.get(fleet.instances[1]).note_cold(0, fleet.clock())
+        entry.registry.get(fleet.instances[1]).record_cold(0, fleet.clock())
     fleet.run(5.0)
     now_s = fleet.clock()
     others = fleet.entries[1:]
-    assert not any(entry.book.get(fleet.instances[1]).is_cold(now_s) for entry in others)
+    assert not any(entry.registry.get(fleet.instances[1]).is_cold(now_s) for entry in others)
     words = [item.getMessage() for item in caplog.records]
     assert words.count("upstream asked for rest") == len(others)
--- a/tests/unit/test_clocks.py
+++ b/tests/unit/test_clocks.py
@@ -11,7 +11,7 @@
 from lib import consensus_group, gateway_setting
 from spoolhead._internal.models import route_table, shared_load
 from spoolhead._internal.network import loop as loops
-from spoolhead._internal.policy import load_view, upstream_book
+from spoolhead._internal.policy import load_view, upstream_registry
 from spoolhead._internal.utils import clocks
 
 SOURCES = pathlib.Path(__file__).parents[2] / "src"
@@ -99,12 +99,12 @@
 
 
 def test_news_of_a_hall_grows_old_while_the_machine_is_suspended(machine):
-    book = upstream_book.UpstreamBook()
-    view = load_view.LoadView("hall-a", book)
-    view.note_report(1, {})
+    registry = upstream_registry.UpstreamRegistry()
+    view = load_view.LoadView("hall-a", registry)
+    view.record_report(1, {})
     ages = [shared_load.HallAge("hall-b", 0)]
     update = shared_load.Update(sequence=1, rows={}, ages=ages, alarms=[], counted=1)
-    view.take_update(update, clocks.get_s())
+    view.handle_update(update, clocks.get_s())
     machine.suspend(SUSPENDED_S)
     assert view.get_age_ms(clocks.get_s()) >= SUSPENDED_S * 1000
 
--- a/tests/unit/test_cold_start.py
+++ b/tests/unit/test_cold_start.py
@@ -2,51 +2,51 @@
 
 from lib import gateway_setting, load_fleet
 from spoolhead._internal.models import shared_load
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 
 
-def _take(book, now_s, **fields):
-    book.take_list([gateway_setting.make_instance("i-1", **fields)], now_s)
-    return book.get("i-1")
+def _take(registry, now_s, **fields):
+    registry.take_list([gateway_setting.make_instance("i-1", **fields)], now_s)
+    return registry.get("i-1")
 
 
 def test_how_long_it_stays_cold_is_counted_from_the_reading():
-    book = upstream_book.UpstreamBook()
-    upstream = _take(book, 100.0, cold_ms=800)
+    registry = upstream_registry.UpstreamRegistry()
+    upstream = _take(registry, 100.0, cold_ms=800)
     assert upstream.is_cold(100.79)
     assert not upstream.is_cold(100.81)
 
 
 def test_one_reading_that_is_taken_again_makes_no_other_start():
-    book = upstream_book.UpstreamBook()
+    registry = upstream_registry.UpstreamRegistry()
     listed = [gateway_setting.make_instance("i-1", cold_ms=800)]
-    book.update_instances(listed, 100.0)
-    book.update_instances(listed, 101.0)
-    assert not book.get("i-1").is_cold(101.0)
+    registry.update_instances(listed, 100.0)
+    registry.update_instances(listed, 101.0)
+    assert not registry.get("i-1").is_cold(101.0)
 
 
 def test_it_may_become_cold_again_at_any_moment():
-    book = upstream_book.UpstreamBook()
-    _take(book, 100.0)
-    assert not book.get("i-1").is_cold(100.0)
-    assert _take(book, 130.0, cold_ms=1_000).is_cold(130.5)
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, 100.0)
+    assert not registry.get("i-1").is_cold(100.0)
+    assert _take(registry, 130.0, cold_ms=1_000).is_cold(130.5)
 
 
 def test_a_list_that_is_behind_does_not_end_what_the_instance_says():
-    book = upstream_book.UpstreamBook()
-    upstream = _take(book, 100.0)
-    assert upstream.note_cold(900, 100.0)
-    assert not upstream.note_cold(700, 100.2), "the same start is no news"
-    assert _take(book, 100.3, cold_ms=0).is_cold(100.8)
+    registry = upstream_registry.UpstreamRegistry()
+    upstream = _take(registry, 100.0)
+    assert upstream.record_cold(900, 100.0)
+    assert not upstream.record_cold(700, 100.2), "the same start is no news"
+    assert _take(registry, 100.3, cold_ms=0).is_cold(100.8)
 
 
 def test_a_cold_start_that_one_entry_finds_is_known_to_all_at_once():
     made = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
     made.run(1.0)
     name = made.instances[0]
-    finder = made.entries[0]
-    finder.sharing.tell_alarm(name, shared_load.AlarmKind.COLD, for_ms=5_000)
+    reporter = made.entries[0]
+    reporter.sharing.broadcast_alarm(name, shared_load.AlarmKind.COLD, for_ms=5_000)
     made.run(0.1)
-    others = [entry for entry in made.entries if entry is not finder]
-    assert all(entry.book.get(name).is_cold(made.clock()) for entry in others)
+    others = [entry for entry in made.entries if entry is not reporter]
+    assert all(entry.registry.get(name).is_cold(made.clock()) for entry in others)
     assert all(entry.alarms == [] for entry in others), "a cold start empties nothing"
--- a/tests/unit/test_consensus.py
+++ b/tests/unit/test_consensus.py
@@ -132,12 +132,12 @@
 def _lose_disks_and_all_power(group, count):
     """Lose some disks, and what was not synced everywhere else."""
     nodes = sorted(group.nodes)
-    lost = group.chance.sample(nodes, count)
+    lost = group.rng.sample(nodes, count)
     for address in nodes:
         group.nodes[address].crash()
     group.in_flight.clear()
     for address in lost:
-        (group.replace if group.chance.random() < 0.3 else group.wipe)(address)
+        (group.replace if group.rng.random() < 0.3 else group.wipe)(address)
     for node in group.nodes.values():
         if not node.is_up:
             node.start()
@@ -182,7 +182,7 @@
         group.propose(leader)
         group.settle(0.5)
         _lose_disks_and_all_power(group, count)
-        group.settle(group.chance.uniform(3.0, 6.0))
+        group.settle(group.rng.uniform(3.0, 6.0))
         assert all(node.machine.changes == group.acknowledged for node in group.up())
     assert len(group.acknowledged) == 6
 
@@ -191,7 +191,7 @@
 def test_once_a_wiped_member_is_back_another_loss_stops_nothing(seed):
     group = consensus_group.Group(seed)
     group.settle(2.0)
-    wiped, kept, lost = group.chance.sample(sorted(group.nodes), 3)
+    wiped, kept, lost = group.rng.sample(sorted(group.nodes), 3)
     group.wipe(wiped)
     returned = group.nodes[wiped]
     for _ in range(40):
