--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -93,11 +93,11 @@
     fleet.run(2.0)
     fleet.restart_entry(3)
     started = fleet.entries[3].contents
-    assert not started.agrees
+    assert not started.is_in_sync
     for _ in range(int(content_fleet.CONTACT_S / LOOK_S)):
-        if not started.agrees:
+        if not started.is_in_sync:
             fleet.run(LOOK_S)
-    assert started.agrees
+    assert started.is_in_sync
     told = {item.record.content_id for item in started.get_all()}
     assert told == set(contents)
 
@@ -117,12 +117,12 @@
 def test_a_hall_that_was_cut_off_joins_what_it_found_with_the_others():
     fleet = _make()
     inside = [n for n, entry in enumerate(fleet.entries) if entry.process.hall == "hall-0"]
-    fleet.net.cut_halls.add("hall-0")
+    fleet.net.cut_off_halls.add("hall-0")
     fleet.run(2.0)
     fleet.repeat(DEADLY, pause_s=0.7, for_s=3.0, entries=inside)
     fleet.run(4.0)
     assert fleet.get_holders(DEADLY) == inside
-    fleet.net.cut_halls.clear()
+    fleet.net.cut_off_halls.clear()
     fleet.run(content_fleet.CONTACT_S)
     assert fleet.get_holders(DEADLY) == list(range(8))
 
@@ -142,7 +142,7 @@
     mean, _ = fleet.get_traffic(fleet.entry_processes, 60.0)
     assert mean < 19_000
     for entry in fleet.entries:
-        assert len(entry.contents._quarantine.book) <= 1_000
+        assert len(entry.contents._quarantine.registry) <= 1_000
 
 
 class DeadlyRequests(stateful.RuleBasedStateMachine):
@@ -183,11 +183,11 @@
 
     @stateful.rule(hall=strategies.sampled_from(["hall-0", "hall-1", "hall-2"]))
     def cut(self, hall):
-        self.fleet.net.cut_halls = {hall}
+        self.fleet.net.cut_off_halls = {hall}
 
     @stateful.rule()
     def join(self):
-        self.fleet.net.cut_halls = set()
+        self.fleet.net.cut_off_halls = set()
 
     @stateful.rule(for_s=strategies.sampled_from([0.02, 0.5, 4.0, 21.0]))
     def pass_time(self, for_s):
@@ -196,14 +196,14 @@
     @stateful.invariant()
     def nobody_holds_what_no_end_supports(self):
         for entry in self.fleet.entries:
-            for record in entry.contents._quarantine.book.get_all():
+            for record in entry.contents._quarantine.registry.get_all():
                 for key in record.ends:
                     assert record.content_id in self.fleet.ended_lives[key]
 
     def teardown(self):
         if not hasattr(self, "fleet"):
             return
-        self.fleet.net.cut_halls = set()
+        self.fleet.net.cut_off_halls = set()
         self.fleet.run(content_fleet.CONTACT_S + 1.0)
         self._check_agreement()
         for content in self.SOUND:
@@ -211,12 +211,12 @@
 
     def _check_agreement(self):
         """All entries know the same once they are in touch."""
-        digests = {entry.contents._quarantine.book.digest for entry in self.fleet.entries}
+        digests = {entry.contents._quarantine.registry.digest for entry in self.fleet.entries}
         assert len(digests) == 1
 
     def _check_sound(self, content):
         """A sound request that comes again is served, unless its trials were disturbed."""
-        record = self.fleet.entries[0].contents._quarantine.book.get(content)
+        record = self.fleet.entries[0].contents._quarantine.registry.get(content)
         if record is not None and record.trials:
             return
         fleet = self.fleet
@@ -237,9 +237,9 @@
     fleet = _make()
     fleet.repeat(DEADLY, pause_s=0.5, for_s=2.0)
     fleet.run(3.0)
-    (record,) = fleet.entries[0].contents._quarantine.book.get_all()
+    (record,) = fleet.entries[0].contents._quarantine.registry.get_all()
     assert set(record.ends) <= set(fleet.ended_lives)
-    assert shared_load.get_key(fleet.places[0].life_id) not in record.ends
+    assert shared_load.get_key(fleet.places[0].incarnation_id) not in record.ends
 
 
 @pytest.mark.parametrize("lost_disks", [(), (0, 1)], ids=["none", "two"])
--- a/tests/unit/test_evacuations.py
+++ b/tests/unit/test_evacuations.py
@@ -118,7 +118,7 @@
 
 
 def _evacuate(setting, *halls):
-    setting.book.set_evacuated(frozenset(halls))
+    setting.registry.set_evacuated(frozenset(halls))
     if setting.exchange is not None:
         setting.exchange.on_instances_changed()
 
@@ -146,14 +146,14 @@
 
 def test_new_instances_of_an_evacuated_hall_get_nothing_and_others_do():
     setting = gateway_setting.Setting(REPEATABLE)
-    setting.book.set_evacuated(frozenset(["hall-b"]))
+    setting.registry.set_evacuated(frozenset(["hall-b"]))
     far = gateway_setting.make_instance("far", hall="hall-b")
     near = gateway_setting.make_instance("near")
-    setting.book.update_instances([far, near], 0.0)
-    assert setting.book.get("far").is_evacuated
-    assert not setting.book.get("far").is_usable(0.0)
-    assert setting.book.get("near").is_usable(0.0)
-    assert [item.instance.instance_id for item in setting.book.set_evacuated(frozenset())] == [
+    setting.registry.update_instances([far, near], 0.0)
+    assert setting.registry.get("far").is_evacuated
+    assert not setting.registry.get("far").is_usable(0.0)
+    assert setting.registry.get("near").is_usable(0.0)
+    assert [item.instance.instance_id for item in setting.registry.set_evacuated(frozenset())] == [
         "far"
     ]
 
@@ -176,8 +176,8 @@
     setting = gateway_setting.Setting(REPEATABLE)
     near = gateway_setting.make_instance("near")
     far = gateway_setting.make_instance("far", hall="hall-b")
-    setting.book.update_instances([near, far], 0.0)
-    everything = setting.book.get_all()
-    assert not hall_reach.is_out_of_reach(everything, {"hall-b"})
-    setting.book.set_evacuated(frozenset(["hall-a"]))
-    assert hall_reach.is_out_of_reach(everything, {"hall-b"})
+    setting.registry.update_instances([near, far], 0.0)
+    everything = setting.registry.get_all()
+    assert not hall_reach.is_service_unreachable(everything, {"hall-b"})
+    setting.registry.set_evacuated(frozenset(["hall-a"]))
+    assert hall_reach.is_service_unreachable(everything, {"hall-b"})
--- a/tests/unit/test_flow.py
+++ b/tests/unit/test_flow.py
@@ -319,7 +319,7 @@
 def test_a_held_request_that_may_run_is_not_called_not_run():
     setting = fakes.Setting(fakes.make_request())
     setting.calls.made[-1].may_have_arrived = True
-    setting.flow.hold_back()
+    setting.flow.reject_held()
     assert setting.ran is codes.Ran.UNKNOWN
     assert setting.result.code is codes.ResultCode.UPSTREAM_LOST
     assert setting.caller.status == 502
@@ -327,7 +327,7 @@
 
 def test_a_held_request_that_has_not_run_is_refused_without_when_to_come_back():
     setting = fakes.Setting(fakes.make_request())
-    setting.flow.hold_back()
+    setting.flow.reject_held()
     assert setting.ran is codes.Ran.NO
     assert setting.result.code is codes.ResultCode.REQUEST_HELD
     assert setting.caller.status == 503
--- a/tests/unit/test_gateway_plain.py
+++ b/tests/unit/test_gateway_plain.py
@@ -104,7 +104,7 @@
     setting.caller.on_gone()
     assert setting.last.is_over
     assert len(setting.ended) == 1
-    assert not any(upstream.works for upstream in setting.book.get_all())
+    assert not any(upstream.in_flight for upstream in setting.registry.get_all())
 
 
 def test_a_leaving_instance_gets_no_new_work():
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -7,7 +7,7 @@
 
 from lib import gateway_setting
 from spoolhead._internal.models import route_table, shared_load
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 from spoolhead._internal.relay import splice
 from spoolhead._internal.utils import clocks
 
@@ -162,7 +162,7 @@
     kind = shared_load.AlarmKind.UNHEALTHY
     assert setting.exchange.upstream.raise_alarm(clocks.get_s(), kind)
     setting.exchange.on_instances_changed()
-    monkeypatch.setattr(upstream_book, "ALARM_S", 0.0)
+    monkeypatch.setattr(upstream_registry, "ALARM_S", 0.0)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     assert not first.is_over
     assert len(_get_releases(setting)) == 1
@@ -174,7 +174,7 @@
     setting.caller.is_gone = True
     setting.caller.on_gone()
     assert setting.last.is_over
-    assert not any(upstream.works for upstream in setting.book.get_all())
+    assert not any(upstream.in_flight for upstream in setting.registry.get_all())
 
 
 def test_a_copy_under_way_is_freed_once_its_handle_is_known():
@@ -240,8 +240,8 @@
     assert not setting.calls.attempts
     setting.caller.is_gone = True
     setting.caller.on_gone()
-    for upstream in setting.book.get_all():
-        upstream.works.clear()
+    for upstream in setting.registry.get_all():
+        upstream.in_flight.clear()
     setting.timers.run_due(60.0)
     assert not setting.calls.attempts
     assert setting.ended
--- a/tests/unit/test_hall_reach.py
+++ b/tests/unit/test_hall_reach.py
@@ -5,7 +5,7 @@
 from lib import gateway_setting
 from spoolhead._internal.models import route_table
 from spoolhead._internal.network import links
-from spoolhead._internal.policy import hall_reach, upstream_book
+from spoolhead._internal.policy import hall_reach, upstream_registry
 
 SUSPECT_S = hall_reach.SUSPECT_S
 SILENT_SUSPECT_S = hall_reach.SILENT_SUSPECT_S
@@ -13,66 +13,66 @@
 
 def _make():
     reach = hall_reach.HallReach("hall-a")
-    reach.note_answer("hall-b", 9.0)
+    reach.record_answer("hall-b", 9.0)
     return reach
 
 
 def test_a_hall_is_cut_off_after_a_connection_timed_out_and_nothing_came_since():
     reach = _make()
-    assert not reach.get_cut_halls((), 10.0)
-    reach.note_time_out("hall-b", 10.0)
-    assert reach.get_cut_halls((), 10.0) == {"hall-b"}
+    assert not reach.get_cut_off_halls((), 10.0)
+    reach.record_timeout("hall-b", 10.0)
+    assert reach.get_cut_off_halls((), 10.0) == {"hall-b"}
 
 
 def test_a_hall_that_answers_has_one_dark_instance_only():
     reach = _make()
-    reach.note_time_out("hall-b", 10.0)
-    reach.note_answer("hall-b", 10.1)
-    assert not reach.get_cut_halls((), 10.2)
+    reach.record_timeout("hall-b", 10.0)
+    reach.record_answer("hall-b", 10.1)
+    assert not reach.get_cut_off_halls((), 10.2)
 
 
 def test_the_way_is_tried_again_sooner_if_the_halls_entries_are_heard():
     reach = _make()
-    reach.note_time_out("hall-b", 10.0)
+    reach.record_timeout("hall-b", 10.0)
     soon_s = 10.0 + SUSPECT_S + 0.1
-    assert not reach.get_cut_halls((), soon_s)
-    assert reach.get_cut_halls({"hall-b"}, soon_s) == {"hall-b"}
-    assert not reach.get_cut_halls({"hall-b"}, 10.0 + SILENT_SUSPECT_S + 0.1)
+    assert not reach.get_cut_off_halls((), soon_s)
+    assert reach.get_cut_off_halls({"hall-b"}, soon_s) == {"hall-b"}
+    assert not reach.get_cut_off_halls({"hall-b"}, 10.0 + SILENT_SUSPECT_S + 0.1)
 
 
 def test_the_own_hall_is_never_cut_off():
     reach = _make()
-    reach.note_time_out("hall-a", 10.0)
-    assert not reach.get_cut_halls({"hall-a"}, 10.0)
+    reach.record_timeout("hall-a", 10.0)
+    assert not reach.get_cut_off_halls({"hall-a"}, 10.0)
 
 
 def test_a_silent_hall_is_lost_only_once_it_was_tried_in_vain():
     reach = _make()
-    assert not reach.get_lost_halls({"hall-b"}, 10.0, is_alone=False)
-    reach.note_time_out("hall-b", 10.0)
-    assert reach.get_lost_halls({"hall-b"}, 10.0, is_alone=False) == {"hall-b"}
-    assert not reach.get_lost_halls((), 10.0, is_alone=False)
-    reach.note_answer("hall-b", 11.0)
-    assert not reach.get_lost_halls({"hall-b"}, 11.0, is_alone=False)
+    assert not reach.get_unreachable_halls({"hall-b"}, 10.0, is_isolated=False)
+    reach.record_timeout("hall-b", 10.0)
+    assert reach.get_unreachable_halls({"hall-b"}, 10.0, is_isolated=False) == {"hall-b"}
+    assert not reach.get_unreachable_halls((), 10.0, is_isolated=False)
+    reach.record_answer("hall-b", 11.0)
+    assert not reach.get_unreachable_halls({"hall-b"}, 11.0, is_isolated=False)
 
 
 def test_to_one_that_hears_no_hall_a_silent_one_is_lost_unless_it_answers():
     reach = _make()
-    assert reach.get_lost_halls({"hall-b"}, 10.0, is_alone=True) == {"hall-b"}
-    reach.note_answer("hall-b", 10.0)
-    assert not reach.get_lost_halls({"hall-b"}, 10.1, is_alone=True)
-    assert reach.get_lost_halls({"hall-b", "hall-c"}, 10.1, is_alone=True) == {"hall-c"}
+    assert reach.get_unreachable_halls({"hall-b"}, 10.0, is_isolated=True) == {"hall-b"}
+    reach.record_answer("hall-b", 10.0)
+    assert not reach.get_unreachable_halls({"hall-b"}, 10.1, is_isolated=True)
+    assert reach.get_unreachable_halls({"hall-b", "hall-c"}, 10.1, is_isolated=True) == {"hall-c"}
 
 
 def test_a_service_is_out_of_reach_if_all_its_instances_stand_in_lost_halls():
-    book = upstream_book.UpstreamBook()
+    registry = upstream_registry.UpstreamRegistry()
     near = gateway_setting.make_instance("near")
     far = gateway_setting.make_instance("far", hall="hall-b")
-    book.update_instances([near, far], 0.0)
-    assert not hall_reach.is_out_of_reach(book.get_service("s"), {"hall-b"})
-    book.update_instances([gateway_setting.make_instance("near", is_leaving=True), far], 0.0)
-    assert hall_reach.is_out_of_reach(book.get_service("s"), {"hall-b"})
-    assert not hall_reach.is_out_of_reach(book.get_service("none"), {"hall-b"})
+    registry.update_instances([near, far], 0.0)
+    assert not hall_reach.is_service_unreachable(registry.get_service("s"), {"hall-b"})
+    registry.update_instances([gateway_setting.make_instance("near", is_leaving=True), far], 0.0)
+    assert hall_reach.is_service_unreachable(registry.get_service("s"), {"hall-b"})
+    assert not hall_reach.is_service_unreachable(registry.get_service("none"), {"hall-b"})
 
 
 @pytest.mark.parametrize("kind", [route_table.RequestKind.STREAM, route_table.RequestKind.ONCE])
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -6,7 +6,7 @@
 from spoolhead._internal.gateway import health_watch
 from spoolhead._internal.models import fleet, route_table
 from spoolhead._internal.network import links
-from spoolhead._internal.policy import upstream_book, watch_duty
+from spoolhead._internal.policy import upstream_registry, watch_duty
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 from spoolhead.platform import dialect
@@ -28,8 +28,8 @@
 class _Watch:
     def __init__(self, *, silent=(), watchers=("entry-1",)):
         self.calls = gateway_setting.GatewayCalls()
-        self.book = upstream_book.UpstreamBook()
-        self.book.update_instances([gateway_setting.make_instance("i-1", hall="hall-b")], 0.0)
+        self.registry = upstream_registry.UpstreamRegistry()
+        self.registry.update_instances([gateway_setting.make_instance("i-1", hall="hall-b")], 0.0)
         self.alarms = []
         self.colds = []
         self.replaced_ids = []
@@ -50,7 +50,7 @@
             self.calls,
             config,
             dialect.Dialect(),
-            self.book,
+            self.registry,
             get_table=lambda: matcher.Matcher(table),
             get_watchers=lambda: [
                 fleet.Process(name=n, hall="hall-a", address="") for n in watchers
@@ -60,7 +60,7 @@
             on_cold=lambda upstream, cold_ms: self.colds.append(cold_ms),
             on_replaced=self.replaced_ids.append,
             on_answer=lambda upstream, head: self.heads.append(head),
-            is_limited=lambda upstream: upstream.instance.life_id in self.limited,
+            is_limited=lambda upstream: upstream.instance.incarnation_id in self.limited,
         )
 
     def ask(self):
@@ -72,7 +72,7 @@
     watch.ask()
     watch.calls.made[0].answer(200, [])
     assert not watch.alarms
-    assert not watch.book.get("i-1").is_alarmed(0.0)
+    assert not watch.registry.get("i-1").is_alarmed(0.0)
 
 
 @pytest.mark.parametrize("outcome", ["bad", "lost"])
@@ -180,7 +180,7 @@
 def test_an_instance_that_asked_for_rest_is_not_asked_for_its_health():
     """Guards against questions that an instance in need has to answer instead of requests."""
     watch = _Watch()
-    watch.book.get("i-1").rest.record(60_000, clocks.get_s())
+    watch.registry.get("i-1").rest.record(60_000, clocks.get_s())
     watch.ask()
     assert watch.calls.made == []
 
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lib import fakes, gateway_setting, simulated_clock
-from spoolhead._internal.entry import decision_book, dispatcher, held_contents
+from spoolhead._internal.entry import decision_history, dispatcher, held_contents
 from spoolhead._internal.models import content_record, rows, settings
 from spoolhead._internal.network import links
 from spoolhead._internal.network import loop as loops
@@ -32,14 +32,14 @@
         )
 
     def abandon(self):
-        life_id = self.contents.get_life_id("u1")
-        self.contents.note_abandoned(self.replica, life_id, CONTENT, 0.0)
+        incarnation_id = self.contents.get_life_id("u1")
+        self.contents.record_abandoned(self.replica, incarnation_id, CONTENT, 0.0)
 
 
 def test_an_upstream_that_refuses_is_asked_where_a_request_was_abandoned():
     setting = Setting()
     setting.abandon()
-    setting.contents.note_unreachable(setting.replica)
+    setting.contents.record_unreachable(setting.replica)
     (question,) = setting.calls.made
     assert question.target == "/load"
     question.lose(links.REFUSED)
@@ -49,7 +49,7 @@
 def test_what_it_knows_outlasts_it_on_its_own_disk(tmp_path):
     setting = Setting(tmp_path)
     setting.abandon()
-    setting.contents.note_unreachable(setting.replica)
+    setting.contents.record_unreachable(setting.replica)
     setting.calls.made[0].lose(links.REFUSED)
     assert setting.contents._saved.wait_until_synced(SAVED_S)
     assert Setting(tmp_path).contents.is_suspect(CONTENT)
@@ -66,14 +66,14 @@
 def test_an_upstream_that_answers_has_not_ended():
     setting = Setting()
     setting.abandon()
-    setting.contents.note_unreachable(setting.replica)
+    setting.contents.record_unreachable(setting.replica)
     setting.calls.made[0].answer(200, [])
     assert not setting.contents.is_suspect(CONTENT)
 
 
 def test_an_upstream_that_had_nothing_of_this_entry_is_not_asked():
     setting = Setting()
-    setting.contents.note_unreachable(setting.replica)
+    setting.contents.record_unreachable(setting.replica)
     assert not setting.calls.made
 
 
@@ -85,7 +85,7 @@
     setting.replica.row.state = rows.UpstreamState.LEAVING
     if leaves != "after that":
         setting.abandon()
-    setting.contents.note_unreachable(setting.replica)
+    setting.contents.record_unreachable(setting.replica)
     assert not setting.calls.made
 
 
@@ -101,7 +101,7 @@
             self.timers,
             probe_path="/load",
             tell=lambda records: None,
-            on_held=lambda content_id: self.dispatcher.hold_back(content_id),
+            on_held=lambda content_id: self.dispatcher.reject_held(content_id),
             folder=None,
         )
         config = settings.EntrySettings(
@@ -126,7 +126,7 @@
             self.calls,
             gathered,
             policy_set.PolicySet(),
-            decision_book.DecisionBook(config, gathered, clocks.get_s),
+            decision_history.DecisionHistory(config, gathered, clocks.get_s),
             self.contents,
         )
         self.dispatcher.update_upstreams()
@@ -153,7 +153,7 @@
     assert not entry.calls.attempts
     assert again.status == 503
     entry.timers.run(quarantine.CLAIM_S + 0.01)
-    entry.dispatcher.hold_back(content_id)
+    entry.dispatcher.reject_held(content_id)
     (call,) = entry.calls.attempts
     call.may_have_arrived = True
     call.user.on_answer_head(200, [])
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -4,7 +4,7 @@
 
 from lib import gateway_setting
 from spoolhead._internal.contents import end_watch
-from spoolhead._internal.gateway import stream_exchange, upstream_news
+from spoolhead._internal.gateway import stream_exchange, upstream_events
 from spoolhead._internal.models import codes, route_table
 from spoolhead._internal.network import links
 from spoolhead._internal.policy import lost_runs, quarantine, request_content
@@ -33,8 +33,8 @@
     """Have instances end under a content, one after the other."""
     for number in numbers:
         clock.now_s += 1.0
-        contents.note_lost(f"former-{number}", content_id, clock.now_s - 0.1)
-        contents.note_ended(f"former-{number}", "Connection refused")
+        contents.record_lost(f"former-{number}", content_id, clock.now_s - 0.1)
+        contents.record_ended(f"former-{number}", "Connection refused")
 
 
 @pytest.fixture
@@ -88,7 +88,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents)
     setting.last.send()
     _end(contents, clock, setting.exchange.job.content_id, 1, 2)
-    setting.exchange.hold_back()
+    setting.exchange.reject_held()
     assert setting.last.is_over
     assert setting.caller.status == 502
     assert b'"ran": "unknown"' in setting.caller.data
@@ -100,7 +100,7 @@
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 2), whole=False)
     content_id = setting.exchange.job.content_id
     _end(contents, clock, content_id, 1, 2)
-    setting.exchange.hold_back()
+    setting.exchange.reject_held()
     assert not setting.last.is_over
     setting.last.end()
     assert not contents.is_suspect(content_id)
@@ -175,7 +175,7 @@
     setting.leave("i-1")
     setting.last.send()
     setting.last.lose()
-    contents.note_ended("i-1", "no longer listed")
+    contents.record_ended("i-1", "no longer listed")
     assert not contents.is_suspect(setting.exchange.job.content_id)
     assert not setting.asked
 
@@ -187,7 +187,7 @@
     setting.last.lose()
     (upstream,) = setting.asked
     assert not contents.is_suspect(setting.exchange.job.content_id)
-    contents.note_ended(upstream.instance.life_id, "Connection refused")
+    contents.record_ended(upstream.instance.incarnation_id, "Connection refused")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -196,11 +196,11 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.lose(links.REFUSED)
     assert not setting.asked
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
-class Asking:
+class ContentSource:
     """An entry that asks an instance which has lost a request."""
 
     def __init__(self, clock):
@@ -225,7 +225,7 @@
         self.ask()
 
     def ask(self):
-        asked = end_watch.Asked("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
+        asked = end_watch.EndQuery("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
         self.watch.query(asked)
 
     @property
@@ -234,7 +234,7 @@
 
 
 def test_an_instance_that_refuses_connections_has_ended(clock):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     (question,) = asking.calls.made
     assert question.fresh and question.target == "/healthz"
     question.lose(links.REFUSED)
@@ -243,51 +243,51 @@
 
 
 def test_an_instance_at_whose_address_another_answers_has_ended(clock):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     asking.calls.made[0].answer(200, [("x-replica-id", "i-9")])
     assert asking.is_suspect
 
 
 def test_an_instance_that_answers_lost_the_request_by_something_else(clock):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     asking.calls.made[0].answer(503, [("x-replica-id", "i-1")])
-    asking.contents.note_ended("i-1", "no longer listed")
+    asking.contents.record_ended("i-1", "no longer listed")
     assert not asking.is_suspect
     assert not asking.told
 
 
 @pytest.mark.parametrize("reason", ["Connection reset by peer", links.CONNECT_TIMEOUT])
 def test_what_a_link_may_have_done_leaves_it_open(clock, reason):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     asking.calls.made[0].lose(reason)
     assert not asking.is_suspect
-    asking.contents.note_ended("i-1", "no longer listed")
+    asking.contents.record_ended("i-1", "no longer listed")
     assert asking.is_suspect
 
 
 def test_a_process_that_is_just_ending_is_asked_again(clock):
     """Seen: its listener took the question's connection and was closed a moment later."""
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     asking.calls.made[0].lose("Connection reset by peer")
     assert not asking.is_suspect
-    asking.timers.run_due(end_watch.ASK_AGAIN_S)
+    asking.timers.run_due(end_watch.RETRY_INTERVAL_S)
     asking.calls.made[1].lose(links.REFUSED)
     assert asking.is_suspect
 
 
 def test_an_instance_that_resets_all_questions_is_not_asked_for_ever(clock):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     for number in range(20):
         if len(asking.calls.made) == number:
             break
         asking.calls.made[number].lose("Connection reset by peer")
-        asking.timers.run_due(end_watch.ASK_AGAIN_S)
-    assert len(asking.calls.made) == end_watch.MOST_QUESTIONS
+        asking.timers.run_due(end_watch.RETRY_INTERVAL_S)
+    assert len(asking.calls.made) == end_watch.MAX_QUERIES
     assert not asking.is_suspect
 
 
 def test_silence_leaves_it_open_and_it_may_be_asked_again(clock):
-    asking = Asking(clock)
+    asking = ContentSource(clock)
     asking.timers.run_due(end_watch.ANSWER_S)
     assert asking.calls.made[0].is_over
     assert not asking.is_suspect
@@ -338,13 +338,13 @@
 def test_a_loss_by_which_it_is_held_ends_it_once(kind, clock):
     """Its instance was known to have ended before its connection told."""
     contents = gateway_setting.make_contents(
-        clock=clock, on_held=lambda content_id: setting.exchange.hold_back()
+        clock=clock, on_held=lambda content_id: setting.exchange.reject_held()
     )
     _end(contents, clock, _get_content_id(), 1)
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1", "i-2"))
     clock.now_s += 1.0
     setting.exchange._attempt.sent_s = clock.now_s
-    contents.note_ended(setting.last.address.removesuffix(":80"), "told")
+    contents.record_ended(setting.last.address.removesuffix(":80"), "told")
     clock.now_s += 1.0
     setting.last.send()
     setting.last.lose()
@@ -356,14 +356,14 @@
 def test_what_runs_may_show_that_several_ends_at_once_were_not_its_doing(clock):
     """As with a request that many send, when a rack fails."""
     contents = gateway_setting.make_contents(
-        clock=clock, on_held=lambda content_id: setting.exchange.hold_back()
+        clock=clock, on_held=lambda content_id: setting.exchange.reject_held()
     )
     setting = gateway_setting.Setting(STREAM, contents=contents)
     content_id = setting.exchange.job.content_id
     for name in ("x-1", "x-2", "x-3"):
-        contents.note_lost(name, content_id, clock.now_s - 1.0)
+        contents.record_lost(name, content_id, clock.now_s - 1.0)
     for name in ("x-1", "x-2", "x-3"):
-        contents.note_ended(name, "Connection refused")
+        contents.record_ended(name, "Connection refused")
     assert contents.is_held(content_id)
     assert not setting.last.is_over
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 3))
@@ -383,7 +383,7 @@
         setting.caller.on_gone()
     assert setting.last.is_over
     clock.now_s += 0.2
-    contents.note_ended("i-1", "told by another entry")
+    contents.record_ended("i-1", "told by another entry")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -393,7 +393,7 @@
     setting.last.send()
     setting.caller.on_gone()
     clock.now_s += lost_runs.ABANDONED_S + 0.1
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -401,7 +401,7 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.caller.on_gone()
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -411,7 +411,7 @@
     setting.last.send()
     setting.leave("i-1")
     setting.caller.on_gone()
-    contents.note_ended("i-1", "no longer listed")
+    contents.record_ended("i-1", "no longer listed")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -420,7 +420,7 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 3))
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -429,8 +429,8 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
     setting.caller.on_gone()
-    contents.note_alive("i-1")
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_alive("i-1")
+    contents.record_ended("i-1", "Connection refused")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -443,7 +443,7 @@
 
 
 def _make_news(setting):
-    return upstream_news.UpstreamNews(setting.context, None, set(), get_table=lambda: None)
+    return upstream_events.UpstreamEvents(setting.context, None, set(), get_table=lambda: None)
 
 
 def test_an_instance_that_refuses_others_is_asked_where_a_request_was_abandoned(clock):
@@ -451,24 +451,24 @@
     _abandon(contents)
     other = gateway_setting.Setting(ONCE, contents=contents, names=("i-1",))
     other.last.lose(links.REFUSED)
-    assert [upstream.instance.life_id for upstream in other.asked] == ["i-1"]
+    assert [upstream.instance.incarnation_id for upstream in other.asked] == ["i-1"]
 
 
 def test_an_instance_with_an_alarm_is_asked_where_a_request_was_abandoned(clock):
     """Nobody else may have lost anything there, and its health alone shows no end."""
     setting = _abandon(_make_contents(clock))
-    upstream = setting.book.get("i-1")
+    upstream = setting.registry.get("i-1")
     _make_news(setting).drain(upstream)
     assert setting.asked == [upstream]
 
 
 def test_an_instance_is_not_asked_long_after_or_when_it_leaves(clock):
     leaving = _abandon(_make_contents(clock), leave=["i-1"])
-    _make_news(leaving).drain(leaving.book.get("i-1"))
+    _make_news(leaving).drain(leaving.registry.get("i-1"))
     assert not leaving.asked
     former = _abandon(_make_contents(clock))
     clock.now_s += lost_runs.ABANDONED_S + 0.1
-    _make_news(former).drain(former.book.get("i-1"))
+    _make_news(former).drain(former.registry.get("i-1"))
     assert not former.asked
 
 
@@ -481,19 +481,19 @@
     setting.caller.on_gone()
     sent_s = clock.now_s + 0.1
     clock.now_s += 0.2
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     clock.now_s += 0.2
-    contents.note_lost("i-2", content_id, sent_s)
-    contents.note_ended("i-2", "Connection refused")
+    contents.record_lost("i-2", content_id, sent_s)
+    contents.record_ended("i-2", "Connection refused")
     assert not contents.is_held(content_id)
 
 
 def test_of_requests_abandoned_at_one_instance_only_the_late_ones_count(clock):
     contents = _make_contents(clock)
-    contents.note_abandoned("i-1", b"early", clock.now_s - 0.1)
+    contents.record_abandoned("i-1", b"early", clock.now_s - 0.1)
     clock.now_s += lost_runs.ABANDONED_S
-    contents.note_abandoned("i-1", b"late", clock.now_s - 0.1)
+    contents.record_abandoned("i-1", b"late", clock.now_s - 0.1)
     clock.now_s += 0.1
-    contents.note_ended("i-1", "Connection refused")
+    contents.record_ended("i-1", "Connection refused")
     assert contents.is_suspect(b"late")
     assert not contents.is_suspect(b"early")
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -53,20 +53,20 @@
 ]
 
 
-def _get_bar(setting, upstream, now_s):
+def _get_block_reason(setting, upstream, now_s):
     service = setting.exchange.job.service
-    return setting.context.gate.get_bar(service, upstream, now_s, claim=gateway_setting.CLAIM)
+    return setting.context.gate.get_block_reason(service, upstream, now_s, claim=gateway_setting.CLAIM)
 
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_an_instance_that_asked_for_rest_is_barred_until_it_is_over(kind):
     setting = gateway_setting.Setting(kind, names=("i-1",), attempts=1)
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     setting.last.answer(503, TURNED_AWAY)
     now_s = clocks.get_s()
-    assert _get_bar(setting, upstream, now_s) is upstream_gate.Bar.RESTING
-    assert _get_bar(setting, upstream, now_s + 2.9) is upstream_gate.Bar.RESTING
-    assert _get_bar(setting, upstream, now_s + 3.1) is None
+    assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.RESTING
+    assert _get_block_reason(setting, upstream, now_s + 2.9) is upstream_gate.BlockReason.RESTING
+    assert _get_block_reason(setting, upstream, now_s + 3.1) is None
     assert setting.alarms == [("i-1", shared_load.AlarmKind.RESTING, 3_000)]
 
 
@@ -126,8 +126,8 @@
 
 def test_a_word_of_another_instance_at_the_address_is_none_of_this_one():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), attempts=1)
-    (upstream,) = setting.book.get_all()
-    setting.news.take_answer(upstream, _read(421, retry_after="3"), 0.0)
+    (upstream,) = setting.registry.get_all()
+    setting.news.handle_answer(upstream, _read(421, retry_after="3"), 0.0)
     assert not upstream.rest.is_resting(0.1)
 
 
@@ -138,15 +138,15 @@
 def test_an_instance_that_says_that_it_leaves_is_barred_whatever_the_list_shows(kind):
     """Guards against an entry that waits for a list that is late or can't be read."""
     setting = gateway_setting.Setting(kind, names=("i-1",))
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     setting.last.user.on_answer_head(200, LEAVING)
     setting.list()
     now_s = clocks.get_s()
     for later_s in (0.0, 5.0, 600.0):
-        assert _get_bar(setting, upstream, now_s + later_s) is upstream_gate.Bar.LEAVING
+        assert _get_block_reason(setting, upstream, now_s + later_s) is upstream_gate.BlockReason.LEAVING
     assert setting.alarms == [("i-1", shared_load.AlarmKind.LEAVING, 0)]
-    setting.news.take_answer(upstream, _read(200), now_s)
-    assert _get_bar(setting, upstream, now_s) is upstream_gate.Bar.LEAVING
+    setting.news.handle_answer(upstream, _read(200), now_s)
+    assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.LEAVING
 
 
 def test_a_run_leaves_an_instance_that_says_that_it_leaves():
@@ -155,36 +155,36 @@
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
     setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
     name = setting.last.address.removesuffix(":80")
-    setting.news.take_answer(setting.book.get(name), _read(200, server_leaving="1"), 0.0)
+    setting.news.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
     assert len(setting.calls.copies) == 1
 
 
 def test_the_end_of_an_instance_that_said_that_it_leaves_is_no_requests_fault():
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
-    (upstream,) = setting.book.get_all()
-    assert not upstream.is_ending_as_planned(0.0)
+    (upstream,) = setting.registry.get_all()
+    assert not upstream.is_expected_to_end(0.0)
     setting.last.user.on_answer_head(200, LEAVING)
-    assert upstream.is_ending_as_planned(clocks.get_s() + 60.0)
+    assert upstream.is_expected_to_end(clocks.get_s() + 60.0)
     setting.last.lose()
     assert setting.asked == []
 
 
 def test_an_instance_that_starts_again_under_its_id_does_not_leave():
-    setting = gateway_setting.Setting(ONCE, names=("i-1",), born_ms=1)
+    setting = gateway_setting.Setting(ONCE, names=("i-1",), started_ms=1)
     setting.last.user.on_answer_head(200, LEAVING)
-    setting.born_ms = 2
+    setting.started_ms = 2
     setting.list()
-    (upstream,) = setting.book.get_all()
-    assert _get_bar(setting, upstream, clocks.get_s()) is None
+    (upstream,) = setting.registry.get_all()
+    assert _get_block_reason(setting, upstream, clocks.get_s()) is None
 
 
 def test_others_that_are_told_of_it_send_nothing_either():
     fleet = limit_fleet.LimitFleet(entries=8)
     entry = fleet.entries[0]
     name, *_ = fleet.instances
-    entry.news.take_answer(entry.book.get(name), _read(200, server_leaving="1"), fleet.clock())
+    entry.news.handle_answer(entry.registry.get(name), _read(200, server_leaving="1"), fleet.clock())
     fleet.run(0.3)
-    assert all(item.book.get(name).is_leaving for item in fleet.entries)
+    assert all(item.registry.get(name).is_leaving for item in fleet.entries)
     assert all(item.alarms == [name] for item in fleet.entries[1:])
 
 
@@ -200,7 +200,7 @@
 
 def _say(fleet, number, name, status, **headers):
     entry = fleet.entries[number]
-    entry.news.take_answer(entry.book.get(name), _read(status, **headers), fleet.clock())
+    entry.news.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
 @pytest.mark.parametrize("said_to", [0, 1])
@@ -211,7 +211,7 @@
     fleet.run(5.0)
     started = fleet.restart_entry(0)
     fleet.run(0.5)
-    assert started.book.get(name).is_leaving
+    assert started.registry.get(name).is_leaving
 
 
 @pytest.mark.parametrize("said_to", [0, 1])
@@ -222,7 +222,7 @@
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
     started.take_list(fleet.listed)
-    assert started.book.get(name).is_leaving
+    assert started.registry.get(name).is_leaving
     assert started.alarms == [name]
 
 
@@ -231,7 +231,7 @@
     _say(fleet, 0, name, 503, **REST)
     until_s = fleet.clock() + 3.0
     fleet.run(1.0)
-    upstream = fleet.restart_entry(0).book.get(name)
+    upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
     assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(
         (until_s - fleet.clock()) * 1000, abs=50
@@ -245,7 +245,7 @@
     for number in (1, 2):
         _say(fleet, number, name, 503, **REST)
     fleet.run(1.0)
-    upstream = fleet.restart_entry(0).book.get(name)
+    upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
     assert not upstream.rest.is_resting(fleet.clock())
     assert upstream.rest.is_doubtful(fleet.clock())
@@ -257,7 +257,7 @@
     """Guards against an echo that lengthens the rest or counts as another entry's."""
     fleet, name = _make_fleet()
     _say(fleet, 0, name, 503, **REST)
-    upstream = fleet.entries[0].book.get(name)
+    upstream = fleet.entries[0].registry.get(name)
     left_ms = upstream.rest.get_left_ms(fleet.clock())
     fleet.run(0.5)
     assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(left_ms - 500, abs=1)
@@ -271,11 +271,11 @@
 def test_an_instance_that_turns_a_request_away_is_left_to_the_last_for_a_moment(kind):
     """Guards against an instance that looks emptiest since it turns away all that comes."""
     setting = gateway_setting.Setting(kind, names=("i-1",), attempts=1)
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     setting.last.answer(503, NOT_RUN)
     now_s = clocks.get_s()
-    assert _get_bar(setting, upstream, now_s) is upstream_gate.Bar.SUSPECTED
-    assert _get_bar(setting, upstream, now_s + 0.2) is None
+    assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.SUSPECTED
+    assert _get_block_reason(setting, upstream, now_s + 0.2) is None
     setting.exchange._tried.clear()
     assert setting.exchange.choose(0).upstream is upstream
 
--- a/tests/unit/test_keeper_feed.py
+++ b/tests/unit/test_keeper_feed.py
@@ -128,14 +128,14 @@
 def test_lists_sent_as_changes_come_to_the_same_as_whole_ones(keeper):
     """Whatever is listed in turn, a follower's list is the keeper's."""
     session = keeper.join("e")
-    chance = random.Random(4)
+    rng = random.Random(4)
     held = {}
     for _ in range(200):
-        names = chance.sample(range(30), chance.randrange(30))
+        names = rng.sample(range(30), rng.randrange(30))
         listed = [
-            gateway_setting.make_instance(f"i-{n}", is_leaving=chance.random() < 0.3) for n in names
+            gateway_setting.make_instance(f"i-{n}", is_leaving=rng.random() < 0.3) for n in names
         ]
-        keeper.feed.publish_instances(chance.randrange(1, 3), listed)
+        keeper.feed.publish_instances(rng.randrange(1, 3), listed)
         sent = session.get(route_messages.InstanceList)[-1]
         for name in sent.gone:
             del held[name]
--- a/tests/unit/test_limit_broadcast.py
+++ b/tests/unit/test_limit_broadcast.py
@@ -1,17 +1,17 @@
 """What a hub passes on of the limits that instances state, and how often."""
 
-from spoolhead._internal.policy import limit_book, limit_broadcast, repeats
+from spoolhead._internal.policy import limit_registry, limit_broadcast, repeats
 
 STEP_S = 0.1
 
 
 def _make(count=1, now_s=0.0):
-    book = limit_book.LimitBook()
+    registry = limit_registry.LimitRegistry()
     for key in range(count):
-        book.record(key, 2.0, now_s)
-    broadcast = limit_broadcast.LimitBroadcast(book)
+        registry.record(key, 2.0, now_s)
+    broadcast = limit_broadcast.LimitBroadcast(registry)
     broadcast.add(range(count), now_s)
-    return book, broadcast
+    return registry, broadcast
 
 
 def _get_sent(broadcast, since_s, until_s):
@@ -20,7 +20,7 @@
     steps = round((until_s - since_s) / STEP_S)
     for number in range(steps):
         now_s = since_s + number * STEP_S
-        part = broadcast.take_part(now_s)
+        part = broadcast.pop_batch(now_s)
         if part:
             sent[round(now_s, 1)] = [(item.key, item.limit_per_s) for item in part]
     return sent
@@ -30,8 +30,8 @@
     """Guards against a receiver that never hears of it as it lost the first datagrams."""
     _, broadcast = _make()
     sent_s = sorted(_get_sent(broadcast, 0.0, 8.0))
-    assert sent_s[: limit_broadcast.SENT_TIMES] == [0.0, 0.1]
-    later_s = sent_s[limit_broadcast.SENT_TIMES :]
+    assert sent_s[: limit_broadcast.SEND_COUNT] == [0.0, 0.1]
+    later_s = sent_s[limit_broadcast.SEND_COUNT :]
     pauses_s = [after - before for before, after in zip(later_s, later_s[1:], strict=False)]
     assert all(pause_s <= repeats.REPEAT_PAUSE_S + STEP_S for pause_s in pauses_s)
     last_s = repeats.REPEATED_FOR_S
@@ -39,9 +39,9 @@
 
 
 def test_what_is_repeated_is_the_newest_statement():
-    book, broadcast = _make()
+    registry, broadcast = _make()
     _get_sent(broadcast, 0.0, 1.0)
-    book.record(0, None, 1.0)
+    registry.record(0, None, 1.0)
     broadcast.add([0], 1.0)
     sent = _get_sent(broadcast, 1.0, 8.0)
     assert {limit for part in sent.values() for limit in part} == {(0, None)}
@@ -53,7 +53,7 @@
     _, broadcast = _make(count)
     sent = _get_sent(broadcast, 0.0, 3.0)
     assert max(len(part) for part in sent.values()) <= limit_broadcast.LIMITS_AT_ONCE
-    first_s = (limit_broadcast.SENT_TIMES * 3) * STEP_S
+    first_s = (limit_broadcast.SEND_COUNT * 3) * STEP_S
     later = [key for sent_s, part in sent.items() if sent_s >= first_s for key, _ in part]
     assert set(later) == set(range(count))
 
@@ -61,9 +61,9 @@
 def test_repeats_do_not_hasten_a_datagram():
     _, broadcast = _make()
     _get_sent(broadcast, 0.0, 0.2)
-    assert not broadcast.has_news
-    assert not broadcast.has_more
-    assert broadcast.take_part(repeats.REPEAT_PAUSE_S)
+    assert not broadcast.has_new
+    assert not broadcast.has_pending
+    assert broadcast.pop_batch(repeats.REPEAT_PAUSE_S)
 
 
 def test_nothing_is_repeated_once_nobody_is_there():
--- a/tests/unit/test_limit_fleet.py
+++ b/tests/unit/test_limit_fleet.py
@@ -98,7 +98,7 @@
 
 def test_a_hall_that_is_cut_off_goes_on_using_its_instance():
     fleet = _make()
-    fleet.net.cut_halls = {fleet.halls[0]}
+    fleet.net.cut_off_halls = {fleet.halls[0]}
     began_s = fleet.clock()
     fleet.run(8.0)
     # The instance stands in the first hall, where a third of the requests come.
@@ -118,14 +118,14 @@
     fleet.run(2.0)
     fleet.set_limit(None, first)
     kind = shared_load.AlarmKind.LEAVING
-    fleet.entries[here[0]].sharing.tell_alarm(second, kind)
+    fleet.entries[here[0]].sharing.broadcast_alarm(second, kind)
     fleet.run(6.0)
     assert len(fleet.get_limited(first)) >= 24 - len(here)
     fleet.net.cut_keepers.clear()
     fleet.run(3.0)
     assert fleet.get_limited(first) == []
     others = [entry for number, entry in enumerate(fleet.entries) if number != here[0]]
-    assert [entry for entry in others if not entry.book.get(second).has_announced_end] == []
+    assert [entry for entry in others if not entry.registry.get(second).has_announced_leaving] == []
 
 
 def test_a_statement_is_not_lost_with_the_first_reports_that_carry_it():
@@ -199,7 +199,7 @@
     @stateful.rule(number=strategies.integers(0, 2))
     def cut_or_join(self, number):
         hall = self.fleet.halls[number]
-        self.fleet.net.cut_halls = set() if self.fleet.net.cut_halls else {hall}
+        self.fleet.net.cut_off_halls = set() if self.fleet.net.cut_off_halls else {hall}
         self._disturb()
 
     @stateful.rule()
@@ -229,7 +229,7 @@
         """Once all is calm, each limit is used and what has none is free."""
         fleet = self.fleet
         fleet.net.loss = 0.0
-        fleet.net.cut_halls = set()
+        fleet.net.cut_off_halls = set()
         fleet.net.cut_keepers = set()
         # The simulated entries send all to limited instances, so others may not be heard.
         for name in fleet.instances:
--- a/tests/unit/test_limit_book.py
+++ b/tests/unit/test_limit_registry.py
@@ -4,23 +4,23 @@
 from hypothesis import strategies
 
 from spoolhead._internal.models import rate_limit
-from spoolhead._internal.policy import limit_book
+from spoolhead._internal.policy import limit_registry
 
 KEY = 7
 
 
 def test_an_answer_without_a_limit_lifts_it():
-    book = limit_book.LimitBook()
-    assert book.record(KEY, 2.0, 1.0)
-    assert book.get_limit_per_s(KEY) == 2.0
-    assert book.record(KEY, None, 2.0)
-    assert book.get_limit_per_s(KEY) is None
+    registry = limit_registry.LimitRegistry()
+    assert registry.record(KEY, 2.0, 1.0)
+    assert registry.get_limit_per_s(KEY) == 2.0
+    assert registry.record(KEY, None, 2.0)
+    assert registry.get_limit_per_s(KEY) is None
 
 
 def test_that_there_is_no_limit_is_passed_on_only_where_it_lifts_one():
-    book = limit_book.LimitBook()
-    assert not book.record(KEY, None, 1.0)
-    assert not book.record(KEY, None, 9.0)
+    registry = limit_registry.LimitRegistry()
+    assert not registry.record(KEY, None, 1.0)
+    assert not registry.record(KEY, None, 9.0)
 
 
 @hypothesis.given(
@@ -34,10 +34,10 @@
     ),
     strategies.randoms(),
 )
-def test_the_newest_statement_wins_in_any_order(statements, chance):
+def test_the_newest_statement_wins_in_any_order(statements, rng):
     shuffled = list(statements)
-    chance.shuffle(shuffled)
-    first, second = limit_book.LimitBook(), limit_book.LimitBook()
+    rng.shuffle(shuffled)
+    first, second = limit_registry.LimitRegistry(), limit_registry.LimitRegistry()
     for limit_per_s, stated_s in statements:
         first.record(KEY, limit_per_s, stated_s)
     for limit_per_s, stated_s in shuffled:
@@ -47,30 +47,30 @@
 
 
 def test_a_limit_of_zero_is_a_limit_and_one_beyond_all_load_is_none():
-    book = limit_book.LimitBook()
-    book.record(KEY, 0.0, 1.0)
-    assert book.get_limit_per_s(KEY) == 0.0
-    book.record(KEY, 1e9, 2.0)
-    assert book.get_limit_per_s(KEY) is None
+    registry = limit_registry.LimitRegistry()
+    registry.record(KEY, 0.0, 1.0)
+    assert registry.get_limit_per_s(KEY) == 0.0
+    registry.record(KEY, 1e9, 2.0)
+    assert registry.get_limit_per_s(KEY) is None
 
 
 def test_the_same_limit_is_passed_on_again_once_the_last_report_is_old():
-    book = limit_book.LimitBook()
-    book.record(KEY, 2.0, 1.0)
-    assert not book.record(KEY, 2.0, 1.1)
-    assert book.record(KEY, 2.0, 1.1 + limit_book.RESTATED_S)
+    registry = limit_registry.LimitRegistry()
+    registry.record(KEY, 2.0, 1.0)
+    assert not registry.record(KEY, 2.0, 1.1)
+    assert registry.record(KEY, 2.0, 1.1 + limit_registry.RESTATED_S)
 
 
 def test_old_statements_are_forgotten():
-    book = limit_book.LimitBook()
-    book.record(1, 2.0, 0.0)
-    book.record(2, None, 1.0)
-    book.expire(limit_book.KEPT_S - 0.1)
-    assert len(book) == 2
-    book.expire(limit_book.KEPT_S + 0.1)
-    assert (book.get(1), len(book)) == (None, 1)
-    book.expire(limit_book.KEPT_S + 1.1)
-    assert len(book) == 0
+    registry = limit_registry.LimitRegistry()
+    registry.record(1, 2.0, 0.0)
+    registry.record(2, None, 1.0)
+    registry.expire(limit_registry.KEPT_S - 0.1)
+    assert len(registry) == 2
+    registry.expire(limit_registry.KEPT_S + 0.1)
+    assert (registry.get(1), len(registry)) == (None, 1)
+    registry.expire(limit_registry.KEPT_S + 1.1)
+    assert len(registry) == 0
 
 
 @hypothesis.given(
@@ -78,15 +78,15 @@
 )
 def test_a_lifted_limit_never_comes_back_from_a_process_that_missed_its_end(age_s, later_s, gap_s):
     """Guards against a limit in force again for all after a cut, though nobody stated it."""
-    book, other = limit_book.LimitBook(), limit_book.LimitBook()
+    registry, other = limit_registry.LimitRegistry(), limit_registry.LimitRegistry()
     other.record(KEY, 2.0, 0.0)
-    book.record(KEY, 2.0, 0.0)
-    book.record(KEY, None, later_s)
+    registry.record(KEY, 2.0, 0.0)
+    registry.record(KEY, None, later_s)
     for now_s in (later_s + gap_s, later_s + gap_s + age_s):
-        book.expire(now_s)
+        registry.expire(now_s)
         other.expire(now_s)
-        book.merge(other.get_all_aged(now_s), now_s)
-        assert book.get_limit_per_s(KEY) is None
+        registry.merge(other.get_all_aged(now_s), now_s)
+        assert registry.get_limit_per_s(KEY) is None
 
 
 @hypothesis.given(
--- a/tests/unit/test_list_memory.py
+++ b/tests/unit/test_list_memory.py
@@ -5,7 +5,7 @@
 from spoolhead._internal.gateway import followed_keeper
 from spoolhead._internal.models import instances
 from spoolhead._internal.network import route_messages
-from spoolhead._internal.policy import upstream_book
+from spoolhead._internal.policy import upstream_registry
 
 INSTANCES = 1_600
 KEEPERS = 7
@@ -26,7 +26,7 @@
         "hall": f"hall-{number % 15}",
         "slots": 9,
         "is_leaving": False,
-        "born_ms": 1_700_000_000_000 + number,
+        "started_ms": 1_700_000_000_000 + number,
     }
     return instances.Instance(**{**fields, **changes})
 
@@ -53,11 +53,11 @@
     keepers = _make_keepers(KEEPERS)
     for keeper in keepers:
         _tell(keeper, listed, [other.listed for other in keepers if other.listed])
-    book = upstream_book.UpstreamBook()
-    book.update_instances(keepers[0].listed.values(), 1.0)
+    registry = upstream_registry.UpstreamRegistry()
+    registry.update_instances(keepers[0].listed.values(), 1.0)
     taken_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    assert len(book.get_all()) == INSTANCES
+    assert len(registry.get_all()) == INSTANCES
     assert taken_bytes < MOST_BYTES
 
 
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -111,7 +111,7 @@
     made.entries[0].hold(made.instances[5], "late", 7)
     for _ in range(40):
         made.run(0.2)
-        assert not any(entry.sharing.is_alone() for entry in made.entries)
+        assert not any(entry.sharing.is_isolated() for entry in made.entries)
     assert made.is_agreed()
     assert not any(entry.sharing.get_silent_halls() for entry in made.entries)
 
@@ -120,7 +120,7 @@
     made = _make()
     made.entries[0].hold(made.instances[5], "r", 700)
     made.run(1.0)
-    assert made.entries[7].book.get(made.instances[5]).others.tokens == 700
+    assert made.entries[7].registry.get(made.instances[5]).others.tokens == 700
     made.kill("entry-000")
     made.run(FORGOTTEN_S)
     assert made.is_agreed()
@@ -138,25 +138,25 @@
 
 def test_a_cut_hall_is_noticed_from_both_sides_and_its_return_too():
     made = _make()
-    made.net.cut_halls.add("hall-2")
+    made.net.cut_off_halls.add("hall-2")
     made.run(1.2)
     for entry in made.entries:
         inside = entry.process.hall == "hall-2"
         assert entry.sharing.get_silent_halls() == ({"hall-0", "hall-1"} if inside else {"hall-2"})
-        assert entry.sharing.is_alone() == inside
-    made.net.cut_halls.clear()
+        assert entry.sharing.is_isolated() == inside
+    made.net.cut_off_halls.clear()
     made.run(1.0)
     assert not any(entry.sharing.get_silent_halls() for entry in made.entries)
 
 
 def test_entries_of_a_cut_hall_without_a_keeper_still_know_each_other():
     made = _make(entries=20, halls=4, keepers=3)
-    made.net.cut_halls.add("hall-3")
+    made.net.cut_off_halls.add("hall-3")
     inside = [entry for entry in made.entries if entry.process.hall == "hall-3"]
     inside[0].hold(made.instances[0], "r", 90)
     made.run(6.0)
-    assert {entry.book.get(made.instances[0]).others.tokens for entry in inside[1:]} == {90}
-    assert all(entry.sharing.is_alone() for entry in inside)
+    assert {entry.registry.get(made.instances[0]).others.tokens for entry in inside[1:]} == {90}
+    assert all(entry.sharing.is_isolated() for entry in inside)
 
 
 def test_a_cut_between_keepers_alone_makes_no_hall_silent():
@@ -169,7 +169,7 @@
 @pytest.mark.parametrize("loss", [0.0, 0.1])
 def test_an_alarm_reaches_all_entries_soon_and_once(loss):
     made = _make(loss=loss)
-    made.entries[0].sharing.tell_alarm("i-00000003", shared_load.AlarmKind.UNHEALTHY)
+    made.entries[0].sharing.broadcast_alarm("i-00000003", shared_load.AlarmKind.UNHEALTHY)
     made.run(0.3)
     told = [entry for entry in made.entries[1:] if entry.alarms == ["i-00000003"]]
     assert len(told) >= len(made.entries) - 2
@@ -181,13 +181,13 @@
     """Guards against new work at an instance that leaves, from an entry nobody told again."""
     made = _make(entries=48)
     name = made.instances[0]
-    made.entries[0].sharing.tell_alarm(name, shared_load.AlarmKind.LEAVING)
+    made.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.LEAVING)
     made.net.loss = 0.5
     made.run(1.0)
     made.net.loss = 0.01
     made.run(2.0)
     others = made.entries[1:]
-    assert [entry for entry in others if not entry.book.get(name).has_announced_end] == []
+    assert [entry for entry in others if not entry.registry.get(name).has_announced_leaving] == []
 
 
 def test_an_alarm_is_not_lost_with_the_first_reports_that_carry_it():
@@ -195,19 +195,19 @@
     made = _make()
     leaving, resting = made.instances[:2]
     made.net.loss = 1.0
-    made.entries[0].sharing.tell_alarm(leaving, shared_load.AlarmKind.LEAVING)
+    made.entries[0].sharing.broadcast_alarm(leaving, shared_load.AlarmKind.LEAVING)
     for entry in made.entries[:2]:
-        entry.sharing.tell_alarm(resting, shared_load.AlarmKind.RESTING, for_ms=3_000)
+        entry.sharing.broadcast_alarm(resting, shared_load.AlarmKind.RESTING, for_ms=3_000)
     made.run(0.7)
     made.net.loss = 0.01
     made.run(2.0)
     others = made.entries[2:]
-    assert [entry for entry in others if not entry.book.get(leaving).has_announced_end] == []
+    assert [entry for entry in others if not entry.registry.get(leaving).has_announced_leaving] == []
     now_s = made.clock()
-    assert all(entry.book.get(resting).rest.has_reports(now_s) for entry in others)
+    assert all(entry.registry.get(resting).rest.has_reports(now_s) for entry in others)
     made.run(0.4)
     now_s = made.clock()
-    assert not any(entry.book.get(resting).rest.has_reports(now_s) for entry in others)
+    assert not any(entry.registry.get(resting).rest.has_reports(now_s) for entry in others)
 
 
 def test_few_entries_show_themselves_to_all_hubs():
@@ -219,7 +219,7 @@
         for entry in made.entries
         if entry.process.hall == "hall-0"
     ]
-    assert sum(count > 0 for count in counts) == load_sharing.HERALDS
+    assert sum(count > 0 for count in counts) == load_sharing.BEACON_ENTRIES
 
 
 def test_ages_stand_still_while_no_hub_is_heard():
@@ -235,17 +235,17 @@
     made = _make()
     made.forget_traffic()
     for _ in range(5):
-        made.entries[0].sharing.tell_failure("i-00000003")
+        made.entries[0].sharing.broadcast_failure("i-00000003")
     assert len(made.seen_by(made.entries[0])) == 1
 
 
 def test_an_instance_that_two_entries_lost_requests_at_rests_everywhere():
     made = _make(loss=0.0)
-    far = made.entries[7].book.get("i-00000003")
-    made.entries[0].sharing.tell_failure("i-00000003")
+    far = made.entries[7].registry.get("i-00000003")
+    made.entries[0].sharing.broadcast_failure("i-00000003")
     made.run(0.2)
     assert far.is_usable(made.clock.now_s)
-    made.entries[1].sharing.tell_failure("i-00000003")
+    made.entries[1].sharing.broadcast_failure("i-00000003")
     made.run(0.2)
     assert not far.is_usable(made.clock.now_s)
 
@@ -254,9 +254,9 @@
     caplog.set_level(logging.INFO, logger=load_sharing.__name__)
     made = _make()
     caplog.clear()
-    made.net.cut_halls.add("hall-2")
+    made.net.cut_off_halls.add("hall-2")
     made.run(2.5)
-    made.net.cut_halls.clear()
+    made.net.cut_off_halls.clear()
     made.run(1.0)
     texts = [record.message for record in caplog.records if "hall" in record.message]
     outside = sum(entry.process.hall != "hall-2" for entry in made.entries)
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -13,7 +13,7 @@
     load_hub,
     load_view,
     standing_alarms,
-    upstream_book,
+    upstream_registry,
 )
 
 ADDRESS = ("10.0.0.9", 7)
@@ -29,7 +29,7 @@
     alarms=(),
     wants_snapshot=False,
 ):
-    rows = {KEY: shared_load.Held(tokens, 1, 0)} if tokens else {}
+    rows = {KEY: shared_load.InstanceLoad(tokens, 1, 0)} if tokens else {}
     return shared_load.Report(
         sender=sender,
         hall=hall,
@@ -42,11 +42,11 @@
 
 
 def _take(hub, now_s=0.0, **changes):
-    return hub.take_report(_make_report(**changes), ADDRESS, now_s)
+    return hub.handle_report(_make_report(**changes), ADDRESS, now_s)
 
 
 def _tokens(hub):
-    return hub.make_snapshot(0.0).rows.get(KEY, shared_load.Held()).tokens
+    return hub.make_snapshot(0.0).rows.get(KEY, shared_load.InstanceLoad()).tokens
 
 
 def test_a_new_report_replaces_the_one_before_and_a_late_one_does_not():
@@ -70,7 +70,7 @@
     hub = load_hub.LoadHub("k1", 1)
     report = _make_report(sender="e0")
     report.limits = [rate_limit.AgedLimit(KEY, 2.0, 0)]
-    hub.take_report(report, ADDRESS, 0.0)
+    hub.handle_report(report, ADDRESS, 0.0)
     for sequence in range(1, 4):
         _take(hub, now_s=sequence / 10, sequence=sequence, wants_snapshot=True)
         update = hub.make_due_snapshot("e1", sequence / 10)
@@ -114,8 +114,8 @@
     old = there.make_totals(0.0)
     _take(there, sequence=2, tokens=30)
     new = there.make_totals(0.0)
-    here.take_totals(new, ADDRESS, 0.0)
-    here.take_totals(old, ADDRESS, 0.0)
+    here.handle_totals(new, ADDRESS, 0.0)
+    here.handle_totals(old, ADDRESS, 0.0)
     assert _tokens(here) == 30
     here.forget_silent(load_hub.HUB_EXPIRY_S + 0.1)
     assert _tokens(here) == 0
@@ -124,7 +124,7 @@
 def test_a_hub_passes_on_only_what_its_own_reporters_hold():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     _take(there, sender="e2", tokens=100)
-    here.take_totals(there.make_totals(0.0), ADDRESS, 0.0)
+    here.handle_totals(there.make_totals(0.0), ADDRESS, 0.0)
     _take(here, sender="e1", tokens=7)
     assert here.make_totals(0.0).rows[KEY].tokens == 7
     assert _tokens(here) == 107
@@ -133,7 +133,7 @@
 def test_the_age_of_a_hall_is_that_of_whoever_heard_it_last():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     _take(there, now_s=9.0, hall="b")
-    here.take_totals(there.make_totals(10.0), ADDRESS, 10.0)
+    here.handle_totals(there.make_totals(10.0), ADDRESS, 10.0)
     assert [(age.hall, age.age_ms) for age in here.make_update(10.0).ages] == [("b", 1_000)]
     _take(here, now_s=10.5, hall="b", sender="e9", is_reporter=False)
     assert [(age.hall, age.age_ms) for age in here.make_update(10.5).ages] == [("b", 0)]
@@ -152,9 +152,9 @@
         clock=lambda: 0.0,
     )
     for number in range(500):
-        held = shared_load.Held(5, 1, 0) if number < 3 else shared_load.Held()
+        held = shared_load.InstanceLoad(5, 1, 0) if number < 3 else shared_load.InstanceLoad()
         alarm = shared_load.Alarm(
-            "i-1", shared_load.AlarmKind.UNHEALTHY, finder="e9", sequence=number + 1
+            "i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e9", sequence=number + 1
         )
         totals = shared_load.Totals(
             hub="k2", sequence=number + 1, rows={number % 3: held}, ages=[], alarms=[alarm]
@@ -169,15 +169,15 @@
 
 def test_an_alarm_is_told_some_times_and_taken_once():
     hub = load_hub.LoadHub("k1", 1)
-    alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=5)
+    alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5)
     _take(hub, alarms=[alarm])
     _take(hub, sequence=2, alarms=[alarm])
     told = [len(hub.make_update(0.0).alarms) for _ in range(5)]
-    assert told == [1] * alarm_broadcast.SENT_TIMES + [0] * (5 - alarm_broadcast.SENT_TIMES)
+    assert told == [1] * alarm_broadcast.SEND_COUNT + [0] * (5 - alarm_broadcast.SEND_COUNT)
 
 
-def _make_alarm(kind, *, life_id="i-1", sequence=1, for_ms=0):
-    return shared_load.Alarm(life_id, kind, finder="e1", sequence=sequence, for_ms=for_ms)
+def _make_alarm(kind, *, incarnation_id="i-1", sequence=1, for_ms=0):
+    return shared_load.Alarm(incarnation_id, kind, reporter="e1", sequence=sequence, for_ms=for_ms)
 
 
 def _get_told(hub, now_s):
@@ -200,7 +200,7 @@
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     resting = shared_load.AlarmKind.RESTING
     _take(there, alarms=[_make_alarm(resting, for_ms=2_000)])
-    here.take_totals(there.make_totals(0.0), ADDRESS, 0.0)
+    here.handle_totals(there.make_totals(0.0), ADDRESS, 0.0)
     here.become_idle(0.5)
     assert _get_told(here, 0.5) == [(resting, 1_500)]
 
@@ -210,12 +210,12 @@
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     report = _make_report(alarms=[_make_alarm(shared_load.AlarmKind.LEAVING)])
     report.limits = [rate_limit.AgedLimit(KEY, 2.0, 0)]
-    there.take_report(report, ADDRESS, 0.0)
+    there.handle_report(report, ADDRESS, 0.0)
     for step in range(100):
         there.make_totals(step / 10)
     _take(here, now_s=10.0)
-    there.take_totals(here.make_totals(10.0), ADDRESS, 10.0)
-    here.take_totals(there.make_totals(10.1), ADDRESS, 10.1)
+    there.handle_totals(here.make_totals(10.0), ADDRESS, 10.0)
+    here.handle_totals(there.make_totals(10.1), ADDRESS, 10.1)
     told = here.make_snapshot(10.1)
     assert [alarm.kind for alarm in told.alarms] == [shared_load.AlarmKind.LEAVING]
     assert [limit.limit_per_s for limit in told.limits] == [2.0]
@@ -224,11 +224,11 @@
 def test_so_is_one_that_started_anew_before_it_was_missed():
     there = load_hub.LoadHub("k2", 1)
     _take(there, alarms=[_make_alarm(shared_load.AlarmKind.LEAVING)])
-    there.take_totals(load_hub.LoadHub("k1", 1).make_totals(0.0), ADDRESS, 0.0)
+    there.handle_totals(load_hub.LoadHub("k1", 1).make_totals(0.0), ADDRESS, 0.0)
     for step in range(100):
         there.make_totals(step / 10)
     restarted = load_hub.LoadHub("k1", 1_000_000)
-    there.take_totals(restarted.make_totals(10.0), ADDRESS, 10.0)
+    there.handle_totals(restarted.make_totals(10.0), ADDRESS, 10.0)
     assert there.make_totals(10.0).alarms
 
 
@@ -258,16 +258,16 @@
 def test_only_so_many_alarms_are_kept_the_newest():
     hub = load_hub.LoadHub("k1", 1)
     for number in range(1, 200):
-        alarm = _make_alarm(shared_load.AlarmKind.LEAVING, life_id=f"i-{number}", sequence=number)
+        alarm = _make_alarm(shared_load.AlarmKind.LEAVING, incarnation_id=f"i-{number}", sequence=number)
         _take(hub, sequence=number, alarms=[alarm])
-    told = [alarm.life_id for alarm in hub.make_snapshot(0.0).alarms]
+    told = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
     assert told == [f"i-{number}" for number in range(200 - standing_alarms.MOST_KEPT, 200)]
 
 
 def test_a_reporter_restarted_with_its_clock_set_back_is_taken_at_once():
     hub = load_hub.LoadHub("k1", 1)
-    old = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=9_000_000)
-    new = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, finder="e1", sequence=5_000_001)
+    old = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=9_000_000)
+    new = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5_000_001)
     _take(hub, sequence=9_000_000, tokens=100, alarms=[old])
     assert len(hub.make_update(0.0).alarms) == 1
     _take(hub, sequence=5_000_000, tokens=7, alarms=[new])
@@ -280,35 +280,35 @@
     former, restarted = load_hub.LoadHub("k2", 9_000_000), load_hub.LoadHub("k2", 5_000_000)
     _take(former, sender="e1", tokens=100)
     _take(restarted, sender="e2", tokens=7)
-    here.take_totals(former.make_totals(0.0), ADDRESS, 0.0)
-    here.take_totals(restarted.make_totals(0.1), ADDRESS, 0.1)
+    here.handle_totals(former.make_totals(0.0), ADDRESS, 0.0)
+    here.handle_totals(restarted.make_totals(0.1), ADDRESS, 0.1)
     assert _tokens(here) == 7
 
 
 def test_a_part_is_bounded_and_all_rows_are_told_in_turn():
     rows = changed_rows.ChangedRows()
     for key in range(100):
-        rows.add(key, shared_load.Held(key + 1, 1, 0))
+        rows.add(key, shared_load.InstanceLoad(key + 1, 1, 0))
     told = []
     while rows.has_changes:
-        part = rows.take_part()
+        part = rows.pop_batch()
         assert len(part) <= changed_rows.CHANGED_ROWS + changed_rows.REPEATED_ROWS
         told += part
     assert set(told) == set(range(100))
     again = set()
     for _ in range(40):
-        again |= set(rows.take_part())
+        again |= set(rows.pop_batch())
     assert again == set(range(100))
 
 
 def test_a_row_without_work_is_told_as_such_and_then_forgotten():
     rows = changed_rows.ChangedRows()
-    held = shared_load.Held(5, 1, 0)
+    held = shared_load.InstanceLoad(5, 1, 0)
     rows.add(1, held)
-    rows.take_part()
+    rows.pop_batch()
     rows.add(1, held, -1)
-    told = [rows.take_part() for _ in range(6)]
-    assert told[0] == {1: shared_load.Held()}
+    told = [rows.pop_batch() for _ in range(6)]
+    assert told[0] == {1: shared_load.InstanceLoad()}
     assert not any(told[changed_rows.LAST_ROUNDS + 1 :])
     assert not rows.get_all()
 
@@ -317,26 +317,26 @@
     """An entry's view and the hub it reports to."""
 
     def __init__(self):
-        self.book = upstream_book.UpstreamBook()
-        self.book.update_instances([gateway_setting.make_instance("i-1")], 0.0)
-        self.view = load_view.LoadView("a", self.book)
+        self.registry = upstream_registry.UpstreamRegistry()
+        self.registry.update_instances([gateway_setting.make_instance("i-1")], 0.0)
+        self.view = load_view.LoadView("a", self.registry)
         self.hub = load_hub.LoadHub("k1", 1)
         self.sequence = 0
 
     @property
     def upstream(self):
-        return self.book.get("i-1")
+        return self.registry.get("i-1")
 
     def hold(self, tokens):
-        self.upstream.works["r"] = upstream_book.Work("r", tokens, reading_tokens=0)
+        self.upstream.in_flight["r"] = upstream_registry.InFlightRequest("r", tokens, prefill_tokens=0)
 
     def report(self):
         self.sequence += 1
         rows = self.view.get_own()
-        self.view.note_report(self.sequence, rows)
+        self.view.record_report(self.sequence, rows)
         report = _make_report(sender="me", sequence=self.sequence)
         report.rows = rows
-        self.hub.take_report(report, ADDRESS, 0.0)
+        self.hub.handle_report(report, ADDRESS, 0.0)
 
     def update(self, counted=None):
         update = self.hub.make_update(0.0)
@@ -353,17 +353,17 @@
     side.hold(70)
     side.report()
     # The first update arrives after the second report has left.
-    assert side.view.take_update(first, 0.0)
+    assert side.view.handle_update(first, 0.0)
     assert side.upstream.tokens == 170
-    assert side.view.take_update(side.update(), 0.0)
+    assert side.view.handle_update(side.update(), 0.0)
     assert side.upstream.tokens == 170
 
 
 def test_an_update_that_counts_an_unknown_report_is_of_no_use():
     side = _EntrySide()
     _take(side.hub, sender="other", tokens=100)
-    assert not side.view.take_update(side.update(counted=99), 0.0)
-    assert side.upstream.others == shared_load.Held()
+    assert not side.view.handle_update(side.update(counted=99), 0.0)
+    assert side.upstream.others == shared_load.InstanceLoad()
 
 
 def test_an_instance_listed_later_gets_what_was_told_before():
@@ -371,19 +371,19 @@
     side.report()
     key = shared_load.get_key("i-9")
     report = _make_report(sender="other")
-    report.rows = {key: shared_load.Held(70, 1, 0)}
-    side.hub.take_report(report, ADDRESS, 0.0)
-    side.view.take_update(side.update(), 0.0)
-    side.book.update_instances([gateway_setting.make_instance("i-9")], 0.0)
+    report.rows = {key: shared_load.InstanceLoad(70, 1, 0)}
+    side.hub.handle_report(report, ADDRESS, 0.0)
+    side.view.handle_update(side.update(), 0.0)
+    side.registry.update_instances([gateway_setting.make_instance("i-9")], 0.0)
     side.view.rebuild(0.1)
-    assert side.book.get("i-9").tokens == 70
+    assert side.registry.get("i-9").tokens == 70
 
 
 def test_what_was_told_expires_without_updates():
     side = _EntrySide()
     side.report()
     _take(side.hub, sender="other", tokens=100)
-    side.view.take_update(side.update(), 0.0)
+    side.view.handle_update(side.update(), 0.0)
     side.view.rebuild(load_view.EXPIRY_S - 0.1)
     assert side.upstream.tokens == 100
     side.view.rebuild(load_view.EXPIRY_S + 0.1)
@@ -405,7 +405,7 @@
     newest = {report.sender: report for report in reports}
     order.shuffle(reports)
     for report in reports:
-        hub.take_report(report, ADDRESS, 0.0)
+        hub.handle_report(report, ADDRESS, 0.0)
     expected = sum(held.tokens for report in newest.values() for held in report.rows.values())
     assert _tokens(hub) == expected
 
@@ -417,7 +417,7 @@
     choice = hub_choice.HubChoice("e1")
     choice.set_candidates([hub_choice.Candidate(FAR, 1), hub_choice.Candidate(NEAR, 0)])
     assert choice.choose(0.0)
-    assert choice.note_heard(NEAR, 0.01) is hub_choice.Heard.NEW
+    assert choice.record_update(NEAR, 0.01) is hub_choice.UpdateSource.NEW
     return choice
 
 
@@ -425,8 +425,8 @@
     choice = _make_choice()
     for step in range(20):
         assert not choice.choose(step / 10)
-        assert choice.note_heard(NEAR, step / 10) is hub_choice.Heard.PRESENT
-    assert choice.note_heard(FAR, 2.0) is hub_choice.Heard.OTHER
+        assert choice.record_update(NEAR, step / 10) is hub_choice.UpdateSource.PRESENT
+    assert choice.record_update(FAR, 2.0) is hub_choice.UpdateSource.OTHER
 
 
 def test_a_silent_hub_is_replaced_once_another_answers_and_tried_again_later():
@@ -434,21 +434,21 @@
     silent_s = 0.01 + hub_choice.SILENCE_S + 0.01
     assert choice.choose(silent_s)
     assert (choice.current, choice.probing) == (None, FAR)
-    assert choice.note_heard(FAR, silent_s) is hub_choice.Heard.NEW
+    assert choice.record_update(FAR, silent_s) is hub_choice.UpdateSource.NEW
     assert not choice.choose(silent_s + 0.1)
     later_s = silent_s + hub_choice.FIRST_REST_S
-    choice.note_heard(FAR, later_s)
+    choice.record_update(FAR, later_s)
     assert choice.choose(later_s)
     # The present one stays until the other answers.
     assert (choice.current, choice.probing) == (FAR, NEAR)
-    choice.note_heard(FAR, later_s + hub_choice.TRY_S)
+    choice.record_update(FAR, later_s + hub_choice.TRY_S)
     assert not choice.choose(later_s + hub_choice.TRY_S + 0.01)
     assert (choice.current, choice.probing) == (FAR, None)
 
 
 def test_a_hub_whose_connection_ended_is_left_at_once():
     choice = _make_choice()
-    choice.note_lost(NEAR, 0.02)
+    choice.record_lost(NEAR, 0.02)
     assert choice.choose(0.03)
     assert choice.probing == FAR
 
--- a/tests/unit/test_log_losses.py
+++ b/tests/unit/test_log_losses.py
@@ -4,7 +4,7 @@
 
 from spoolhead._internal.cli import exit_codes
 from spoolhead._internal.commands import losses
-from spoolhead._internal.utils import log_losses, log_story
+from spoolhead._internal.utils import log_losses, log_trace
 
 CAUSE = log_losses.Cause
 
@@ -16,7 +16,7 @@
 
 
 def _get_cause(*lines):
-    read = [log_story.read_line("", line) for line in lines]
+    read = [log_trace.read_line("", line) for line in lines]
     counts = log_losses.count(read)
     assert len(counts) == 1
     ((route, cause),) = counts
--- a/tests/unit/test_log_story.py
+++ b/tests/unit/test_log_trace.py
@@ -8,7 +8,7 @@
 
 from spoolhead._internal.cli import exit_codes
 from spoolhead._internal.commands import explain_logs
-from spoolhead._internal.utils import log_story
+from spoolhead._internal.utils import log_trace
 
 
 def _line(second, text, **fields):
@@ -40,8 +40,8 @@
 
 
 def _tell(lines, request_id):
-    read = [log_story.read_line("entry-1", line) for line in lines]
-    return log_story.tell([line for line in read if line is not None], request_id)
+    read = [log_trace.read_line("entry-1", line) for line in lines]
+    return log_trace.tell([line for line in read if line is not None], request_id)
 
 
 def test_the_story_has_the_request_and_what_its_process_believed():
@@ -55,7 +55,7 @@
 
 
 def test_a_collectors_prefix_names_the_process():
-    read = log_story.read_line("", f"  10.000 front-hall-a-1 {LINES[0]}")
+    read = log_trace.read_line("", f"  10.000 front-hall-a-1 {LINES[0]}")
     assert read.process == "front-hall-a-1"
     assert read.fields == {"version": 7}
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -4,7 +4,7 @@
 
 from lib import gateway_setting
 from spoolhead._internal.models import permits, rate_limit, route_table
-from spoolhead._internal.policy import limit_book, permit_backoff, permit_granter
+from spoolhead._internal.policy import limit_registry, permit_backoff, permit_granter
 from spoolhead._internal.utils import clocks
 
 pytestmark = pytest.mark.usefixtures("held_clock")
@@ -16,7 +16,7 @@
 V = permits.Verdict
 
 
-def _make_ask(ask_id, *, sender="e-1", rank=1, workspace=7, wait_ms=0, **changes):
+def _make_permit_request(permit_id, *, sender="e-1", rank=1, workspace=7, wait_ms=0, **changes):
     values = {
         "hall": "hall-a",
         "turn": 0,
@@ -25,9 +25,9 @@
         "stated": rate_limit.AgedLimit(KEY, 2.0, 0),
         **changes,
     }
-    return permits.PermitAsk(
+    return permits.PermitRequest(
         sender=sender,
-        ask_id=ask_id,
+        permit_id=permit_id,
         key=KEY,
         rank=rank,
         workspace=workspace,
@@ -37,71 +37,71 @@
 
 
 def _make_granter(limit_per_s=2.0):
-    book = limit_book.LimitBook()
-    book.record(KEY, limit_per_s, 0.0)
-    return book, permit_granter.PermitGranter(book)
+    registry = limit_registry.LimitRegistry()
+    registry.record(KEY, limit_per_s, 0.0)
+    return registry, permit_granter.PermitGranter(registry)
 
 
 def _list(replies):
-    return [(item.reply.ask_id, item.reply.verdict) for item in replies]
+    return [(item.reply.permit_id, item.reply.verdict) for item in replies]
 
 
 def test_permits_come_at_the_limits_rate():
     _, granter = _make_granter()
     granted = 0
     for step in range(1_000):
-        replies = granter.handle_request(_make_ask(step), step * 0.01)
+        replies = granter.handle_request(_make_permit_request(step), step * 0.01)
         granted += replies[0].reply.verdict is V.GRANTED
     assert 19 <= granted <= 20
 
 
 def test_an_ask_that_may_wait_is_granted_when_its_token_comes():
     _, granter = _make_granter()
-    assert _list(granter.handle_request(_make_ask(1, wait_ms=600), 0.0)) == [(1, V.QUEUED)]
+    assert _list(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [(1, V.QUEUED)]
     assert granter.get_due_s(0.0) == pytest.approx(0.5)
     assert _list(granter.poll(0.51)) == [(1, V.GRANTED)]
 
 
 def test_an_ask_that_can_not_be_granted_in_time_is_rejected_at_once():
     _, granter = _make_granter()
-    ((_, verdict),) = _list(granter.handle_request(_make_ask(1, wait_ms=400), 0.0))
+    ((_, verdict),) = _list(granter.handle_request(_make_permit_request(1, wait_ms=400), 0.0))
     assert verdict is V.REJECTED
 
 
 def test_a_more_urgent_ask_takes_the_place_of_one_that_waits():
     _, granter = _make_granter()
-    granter.handle_request(_make_ask(1, wait_ms=600), 0.0)
-    replies = granter.handle_request(_make_ask(2, rank=0, wait_ms=600), 0.1)
+    granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
+    replies = granter.handle_request(_make_permit_request(2, rank=0, wait_ms=600), 0.1)
     assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_a_first_attempt_goes_before_a_second_one():
     _, granter = _make_granter()
-    granter.handle_request(_make_ask(1, wait_ms=600, is_retry=True), 0.0)
-    replies = granter.handle_request(_make_ask(2, wait_ms=600), 0.1)
+    granter.handle_request(_make_permit_request(1, wait_ms=600, is_retry=True), 0.0)
+    replies = granter.handle_request(_make_permit_request(2, wait_ms=600), 0.1)
     assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_an_ask_that_comes_again_takes_no_second_token():
     """Guards against a lost reply that costs the instance's limit a request."""
     _, granter = _make_granter()
-    granter.handle_request(_make_ask(0), 0.0)
-    first = granter.handle_request(_make_ask(1), 1.0)
-    again = granter.handle_request(_make_ask(1), 1.1)
+    granter.handle_request(_make_permit_request(0), 0.0)
+    first = granter.handle_request(_make_permit_request(1), 1.0)
+    again = granter.handle_request(_make_permit_request(1), 1.1)
     assert _list(first) == _list(again) == [(1, V.GRANTED)]
-    assert _list(granter.handle_request(_make_ask(2), 1.6)) == [(2, V.GRANTED)]
+    assert _list(granter.handle_request(_make_permit_request(2), 1.6)) == [(2, V.GRANTED)]
 
 
 def test_callers_that_are_refused_come_back_one_after_the_other():
     _, granter = _make_granter()
-    waits_ms = [granter.handle_request(_make_ask(n), 0.0)[0].reply.retry_after_ms for n in range(4)]
+    waits_ms = [granter.handle_request(_make_permit_request(n), 0.0)[0].reply.retry_after_ms for n in range(4)]
     assert waits_ms == [500, 1_000, 1_500, 2_000]
 
 
 def test_what_goes_elsewhere_does_not_put_off_those_that_come_back():
     _, granter = _make_granter()
-    granter.handle_request(_make_ask(1, is_final=False), 0.0)
-    (item,) = granter.handle_request(_make_ask(2), 0.0)
+    granter.handle_request(_make_permit_request(1, is_final=False), 0.0)
+    (item,) = granter.handle_request(_make_permit_request(2), 0.0)
     assert item.reply.retry_after_ms == 500
 
 
@@ -109,7 +109,7 @@
     _, granter = _make_granter(limit_per_s=10.0)
     granted = 0
     for step in range(1_000):
-        replies = granter.handle_request(_make_ask(step, turn=1), step * 0.01)
+        replies = granter.handle_request(_make_permit_request(step, turn=1), step * 0.01)
         granted += replies[0].reply.verdict is V.GRANTED
     assert 37 <= granted <= 40
 
@@ -117,20 +117,20 @@
 def test_the_more_entries_ask_the_longer_each_backs_off():
     _, granter = _make_granter()
     for number in range(240):
-        (item,) = granter.handle_request(_make_ask(number, sender=f"e-{number}"), 0.0)
+        (item,) = granter.handle_request(_make_permit_request(number, sender=f"e-{number}"), 0.0)
     assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.ASKS_PER_S
 
 
 def test_what_waits_goes_once_the_limit_is_lifted():
-    book, granter = _make_granter()
-    granter.handle_request(_make_ask(1, wait_ms=600), 0.0)
-    book.record(KEY, None, 0.1)
+    registry, granter = _make_granter()
+    granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
+    registry.record(KEY, None, 0.1)
     assert _list(granter.poll(0.2)) == [(1, V.UNLIMITED)]
 
 
 def test_idle_buckets_are_forgotten():
     _, granter = _make_granter()
-    granter.handle_request(_make_ask(1), 0.0)
+    granter.handle_request(_make_permit_request(1), 0.0)
     granter.expire(permit_granter.IDLE_KEPT_S + 1)
     assert granter._shares == {}
 
@@ -163,7 +163,7 @@
         ONCE, names=("i-1",), limits_per_s={"i-1": 100.0}, knows_fleet=False
     )
     setting.timers.run_due(0.0)
-    (ask,) = setting.permits._granter._shares[setting.book.get("i-1").key].waiting
+    (ask,) = setting.permits._granter._shares[setting.registry.get("i-1").key].waiting
     assert ask.ask.sender == "entry-1"
 
 
@@ -173,8 +173,8 @@
 
 
 def _reply(setting, verdict, **changes):
-    (ask_id,) = setting.permits._asks
-    setting.permits._take_reply(permits.PermitReply(ask_id=ask_id, verdict=verdict, **changes))
+    (permit_id,) = setting.permits._pending_requests
+    setting.permits._handle_reply(permits.PermitReply(permit_id=permit_id, verdict=verdict, **changes))
 
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
@@ -209,7 +209,7 @@
     setting = gateway_setting.Setting(
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
-    (ask,) = setting.permits._asks.values()
+    (ask,) = setting.permits._pending_requests.values()
     assert min(wait_ms, objective_ms) - 20 <= ask.request.wait_ms <= min(wait_ms, objective_ms)
 
 
@@ -224,7 +224,7 @@
     setting = gateway_setting.Setting(
         ONCE, names=("i-1", "i-2"), limits_per_s={"i-1": 2.0}, busy={"i-2": 3}
     )
-    (ask,) = setting.permits._asks.values()
+    (ask,) = setting.permits._pending_requests.values()
     assert ask.request.wait_ms == 0
     _reply(setting, V.REJECTED, backoff_ms=200)
     assert [call.address for call in setting.calls.attempts] == ["i-2:80"]
@@ -234,7 +234,7 @@
 def test_a_granted_request_goes_though_others_were_rejected_meanwhile(kind):
     """Guards against permits that come to nothing: the entry backs off for all but this request."""
     setting = _make(kind)
-    (ask,) = setting.permits._asks.values()
+    (ask,) = setting.permits._pending_requests.values()
     claim = setting.exchange.job.request_priority
     setting.permits.backoff.record(
         ask.upstream.key,
@@ -257,7 +257,7 @@
 
 def test_a_permit_does_not_bring_a_request_to_an_instance_that_leaves_meanwhile():
     setting = _make(ONCE, names=("i-1", "i-2"))
-    (ask,) = setting.permits._asks.values()
+    (ask,) = setting.permits._pending_requests.values()
     name = ask.upstream.instance.instance_id
     setting.list(leaving=[name])
     _reply(setting, V.GRANTED)
@@ -268,8 +268,8 @@
     setting = _make(ONCE)
     setting.permits.set_entries([])
     setting.permits._granters.clear()
-    (ask_id,) = setting.permits._asks
-    setting.permits._on_silence(ask_id)
+    (permit_id,) = setting.permits._pending_requests
+    setting.permits._on_silence(permit_id)
     setting.timers.run_due(0.0)
     assert setting.caller.status == 503
 
@@ -282,11 +282,11 @@
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
     setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
     (name,) = other
-    setting.limits.book.record(setting.book.get(name).key, 2.0, clocks.get_s())
+    setting.limits.registry.record(setting.registry.get(name).key, 2.0, clocks.get_s())
     setting.leave(setting.last.address.removesuffix(":80"))
     assert setting.calls.copies == []
     _reply(setting, V.GRANTED)
     assert len(setting.calls.copies) == 1
     setting.calls.copies[0].answer(200, [], b'{"handle": "h"}')
     assert setting.last.address == f"{name}:80"
-    assert setting.permits._asks == {}
+    assert setting.permits._pending_requests == {}
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -46,7 +46,7 @@
         address="1.2.3.4:5", hall=hall, service="m", state=rows.UpstreamState(state)
     )
     replica = replicas.Replica(name, row, now_s, is_new=is_new)
-    replica.take_report(report or _make_report())
+    replica.handle_report(report or _make_report())
     return replica
 
 
@@ -128,7 +128,7 @@
     @stateful.rule(passed_s=strategies.sampled_from([0.1, 1.5, 30.0]))
     def pass_time(self, passed_s):
         self.now_s += passed_s
-        overdue = {item.request_id for item in self.queue.take_overdue(self.now_s)}
+        overdue = {item.request_id for item in self.queue.pop_overdue(self.now_s)}
         expected = {
             ident
             for ident, item in self.waiting.items()
@@ -266,18 +266,18 @@
 
 def test_planning_limit_falls_on_preemption_and_rises_only_when_it_binds():
     point = operating_point.OperatingPoint()
-    point.take_report(preemptions=0, was_binding=False, now_s=0.0)
-    point.take_report(preemptions=0, was_binding=False, now_s=5.0)
+    point.handle_report(preemptions=0, was_binding=False, now_s=0.0)
+    point.handle_report(preemptions=0, was_binding=False, now_s=5.0)
     assert point.limit == operating_point.FIRST_LIMIT
-    point.take_report(preemptions=3, was_binding=True, now_s=6.0)
+    point.handle_report(preemptions=3, was_binding=True, now_s=6.0)
     fallen = point.limit
     assert fallen < operating_point.FIRST_LIMIT
-    point.take_report(preemptions=4, was_binding=True, now_s=6.2)
+    point.handle_report(preemptions=4, was_binding=True, now_s=6.2)
     assert point.limit == fallen, "one overload counts once"
     for step in range(400):
-        point.take_report(preemptions=4, was_binding=True, now_s=7.0 + step)
+        point.handle_report(preemptions=4, was_binding=True, now_s=7.0 + step)
     assert point.limit == operating_point.HIGHEST_LIMIT
-    point.take_report(preemptions=0, was_binding=False, now_s=500.0)
+    point.handle_report(preemptions=0, was_binding=False, now_s=500.0)
     assert point.limit == operating_point.HIGHEST_LIMIT, "a restarted engine counts anew"
 
 
@@ -285,13 +285,13 @@
     state = health.Health(0.0, is_new=False)
     assert state.get_share(0.0) == 1.0
     for _ in range(health.FAILURES_BEFORE_EJECTION):
-        state.note_failure(1.0)
+        state.record_failure(1.0)
     assert state.is_ejected(1.5)
     assert not state.is_ejected(2.5)
     assert state.get_share(2.5) == health.FIRST_SHARE
     assert health.FIRST_SHARE < state.get_share(6.0) < 1.0
     for _ in range(health.FAILURES_BEFORE_EJECTION):
-        state.note_failure(3.0)
+        state.record_failure(3.0)
     assert state.is_ejected(4.5), "the second ejection is longer"
 
 
@@ -347,7 +347,7 @@
     far = _make_replica("far", hall="other")
     chooser = _make_placement()
     assert chooser.choose(_make_need(), SERVICE, _make_pool(near, far), 0.1).replica is near
-    near.take_report(_make_report(kv_used_tokens=9_990, running=3))
+    near.handle_report(_make_report(kv_used_tokens=9_990, running=3))
     assert chooser.choose(_make_need(), SERVICE, _make_pool(near, far), 0.1).replica is far
     assert chooser.choose(_make_need(), SERVICE, _make_pool(far), 0.1).replica is far
 
@@ -355,7 +355,7 @@
 def test_failed_and_ejected_upstreams_are_passed_over():
     first, second = _make_replica("first"), _make_replica("second")
     for _ in range(health.FAILURES_BEFORE_EJECTION):
-        second.health.note_failure(0.05)
+        second.health.record_failure(0.05)
     need = _make_need(excluded=frozenset({"first"}))
     choice = _make_placement().choose(need, SERVICE, _make_pool(first, second), 0.1)
     assert choice.replica is None
@@ -373,7 +373,7 @@
         chooser = _make_placement(entry)
         chooser.entry_count = 8
         while (choice := chooser.choose(_make_need(), SERVICE, _make_pool(replica), 0.1)).replica:
-            work = replicas.RunningWork("a", 100, 1_000)
+            work = replicas.RunningRequest("a", 100, 1_000)
             replica.start(work, choice.planned_tokens)
             sent += choice.planned_tokens
     assert sent < 1.3 * capacity
@@ -427,7 +427,7 @@
     while budget.try_acquire():
         pass
     for _ in range(1_000):
-        budget.note_request()
+        budget.record_request()
     spent = 0
     while budget.try_acquire():
         spent += 1
@@ -438,17 +438,17 @@
 def test_a_stall_is_judged_by_the_streams_own_pace():
     quick, slow = pace.Pace(0.0), pace.Pace(0.0)
     for step in range(1, 50):
-        quick.note_tokens(1, step * 0.01)
-        slow.note_tokens(1, step * 0.2)
+        quick.record_tokens(1, step * 0.01)
+        slow.record_tokens(1, step * 0.2)
     assert quick.is_stalled(0.49 + 1.0)
     assert not slow.is_stalled(9.8 + 1.0)
     assert slow.is_stalled(9.8 + 3.0)
-    quick.note_resume(2.0)
+    quick.record_resume(2.0)
     assert not quick.is_stalled(3.0), "a resumed stream gets more time"
 
 
 def test_stall_time_is_what_exceeds_the_threshold():
     stream = pace.Pace(0.0)
-    stream.note_tokens(1, 0.1)
-    stream.note_tokens(1, 0.1 + pace.REPORTED_STALL_S + 0.25)
+    stream.record_tokens(1, 0.1)
+    stream.record_tokens(1, 0.1 + pace.REPORTED_STALL_S + 0.25)
     assert stream.stalled_s == pytest.approx(0.25)
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies
 
 from spoolhead._internal.models import content_record
-from spoolhead._internal.policy import content_book, quarantine
+from spoolhead._internal.policy import content_registry, quarantine
 
 DEADLY = b"d" * 16
 NOW_S = 1_000.0
@@ -17,92 +17,92 @@
 
 def _hold(made, content_id=DEADLY, at_s=NOW_S):
     """Have a content end two instances, one after the other."""
-    made.note_end(content_id, 1, at_s - 3.0, at_s - 2.0)
-    made.note_end(content_id, 2, at_s - 1.0, at_s)
+    made.record_end(content_id, 1, at_s - 3.0, at_s - 2.0)
+    made.record_end(content_id, 2, at_s - 1.0, at_s)
 
 
 def _tell(source, target, now_s):
     """Tell one process's records to another."""
-    book = source.book
-    items = [book.get_aged(content_id, now_s) for content_id in book.get_ids()]
+    registry = source.registry
+    items = [registry.get_aged(content_id, now_s) for content_id in registry.get_ids()]
     return target.take(items, now_s)
 
 
 def test_what_nothing_is_known_of_runs():
-    assert _make().judge(DEADLY, NOW_S) is Verdict.RUN
+    assert _make().evaluate(DEADLY, NOW_S) is Verdict.RUN
 
 
 def test_one_end_makes_a_suspect_that_still_runs():
     made = _make()
-    made.note_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    assert made.judge(DEADLY, NOW_S) is Verdict.RUN_APART
+    made.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    assert made.evaluate(DEADLY, NOW_S) is Verdict.RUN_APART
 
 
 def test_a_second_end_of_a_run_that_was_sent_later_has_it_held():
     made = _make()
     _hold(made)
-    assert made.judge(DEADLY, NOW_S) is Verdict.REFUSE
+    assert made.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
     assert made.held_count == 1
 
 
 def test_two_instances_that_end_at_once_show_no_more_than_one():
     made = _make()
-    made.note_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    made.note_end(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
-    assert made.judge(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
+    made.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    made.record_end(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
+    assert made.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
 
 
 def test_three_instances_have_it_held_in_any_case():
     made = _make()
     for key in (1, 2, 3):
-        made.note_end(DEADLY, key, NOW_S - 1.0, NOW_S)
-    assert made.judge(DEADLY, NOW_S) is Verdict.REFUSE
+        made.record_end(DEADLY, key, NOW_S - 1.0, NOW_S)
+    assert made.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
 
 
 def test_one_instance_counts_once_however_often_it_is_told():
     made = _make()
     for number in range(5):
-        made.note_end(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
-    assert made.judge(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
+        made.record_end(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
+    assert made.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
 
 
 def test_an_end_that_another_entry_told_makes_the_next_one_a_second():
     one, other = _make("entry-1"), _make("entry-2")
-    one.note_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    one.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
     _tell(one, other, NOW_S + 0.1)
-    other.note_end(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
-    assert other.judge(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART, "sent before that was known"
-    other.note_end(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
-    assert other.judge(DEADLY, NOW_S + 1.0) is Verdict.REFUSE
+    other.record_end(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
+    assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART, "sent before that was known"
+    other.record_end(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
+    assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.REFUSE
 
 
 def test_a_good_end_clears_it_everywhere_whatever_comes_late():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
     _tell(one, other, NOW_S)
-    assert other.judge(DEADLY, NOW_S) is Verdict.REFUSE
-    assert other.note_sound(DEADLY, NOW_S + 1.0) is not None
+    assert other.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
+    assert other.record_harmless(DEADLY, NOW_S + 1.0) is not None
     _tell(one, other, NOW_S + 2.0)
-    assert other.judge(DEADLY, NOW_S + 2.0) is Verdict.RUN
+    assert other.evaluate(DEADLY, NOW_S + 2.0) is Verdict.RUN
     _tell(other, one, NOW_S + 2.0)
-    assert one.judge(DEADLY, NOW_S + 2.0) is Verdict.RUN
+    assert one.evaluate(DEADLY, NOW_S + 2.0) is Verdict.RUN
 
 
 def test_a_good_end_of_what_is_not_suspected_changes_nothing():
     made = _make()
-    assert made.note_sound(DEADLY, NOW_S) is None
-    assert not made.book.get_ids()
+    assert made.record_harmless(DEADLY, NOW_S) is None
+    assert not made.registry.get_ids()
 
 
 def test_a_held_content_is_run_once_more_by_itself():
     made = _make()
     _hold(made)
-    assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S - 0.1) is Verdict.REFUSE
-    assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.CLAIM
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S - 0.1) is Verdict.REFUSE
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.CLAIM
     made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
-    assert made.judge(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.REFUSE
-    assert made.may_try(DEADLY)
-    assert not made.may_try(DEADLY)
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.REFUSE
+    assert made.may_run_trial(DEADLY)
+    assert not made.may_run_trial(DEADLY)
 
 
 def test_of_two_entries_that_claim_the_run_one_gets_it():
@@ -114,7 +114,7 @@
     other.claim_trial(DEADLY, later_s)
     _tell(one, other, later_s + 0.1)
     _tell(other, one, later_s + 0.1)
-    assert [one.may_try(DEADLY), other.may_try(DEADLY)] == [True, False]
+    assert [one.may_run_trial(DEADLY), other.may_run_trial(DEADLY)] == [True, False]
 
 
 def test_a_trial_that_ends_an_instance_is_the_last():
@@ -122,19 +122,19 @@
     _hold(made)
     later_s = NOW_S + quarantine.TRIAL_AFTER_S
     made.claim_trial(DEADLY, later_s)
-    assert made.may_try(DEADLY)
-    made.note_end(DEADLY, 3, later_s + 0.5, later_s + 1.0)
-    assert made.judge(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
+    assert made.may_run_trial(DEADLY)
+    made.record_end(DEADLY, 3, later_s + 0.5, later_s + 1.0)
+    assert made.evaluate(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
 
 
 def test_a_former_trial_says_nothing_of_a_content_that_was_let_go():
     made = _make()
     _hold(made)
     made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
-    assert made.may_try(DEADLY)
+    assert made.may_run_trial(DEADLY)
     _order(made, is_held=False)
-    made.note_end(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
-    assert made.judge(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
+    made.record_end(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
+    assert made.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
 
 
 def test_a_trial_that_showed_nothing_is_made_up_for_once():
@@ -143,45 +143,45 @@
     at_s = NOW_S
     for _ in range(quarantine.MOST_TRIALS):
         at_s += quarantine.TRIAL_AFTER_S
-        assert made.judge(DEADLY, at_s) is Verdict.CLAIM
+        assert made.evaluate(DEADLY, at_s) is Verdict.CLAIM
         made.claim_trial(DEADLY, at_s)
-    assert made.judge(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
+    assert made.evaluate(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
 
 
 def _order(made, *, is_held):
     """Have an operator's order told to an entry, as a keeper passes it on."""
-    record = content_record.begin_epoch(DEADLY, made.book.get(DEADLY), is_by_hand=is_held)
+    record = content_record.begin_epoch(DEADLY, made.registry.get(DEADLY), is_by_hand=is_held)
     made.take([content_record.AgedRecord(record, 0)], NOW_S)
 
 
 def test_operators_hold_and_release():
     made = _make()
     _order(made, is_held=True)
-    assert made.judge(DEADLY, NOW_S + 80_000.0) is Verdict.REFUSE
-    assert made.note_sound(DEADLY, NOW_S) is None
+    assert made.evaluate(DEADLY, NOW_S + 80_000.0) is Verdict.REFUSE
+    assert made.record_harmless(DEADLY, NOW_S) is None
     _order(made, is_held=False)
-    assert made.judge(DEADLY, NOW_S) is Verdict.RUN
+    assert made.evaluate(DEADLY, NOW_S) is Verdict.RUN
 
 
 def test_memory_is_bounded_and_what_is_held_stays():
     made = _make()
     _hold(made)
-    for number in range(3 * content_book.MOST_RECORDS):
-        made.note_end(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
-    assert len(made.book) == content_book.MOST_RECORDS
+    for number in range(3 * content_registry.MOST_RECORDS):
+        made.record_end(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
+    assert len(made.registry) == content_registry.MOST_RECORDS
     assert made.is_held(DEADLY)
-    assert len(made._learnt_s) <= 2 * content_book.MOST_RECORDS + 1
+    assert len(made._learnt_s) <= 2 * content_registry.MOST_RECORDS + 1
 
 
 def test_what_is_old_is_forgotten_and_not_given_back():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
     _tell(one, other, NOW_S)
-    late_s = NOW_S + content_book.KEPT_S - content_book.MARGIN_S / 2
+    late_s = NOW_S + content_registry.KEPT_S - content_registry.MARGIN_S / 2
     third = _make("entry-3")
     assert _tell(one, third, late_s) == []
-    one.note_end(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
-    assert one.book.get(DEADLY) is None
+    one.record_end(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
+    assert one.registry.get(DEADLY) is None
     assert _tell(other, one, late_s + 61.0) == []
 
 
@@ -210,7 +210,7 @@
 
 @hypothesis.given(strategies.lists(strategies.tuples(_records, strategies.integers(0, 3))))
 def test_the_number_for_all_records_is_theirs(told):
-    book = content_book.ContentBook()
+    registry = content_registry.ContentRegistry()
     for record, number in told:
         content_id = bytes([number]) * 16
         item = content_record.ContentRecord(
@@ -222,30 +222,30 @@
             trier=record.trier,
             is_by_hand=record.is_by_hand,
         )
-        book.merge([content_record.AgedRecord(item, 5)], NOW_S)
+        registry.merge([content_record.AgedRecord(item, 5)], NOW_S)
     expected = 0
-    for record in book.get_all():
+    for record in registry.get_all():
         expected ^= record.digest
-    assert book.digest == expected
+    assert registry.digest == expected
 
 
 def test_what_differs_is_told_in_turn_until_it_no_longer_does():
     made = _make()
     for number in range(20):
-        made.note_end(b"%016d" % number, 7, NOW_S, NOW_S)
-    telling = content_book.ContentBroadcast(made.book)
-    telling.note_digest("hub", 1, NOW_S)
-    assert not telling.has_more, "it may be on its way"
-    telling.note_digest("hub", 1, NOW_S + content_book.DIFFERS_S)
+        made.record_end(b"%016d" % number, 7, NOW_S, NOW_S)
+    telling = content_registry.ContentBroadcast(made.registry)
+    telling.record_digest("hub", 1, NOW_S)
+    assert not telling.has_pending, "it may be on its way"
+    telling.record_digest("hub", 1, NOW_S + content_registry.DIFFERS_S)
     told = set()
-    while telling.has_more:
-        told |= {item.record.content_id for item in telling.take_part(NOW_S)}
+    while telling.has_pending:
+        told |= {item.record.content_id for item in telling.pop_batch(NOW_S)}
     assert len(told) == 20
-    telling.note_digest("hub", 1, NOW_S + content_book.DIFFERS_S + 0.1)
-    assert not telling.has_more, "not again at once"
-    telling.note_digest("hub", 0, NOW_S + 8.0)
-    assert telling.has_more, "it has just started"
+    telling.record_digest("hub", 1, NOW_S + content_registry.DIFFERS_S + 0.1)
+    assert not telling.has_pending, "not again at once"
+    telling.record_digest("hub", 0, NOW_S + 8.0)
+    assert telling.has_pending, "it has just started"
     telling.clear()
-    telling.note_digest("hub", made.book.digest, NOW_S + 9.0)
-    telling.note_digest("hub", 1, NOW_S + 9.1)
-    assert not telling.has_more
+    telling.record_digest("hub", made.registry.digest, NOW_S + 9.0)
+    telling.record_digest("hub", 1, NOW_S + 9.1)
+    assert not telling.has_pending
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -8,32 +8,32 @@
 
 from lib import gateway_setting, load_fleet
 from spoolhead._internal.models import instances, route_table, shared_load
-from spoolhead._internal.policy import latest_starts, upstream_book
+from spoolhead._internal.policy import latest_starts, upstream_registry
 
 STREAM = route_table.RequestKind.STREAM
 ONCE = route_table.RequestKind.ONCE
 REPEATABLE = route_table.RequestKind.REPEATABLE
 
 
-def _make(born_ms, name="i-1", **fields):
-    return gateway_setting.make_instance(name, born_ms=born_ms, **fields)
+def _make(started_ms, name="i-1", **fields):
+    return gateway_setting.make_instance(name, started_ms=started_ms, **fields)
 
 
-def _take(book, *listed):
-    return book.take_list(list(listed), 100.0)
+def _take(registry, *listed):
+    return registry.take_list(list(listed), 100.0)
 
 
 def test_a_later_start_is_another_run_and_the_former_is_over():
-    book = upstream_book.UpstreamBook()
-    _take(book, _make(1_000))
-    (former,) = book.get_all()
-    former.works["r"] = upstream_book.Work("r", 50, reading_tokens=0)
-    former.others = shared_load.Held(9_000, 3, 0)
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, _make(1_000))
+    (former,) = registry.get_all()
+    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    former.others = shared_load.InstanceLoad(9_000, 3, 0)
     former.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
-    former.note_sent(100.0)
-    assert _take(book, _make(2_000)) == [former]
-    (present,) = book.get_all()
-    assert former.has_started_again and former.is_gone
+    former.record_sent(100.0)
+    assert _take(registry, _make(2_000)) == [former]
+    (present,) = registry.get_all()
+    assert former.has_restarted and former.is_gone
     assert present is not former
     assert (present.tokens, present.count, present.count_sent(0.0)) == (0, 0, 0)
     assert present.is_usable(100.1)
@@ -41,44 +41,44 @@
 
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
-    book = upstream_book.UpstreamBook()
-    _take(book, _make(2_000))
-    (present,) = book.get_all()
-    assert _take(book, _make(1_000, is_leaving=True)) == []
-    assert book.get_all() == [present]
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, _make(2_000))
+    (present,) = registry.get_all()
+    assert _take(registry, _make(1_000, is_leaving=True)) == []
+    assert registry.get_all() == [present]
     assert not present.is_leaving and not present.is_gone
-    _take(book)
-    assert _take(book, _make(1_000)) == []
-    assert book.get_all() == [], "a former run came back"
+    _take(registry)
+    assert _take(registry, _make(1_000)) == []
+    assert registry.get_all() == [], "a former run came back"
 
 
 def test_a_start_that_is_not_told_any_more_names_no_run():
-    book = upstream_book.UpstreamBook()
-    _take(book, _make(2_000))
-    (present,) = book.get_all()
-    _take(book, _make(0))
-    assert book.get_all() == [present]
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, _make(2_000))
+    (present,) = registry.get_all()
+    _take(registry, _make(0))
+    assert registry.get_all() == [present]
 
 
 def test_without_starts_another_address_under_an_id_is_another_run():
-    book = upstream_book.UpstreamBook()
-    _take(book, _make(0, address="10.0.0.1:80"))
-    (former,) = book.get_all()
-    former.works["r"] = upstream_book.Work("r", 50, reading_tokens=0)
-    assert _take(book, _make(0, address="10.0.0.2:80")) == [former]
-    assert former.has_started_again
-    assert book.get_all()[0].tokens == 0
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, _make(0, address="10.0.0.1:80"))
+    (former,) = registry.get_all()
+    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    assert _take(registry, _make(0, address="10.0.0.2:80")) == [former]
+    assert former.has_restarted
+    assert registry.get_all()[0].tokens == 0
 
 
 def _restart(setting, name):
     """List an instance as started again and tell the request."""
-    setting.book.take_list([_make(2_000, name)], 100.0)
+    setting.registry.take_list([_make(2_000, name)], 100.0)
     setting.exchange.on_upstream_ended()
 
 
 def test_a_stream_at_the_former_run_is_ended_at_once():
     """Behind a cut its connection never tells."""
-    setting = gateway_setting.Setting(STREAM, names=("i-1",), born_ms=1_000)
+    setting = gateway_setting.Setting(STREAM, names=("i-1",), started_ms=1_000)
     setting.last.send()
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
     setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize(("kind", "status"), [(ONCE, 502), (STREAM, 502)])
 def test_what_may_have_run_there_is_never_called_not_run(kind, status):
-    setting = gateway_setting.Setting(kind, names=("i-1",), born_ms=1_000)
+    setting = gateway_setting.Setting(kind, names=("i-1",), started_ms=1_000)
     setting.last.send()
     _restart(setting, "i-1")
     assert setting.caller.status == status
@@ -98,7 +98,7 @@
 
 
 def test_what_may_be_repeated_is_tried_at_the_present_run():
-    setting = gateway_setting.Setting(REPEATABLE, names=("i-1",), born_ms=1_000)
+    setting = gateway_setting.Setting(REPEATABLE, names=("i-1",), started_ms=1_000)
     setting.last.send()
     _restart(setting, "i-1")
     assert len(setting.calls.attempts) == 2
@@ -106,17 +106,17 @@
 
 
 def test_a_handle_of_the_former_run_is_not_freed_at_the_present_one():
-    setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"), born_ms=1_000)
+    setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"), started_ms=1_000)
     setting.last.send()
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
     setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
     source = setting.exchange.upstream.instance.instance_id
     other = "i-2" if source == "i-1" else "i-1"
     leaving = [_make(1_000, source, is_leaving=True), _make(1_000, other)]
-    setting.book.update_instances(leaving, 100.0)
+    setting.registry.update_instances(leaving, 100.0)
     setting.exchange.on_instances_changed()
     (order,) = setting.calls.copies
-    setting.book.update_instances([_make(2_000, source), _make(1_000, other)], 100.0)
+    setting.registry.update_instances([_make(2_000, source), _make(1_000, other)], 100.0)
     setting.exchange.on_upstream_ended()
     order.answer(200, [], b'{"handle": "h1", "made": 3}')
     assert not any("/kv-handle/" in call.target for call in setting.calls.made)
@@ -130,8 +130,8 @@
     def __init__(self):
         super().__init__()
         self.now_ms = 1_000
-        self.born_ms = dict.fromkeys(self.NAMES, 1_000)
-        self.book = upstream_book.UpstreamBook()
+        self.started_ms = dict.fromkeys(self.NAMES, 1_000)
+        self.registry = upstream_registry.UpstreamRegistry()
         self.lists = []
         self.seen_ms = {}
         self.began = {}
@@ -139,88 +139,88 @@
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def start_again(self, name):
         self.now_ms += 10
-        self.born_ms[name] = self.now_ms
+        self.started_ms[name] = self.now_ms
 
     @stateful.rule(missing=strategies.sets(strategies.sampled_from(NAMES)))
     def write_list(self, missing):
         named = [name for name in self.NAMES if name not in missing]
-        self.lists.append([_make(self.born_ms[name], name) for name in named])
+        self.lists.append([_make(self.started_ms[name], name) for name in named])
 
     @stateful.precondition(lambda self: self.lists)
     @stateful.rule(data=strategies.data())
     def take_list(self, data):
         listed = data.draw(strategies.sampled_from(self.lists))
-        self.book.update_instances(listed, 0.0)
+        self.registry.update_instances(listed, 0.0)
         for item in listed:
             known_ms = self.seen_ms.get(item.instance_id, 0)
-            self.seen_ms[item.instance_id] = max(known_ms, item.born_ms)
+            self.seen_ms[item.instance_id] = max(known_ms, item.started_ms)
 
     @stateful.rule()
     def send(self):
-        for upstream in self.book.get_all():
+        for upstream in self.registry.get_all():
             number = len(self.began)
-            work = upstream_book.Work(str(number), 1, reading_tokens=0)
-            upstream.works[str(number)] = work
-            self.began[number] = upstream.instance.life_id
+            work = upstream_registry.InFlightRequest(str(number), 1, prefill_tokens=0)
+            upstream.in_flight[str(number)] = work
+            self.began[number] = upstream.instance.incarnation_id
 
     @stateful.invariant()
     def nothing_of_a_former_run(self):
-        for upstream in self.book.get_all():
+        for upstream in self.registry.get_all():
             item = upstream.instance
-            assert item.born_ms == self.seen_ms[item.instance_id], "a former run is taken"
-            assert all(self.began[int(key)] == item.life_id for key in upstream.works)
-            assert not upstream.has_started_again
-            assert self.book.get_by_key(upstream.key) is upstream
+            assert item.started_ms == self.seen_ms[item.instance_id], "a former run is taken"
+            assert all(self.began[int(key)] == item.incarnation_id for key in upstream.in_flight)
+            assert not upstream.has_restarted
+            assert self.registry.get_by_key(upstream.key) is upstream
 
 
 TestReborn = RebornMachine.TestCase
 
 
-def _make_fleet(born_ms):
+def _make_fleet(started_ms):
     made = load_fleet.LoadFleet(entries=12, halls=3, keepers=3, instances=3, loss=0.1)
     made.run(1.0)
-    _list_everywhere(made, made.entries, born_ms)
+    _list_everywhere(made, made.entries, started_ms)
     return made
 
 
-def _list_everywhere(made, entries, born_ms):
-    listed = [_make(born_ms, name) for name in made.instances]
+def _list_everywhere(made, entries, started_ms):
+    listed = [_make(started_ms, name) for name in made.instances]
     for entry in entries:
-        entry.book.take_list(listed, 0.0)
+        entry.registry.take_list(listed, 0.0)
         entry.sharing.refresh()
 
 
 def test_work_that_entries_tell_of_the_former_run_does_not_count_for_the_present_one():
     """Some entries hear of the start later than others, and datagrams are lost and late."""
-    chance = random.Random(4)
+    rng = random.Random(4)
     made = _make_fleet(1_000)
     name = made.instances[0]
     for number, entry in enumerate(made.entries):
         entry.hold(f"{name}@1000", f"r{number}", 500)
     made.run(1.0)
-    late = chance.sample(made.entries, 5)
+    late = rng.sample(made.entries, 5)
     early = [entry for entry in made.entries if entry not in late]
     _list_everywhere(made, early, 2_000)
     made.run(1.0)
     for entry in early:
-        assert entry.book.get(f"{name}@2000").others.tokens == 0
+        assert entry.registry.get(f"{name}@2000").others.tokens == 0
     for entry in late:
-        assert entry.book.get(f"{name}@1000").others.tokens <= 500 * 11
+        assert entry.registry.get(f"{name}@1000").others.tokens <= 500 * 11
     _list_everywhere(made, late, 2_000)
     made.run(4.0)
     for entry in made.entries:
-        assert entry.book.get(f"{name}@2000").tokens == 0
+        assert entry.registry.get(f"{name}@2000").tokens == 0
 
 
 def test_an_alarm_about_the_former_run_does_not_empty_the_present_one():
     made = _make_fleet(1_000)
     name = made.instances[0]
     _list_everywhere(made, made.entries, 2_000)
-    made.entries[0].sharing.tell_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
+    made.entries[0].sharing.broadcast_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
     made.run(1.0)
     for entry in made.entries:
         assert entry.alarms == []
-        assert not entry.book.get(f"{name}@2000").is_alarmed(made.clock())
+        assert not entry.registry.get(f"{name}@2000").is_alarmed(made.clock())
 
 
 @hypothesis.given(
@@ -235,32 +235,32 @@
     )
 )
 def test_of_entries_with_one_id_the_latest_start_holds(listed):
-    kept = instances.keep_one_each(listed, {})
+    kept = instances.remove_duplicates(listed, {})
     assert {item.instance_id for item in kept} == {item.instance_id for item in listed}
     for item in kept:
-        starts = [each.born_ms for each in listed if each.instance_id == item.instance_id]
-        assert item.born_ms == max(starts)
+        starts = [each.started_ms for each in listed if each.instance_id == item.instance_id]
+        assert item.started_ms == max(starts)
 
 
 def test_of_entries_with_one_start_the_one_known_before_holds():
     known = _make(0, address="10.0.0.1:1")
     other = _make(0, address="10.0.0.9:1")
-    assert instances.keep_one_each([other, known], {"i-1": known}) == [known]
-    assert instances.keep_one_each([known, other], {"i-1": known}) == [known]
-    assert instances.keep_one_each([other, known], {}) == [other]
+    assert instances.remove_duplicates([other, known], {"i-1": known}) == [known]
+    assert instances.remove_duplicates([known, other], {"i-1": known}) == [known]
+    assert instances.remove_duplicates([other, known], {}) == [other]
 
 
 def test_starts_of_all_that_is_listed_are_remembered_and_of_former_ones_a_bounded_number():
-    book = upstream_book.UpstreamBook()
-    many = latest_starts.FORMER_KEPT + 600
-    for born_ms in (2_000, 2_000):
-        _take(book, *(_make(born_ms, f"i-{number}") for number in range(many)))
-    _take(book, *(_make(1_000, f"i-{number}") for number in range(many)))
-    assert len(book.get_all()) == many
-    assert all(upstream.instance.born_ms == 2_000 for upstream in book.get_all())
-    for number in range(3 * latest_starts.FORMER_KEPT):
-        _take(book, _make(2_000, f"once-{number}"))
-    assert len(book._starts._born_ms) <= latest_starts.FORMER_KEPT + 1
+    registry = upstream_registry.UpstreamRegistry()
+    many = latest_starts.MAX_DELISTED + 600
+    for started_ms in (2_000, 2_000):
+        _take(registry, *(_make(started_ms, f"i-{number}") for number in range(many)))
+    _take(registry, *(_make(1_000, f"i-{number}") for number in range(many)))
+    assert len(registry.get_all()) == many
+    assert all(upstream.instance.started_ms == 2_000 for upstream in registry.get_all())
+    for number in range(3 * latest_starts.MAX_DELISTED):
+        _take(registry, _make(2_000, f"once-{number}"))
+    assert len(registry._starts._started_ms) <= latest_starts.MAX_DELISTED + 1
 
 
 MISDIRECTED = [("x-replica-id", "i-9")]
@@ -280,11 +280,11 @@
 
 
 def test_an_instance_whose_address_answers_for_another_gets_nothing_for_a_while():
-    book = upstream_book.UpstreamBook()
-    _take(book, _make(0))
-    (upstream,) = book.get_all()
-    assert upstream.note_replaced(100.0)
-    assert not upstream.note_replaced(100.5), "no news"
+    registry = upstream_registry.UpstreamRegistry()
+    _take(registry, _make(0))
+    (upstream,) = registry.get_all()
+    assert upstream.record_replaced(100.0)
+    assert not upstream.record_replaced(100.5), "no news"
     assert not upstream.is_usable(104.4)
     assert upstream.is_usable(104.6)
 
@@ -293,8 +293,8 @@
     made = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
     made.run(1.0)
     name = made.instances[0]
-    made.entries[0].sharing.tell_alarm(name, shared_load.AlarmKind.REPLACED)
+    made.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.REPLACED)
     made.run(0.1)
     for entry in made.entries[1:]:
-        assert entry.book.get(name).is_replaced(made.clock())
+        assert entry.registry.get(name).is_replaced(made.clock())
         assert entry.alarms == [], "its runs are not moved: there are none any more"
--- a/tests/unit/test_result_codes.py
+++ b/tests/unit/test_result_codes.py
@@ -7,7 +7,7 @@
 
 
 def test_every_code_has_facts():
-    assert set(codes.FACTS) == set(codes.ResultCode)
+    assert set(codes.CODE_INFO) == set(codes.ResultCode)
 
 
 def test_the_documented_table_is_the_one_in_the_code():
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -5,7 +5,7 @@
 from lib import gateway_setting
 from spoolhead._internal.gateway import run_queue
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import run_admission, upstream_book, upstream_choice
+from spoolhead._internal.policy import run_admission, upstream_registry, upstream_choice
 
 ENGINE = gateway_setting.ENGINE
 STREAM = route_table.RequestKind.STREAM
@@ -19,9 +19,9 @@
 
 
 def _make_upstream(tokens, reading=0):
-    upstream = upstream_book.Upstream(gateway_setting.make_instance("i"))
+    upstream = upstream_registry.Upstream(gateway_setting.make_instance("i"))
     if tokens:
-        upstream.works["r"] = upstream_book.Work("r", tokens, reading_tokens=reading)
+        upstream.in_flight["r"] = upstream_registry.InFlightRequest("r", tokens, prefill_tokens=reading)
     return upstream
 
 
@@ -72,8 +72,8 @@
 
 
 def test_a_caller_is_told_to_come_back_within_its_time():
-    assert run_admission.get_come_back_ms(39_000) == 6_500
-    assert run_admission.get_come_back_ms(600) == run_admission.LEAST_COME_BACK_MS
+    assert run_admission.compute_retry_after_ms(39_000) == 6_500
+    assert run_admission.compute_retry_after_ms(600) == run_admission.MIN_RETRY_AFTER_MS
 
 
 class Item:
@@ -111,7 +111,7 @@
         STREAM, attempts=1, names=("i-1",), tokens="3000,800", fill=33_000
     )
     assert setting.calls.attempts == []
-    setting.book.get("i-1").works.clear()
+    setting.registry.get("i-1").in_flight.clear()
     setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(run_queue.SPREAD_S)
     assert len(setting.calls.attempts) == 1
@@ -122,7 +122,7 @@
         STREAM, attempts=1, names=("i-1",), tokens="3000,800", fill=33_000
     )
     setting.caller.on_gone()
-    setting.book.get("i-1").works.clear()
+    setting.registry.get("i-1").in_flight.clear()
     setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(5.0)
     assert setting.calls.attempts == []
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -11,7 +11,7 @@
 from spoolhead._internal import exceptions
 from spoolhead._internal.contents import saved_contents
 from spoolhead._internal.models import content_record
-from spoolhead._internal.policy import content_book, quarantine
+from spoolhead._internal.policy import content_registry, quarantine
 from spoolhead._internal.utils import files
 from spoolhead.coordination import changelog
 
@@ -26,14 +26,14 @@
         self.clock = simulated_clock.Clock()
         self.clock.now_s = now_s
         self.wall_s = wall_s
-        self.book = content_book.ContentBook()
+        self.registry = content_registry.ContentRegistry()
         self.saved = saved_contents.SavedContents(
-            folder, self.book, self.clock, clock=self.clock, wall_clock=lambda: self.wall_s
+            folder, self.registry, self.clock, clock=self.clock, wall_clock=lambda: self.wall_s
         )
 
     def hold(self, *, at_s):
         record = content_record.ContentRecord(content_id=DEADLY, ends=(1, 2), waves=2)
-        self.book.set(record, at_s)
+        self.registry.set(record, at_s)
         self.save()
 
     def save(self):
@@ -44,27 +44,27 @@
 def test_what_was_known_is_known_after_a_start(tmp_path):
     Process(tmp_path).hold(at_s=45.0)
     again = Process(tmp_path)
-    assert quarantine.is_held(again.book.get(DEADLY))
+    assert quarantine.is_held(again.registry.get(DEADLY))
 
 
 def test_the_time_in_between_counts_by_the_time_of_day(tmp_path):
     Process(tmp_path, wall_s=1_000.0).hold(at_s=45.0)
     again = Process(tmp_path, wall_s=1_030.0, now_s=3.0)
-    assert again.book.get_changed_s(DEADLY) == pytest.approx(3.0 - 5.0 - 30.0, abs=0.01)
+    assert again.registry.get_changed_s(DEADLY) == pytest.approx(3.0 - 5.0 - 30.0, abs=0.01)
 
 
 def test_a_time_of_day_that_went_back_makes_nothing_younger_than_it_was(tmp_path):
     Process(tmp_path, wall_s=1_000.0).hold(at_s=45.0)
     again = Process(tmp_path, wall_s=400.0, now_s=3.0)
-    assert again.book.get_changed_s(DEADLY) == pytest.approx(3.0 - 5.0, abs=0.01)
+    assert again.registry.get_changed_s(DEADLY) == pytest.approx(3.0 - 5.0, abs=0.01)
 
 
 def test_what_was_let_go_is_not_known_after_a_start(tmp_path):
     process = Process(tmp_path)
     process.hold(at_s=45.0)
-    process.book.set(content_record.begin_epoch(DEADLY, process.book.get(DEADLY)), 50.0)
+    process.registry.set(content_record.begin_epoch(DEADLY, process.registry.get(DEADLY)), 50.0)
     process.save()
-    record = Process(tmp_path).book.get(DEADLY)
+    record = Process(tmp_path).registry.get(DEADLY)
     assert record is None or not record.is_suspect
 
 
@@ -87,7 +87,7 @@
     path.write_bytes(whole[: min(cut, len(whole) - 1)] + data)
     again = Process(tmp_path)
     again.hold(at_s=45.0)
-    assert quarantine.is_held(Process(tmp_path).book.get(DEADLY))
+    assert quarantine.is_held(Process(tmp_path).registry.get(DEADLY))
 
 
 def test_a_disk_that_refuses_delays_nobody_and_is_tried_again(tmp_path, monkeypatch):
@@ -104,7 +104,7 @@
     monkeypatch.setattr(files, "replace_file", _refuse)
     process.hold(at_s=45.0)
     assert refused.is_set()
-    assert quarantine.is_held(Process(tmp_path).book.get(DEADLY))
+    assert quarantine.is_held(Process(tmp_path).registry.get(DEADLY))
 
 
 def test_an_older_form_of_the_file_is_left_unread(tmp_path):
@@ -112,7 +112,7 @@
     process.hold(at_s=45.0)
     path = tmp_path / saved_contents.FILE_NAME
     path.write_bytes(changelog.make_record(msgpack.packb([0, 0, []])))
-    assert not len(Process(tmp_path).book)
+    assert not len(Process(tmp_path).registry)
 
 
 def test_a_flood_is_written_at_most_four_times_a_second(tmp_path, monkeypatch):
@@ -127,7 +127,7 @@
     process = Process(tmp_path)
     for number in range(200):
         record = content_record.ContentRecord(content_id=b"%016d" % number, ends=(1,), waves=1)
-        process.book.set(record, process.clock.now_s)
+        process.registry.set(record, process.clock.now_s)
         process.saved.record()
         process.clock.run(0.01)
     assert process.saved.wait_until_synced(WAIT_S)
--- a/tests/unit/test_shared_load.py
+++ b/tests/unit/test_shared_load.py
@@ -12,14 +12,14 @@
 
 _numbers = strategies.integers(0, 2**31)
 _rows = strategies.dictionaries(
-    _numbers, strategies.builds(shared_load.Held, _numbers, _numbers, _numbers), max_size=30
+    _numbers, strategies.builds(shared_load.InstanceLoad, _numbers, _numbers, _numbers), max_size=30
 )
 _alarms = strategies.lists(
     strategies.builds(
         shared_load.Alarm,
         strategies.text(max_size=9),
         strategies.sampled_from(shared_load.AlarmKind),
-        finder=strategies.text(max_size=9),
+        reporter=strategies.text(max_size=9),
         sequence=_numbers,
     ),
     max_size=3,
@@ -39,7 +39,7 @@
     is_by_hand=strategies.booleans(),
 )
 _contents = strategies.builds(
-    shared_load.ContentNews,
+    shared_load.ContentUpdate,
     strategies.lists(strategies.builds(content_record.AgedRecord, _records, _numbers), max_size=3),
     strategies.integers(0, 2**64 - 1),
 )
@@ -53,7 +53,7 @@
 def _get_values(item):
     if isinstance(item, list):
         return [_get_values(each) for each in item]
-    if hasattr(item, "__slots__") and not isinstance(item, shared_load.Held):
+    if hasattr(item, "__slots__") and not isinstance(item, shared_load.InstanceLoad):
         return [_get_values(getattr(item, name)) for name in item.__slots__]
     return item
 
@@ -117,10 +117,10 @@
 
 @hypothesis.given(
     strategies.builds(
-        permits.PermitAsk,
+        permits.PermitRequest,
         sender=strategies.text(max_size=9),
         hall=strategies.text(max_size=9),
-        ask_id=_numbers,
+        permit_id=_numbers,
         key=strategies.just(7),
         turn=_numbers,
         rank=_numbers,
@@ -132,15 +132,15 @@
     )
 )
 def test_an_ask_for_a_permit_is_read_as_written(ask):
-    read = shared_load.decode(permits.encode_ask(ask))
-    assert isinstance(read, permits.PermitAsk)
+    read = shared_load.decode(permits.encode_permit_request(ask))
+    assert isinstance(read, permits.PermitRequest)
     assert _get_values(read) == _get_values(ask)
 
 
 @hypothesis.given(
     strategies.builds(
         permits.PermitReply,
-        ask_id=_numbers,
+        permit_id=_numbers,
         verdict=strategies.sampled_from(permits.Verdict),
         retry_after_ms=_numbers,
         backoff_ms=_numbers,
--- a/tests/unit/test_first_table.py
+++ b/tests/unit/test_startup.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from spoolhead._internal.gateway import first_table
+from spoolhead._internal.gateway import startup
 
-Step = first_table.Step
+Step = startup.Step
 
 
 def _decide(age_s, **changes):
@@ -17,7 +17,7 @@
         "reaches_most": True,
         **changes,
     }
-    return first_table.decide(first_table.Knowledge(age_s=age_s, **known))
+    return startup.decide(startup.StartupState(age_s=age_s, **known))
 
 
 def test_it_serves_as_soon_as_most_keepers_confirm_its_table():
@@ -26,8 +26,8 @@
 
 @pytest.mark.parametrize("missing", ["is_sure", "has_instances", "has_contents", "has_limits"])
 def test_it_waits_a_second_for_what_is_missing(missing):
-    assert _decide(first_table.CONFIRMED_WAIT_S, **{missing: False}) is Step.WAIT
-    assert _decide(first_table.CONFIRMED_WAIT_S + 0.1, **{missing: False}) is Step.SERVE
+    assert _decide(startup.CONFIRMED_WAIT_S, **{missing: False}) is Step.WAIT
+    assert _decide(startup.CONFIRMED_WAIT_S + 0.1, **{missing: False}) is Step.SERVE
 
 
 def test_without_a_confirmed_table_it_waits_while_most_keepers_can_be_reached():
@@ -36,5 +36,5 @@
 
 def test_cut_off_from_most_keepers_it_takes_what_there_is():
     cut_off = {"has_table": False, "is_sure": False, "reaches_most": False}
-    assert _decide(first_table.UNCONFIRMED_WAIT_S, **cut_off) is Step.WAIT
-    assert _decide(first_table.UNCONFIRMED_WAIT_S + 0.1, **cut_off) is Step.TAKE_UNCONFIRMED
+    assert _decide(startup.UNCONFIRMED_WAIT_S, **cut_off) is Step.WAIT
+    assert _decide(startup.UNCONFIRMED_WAIT_S + 0.1, **cut_off) is Step.TAKE_UNCONFIRMED
--- a/tests/unit/test_stated_limits.py
+++ b/tests/unit/test_stated_limits.py
@@ -51,11 +51,11 @@
 def test_each_change_of_a_limit_is_logged_once(caplog):
     caplog.set_level(logging.INFO)
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     limits = setting.context.limits
     for now_s, text in enumerate(("2", "2", "x", "3")):
-        limits.take_answer(upstream, _read(text), float(now_s))
-    limits.take_answer(upstream, _read(), 9.0)
+        limits.handle_answer(upstream, _read(text), float(now_s))
+    limits.handle_answer(upstream, _read(), 9.0)
     assert _get_changes(caplog) == [(2.0, None), (3.0, 2.0), (None, 3.0)]
     unreadable = "upstream stated an unreadable rate limit"
     assert [item.getMessage() for item in caplog.records].count(unreadable) == 1
@@ -63,33 +63,33 @@
 
 def test_an_answer_of_another_instance_says_nothing_of_this_one():
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     limits = setting.context.limits
-    limits.take_answer(upstream, _read("2"), 1.0)
-    limits.take_answer(upstream, dialect.Dialect().read_answer(421, []), 2.0)
-    assert limits.book.get_limit_per_s(upstream.key) == 2.0
+    limits.handle_answer(upstream, _read("2"), 1.0)
+    limits.handle_answer(upstream, dialect.Dialect().read_answer(421, []), 2.0)
+    assert limits.registry.get_limit_per_s(upstream.key) == 2.0
 
 
 def test_an_answer_to_a_health_question_sets_a_limit_but_lifts_none():
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     limits = setting.context.limits
-    limits.take_health(upstream, _read("2"), 1.0)
-    assert limits.book.get_limit_per_s(upstream.key) == 2.0
-    limits.take_health(upstream, _read(), 2.0)
-    assert limits.book.get_limit_per_s(upstream.key) == 2.0
+    limits.handle_health_answer(upstream, _read("2"), 1.0)
+    assert limits.registry.get_limit_per_s(upstream.key) == 2.0
+    limits.handle_health_answer(upstream, _read(), 2.0)
+    assert limits.registry.get_limit_per_s(upstream.key) == 2.0
 
 
 def test_what_an_entry_reads_is_reported_to_others_at_once_and_for_a_while():
     changes = []
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
-    (upstream,) = setting.book.get_all()
+    (upstream,) = setting.registry.get_all()
     limits = upstream_limits.UpstreamLimits(
-        setting.book.get_by_key,
+        setting.registry.get_by_key,
         tell=lambda: changes.append("told"),
         on_change=lambda key: changes.append(key),
     )
-    limits.take_answer(upstream, _read("2"), 1.0)
+    limits.handle_answer(upstream, _read("2"), 1.0)
     assert changes == [upstream.key, "told"]
     (reported,) = limits.get_reported(1.2)
     assert (reported.key, reported.limit_per_s, reported.age_ms) == (upstream.key, 2.0, 200)
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -299,10 +299,10 @@
 
 def test_an_unconfirmed_table_is_fetched_only_while_that_is_wanted(feed):
     _tell_version(feed, "a:1", 5, is_confirmed=False)
-    feed.take_unconfirmed(True)
+    feed.accept_unconfirmed(True)
     assert _count_asked(feed, "a:1") == 1
     _send_table(feed, "a:1", 5)
-    feed.take_unconfirmed(False)
+    feed.accept_unconfirmed(False)
     _tell_version(feed, "a:1", 6, is_confirmed=False)
     assert _count_asked(feed, "a:1") == 1
     assert feed._user.tables == [5]
--- a/tests/unit/test_table_fleet.py
+++ b/tests/unit/test_table_fleet.py
@@ -40,7 +40,7 @@
         table_feed.clocks = self._time
 
     def _get_chance(self):
-        return self.fleet.group.chance
+        return self.fleet.group.rng
 
     @stateful.rule(steps=strategies.integers(min_value=1, max_value=12))
     def advance(self, steps):
@@ -150,12 +150,12 @@
 
 def _play(seed, steps=120):
     """Play the machine's rules by a plain random generator."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     machine = TableFleetMachine()
     rules = (
-        lambda: machine.advance(chance.randrange(1, 12)),
+        lambda: machine.advance(rng.randrange(1, 12)),
         machine.propose,
-        lambda: machine.restart_entry(chance.choice(("entry-1", "entry-2"))),
+        lambda: machine.restart_entry(rng.choice(("entry-1", "entry-2"))),
         machine.crash_keeper,
         machine.start_keepers,
         machine.lose_all_power,
@@ -163,9 +163,9 @@
         machine.heal,
     )
     try:
-        machine.begin(seed, chance.choice((3, 5, 6)))
+        machine.begin(seed, rng.choice((3, 5, 6)))
         for _ in range(steps):
-            chance.choice(rules)()
+            rng.choice(rules)()
             machine.nothing_old()
     finally:
         machine.teardown()
@@ -178,30 +178,30 @@
 
 def _play_orders(seed, steps=60, orders_before=0):
     """Play mostly orders on halls, keepers that lose their disks and are replaced."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     machine = TableFleetMachine()
 
     def _order():
-        machine.order_hall(chance.choice(("hall-a", "hall-b")), chance.random() < 0.5)
+        machine.order_hall(rng.choice(("hall-a", "hall-b")), rng.random() < 0.5)
 
     rules = (
-        lambda: machine.advance(chance.randrange(1, 12)),
+        lambda: machine.advance(rng.randrange(1, 12)),
         _order,
         _order,
         machine.propose,
-        lambda: machine.restart_entry(chance.choice(("entry-1", "entry-2"))),
+        lambda: machine.restart_entry(rng.choice(("entry-1", "entry-2"))),
         machine.crash_keeper,
         machine.start_keepers,
         machine.lose_all_power,
-        lambda: machine.lose_a_disk(chance.random() < 0.5),
+        lambda: machine.lose_a_disk(rng.random() < 0.5),
     )
     try:
-        machine.begin(seed, chance.choice((3, 5, 6)))
+        machine.begin(seed, rng.choice((3, 5, 6)))
         for _ in range(orders_before):
             _order()
             machine.advance(4)
         for _ in range(steps):
-            chance.choice(rules)()
+            rng.choice(rules)()
             machine.nothing_old()
         machine.heal()
     finally:
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -8,9 +8,9 @@
 from spoolhead._internal.models import route_table
 from spoolhead._internal.policy import (
     cold_start,
-    limit_book,
+    limit_registry,
     permit_backoff,
-    upstream_book,
+    upstream_registry,
     upstream_choice,
     upstream_gate,
 )
@@ -19,15 +19,15 @@
 SERVICE = route_table.Service(
     name="s", health_path="/h", max_connections=9, engine=None, cold_per_s=1.0
 )
-Bar = upstream_gate.Bar
+BlockReason = upstream_gate.BlockReason
 
 
 def _leave(upstream):
-    upstream.record_announced_end()
+    upstream.record_announced_leaving()
 
 
 def _replace(upstream):
-    upstream.note_replaced(NOW_S)
+    upstream.record_replaced(NOW_S)
 
 
 def _evacuate(upstream):
@@ -39,8 +39,8 @@
 
 
 def _be_cold(upstream):
-    upstream.note_cold(5_000, NOW_S)
-    upstream.note_sent(NOW_S)
+    upstream.record_cold(5_000, NOW_S)
+    upstream.record_sent(NOW_S)
 
 
 def _eject(upstream):
@@ -48,62 +48,62 @@
 
 
 HARMS = {
-    Bar.LEAVING: _leave,
-    Bar.REPLACED: _replace,
-    Bar.EVACUATED: _evacuate,
-    Bar.RESTING: _rest,
-    Bar.COLD: _be_cold,
-    Bar.SUSPECTED: _eject,
+    BlockReason.LEAVING: _leave,
+    BlockReason.REPLACED: _replace,
+    BlockReason.EVACUATED: _evacuate,
+    BlockReason.RESTING: _rest,
+    BlockReason.COLD: _be_cold,
+    BlockReason.SUSPECTED: _eject,
 }
 
 
 def _make(limit_per_s=2.0):
-    book = upstream_book.UpstreamBook()
-    book.update_instances([gateway_setting.make_instance("i-1")], 0.0)
-    (upstream,) = book.get_all()
-    limits = limit_book.LimitBook()
+    registry = upstream_registry.UpstreamRegistry()
+    registry.update_instances([gateway_setting.make_instance("i-1")], 0.0)
+    (upstream,) = registry.get_all()
+    limits = limit_registry.LimitRegistry()
     limits.record(upstream.key, limit_per_s, NOW_S)
     quotas = cold_start.ColdStarts("entry-1", "hall-a")
     return upstream, upstream_gate.Gate(quotas, limits, permit_backoff.PermitBackoff())
 
 
-def _get_bar(gate, upstream, **options):
+def _get_block_reason(gate, upstream, **options):
     claim = gateway_setting.CLAIM
-    return gate.get_bar(SERVICE, upstream, NOW_S, claim=claim, **options)
+    return gate.get_block_reason(SERVICE, upstream, NOW_S, claim=claim, **options)
 
 
 @pytest.mark.parametrize("bar", list(HARMS))
 def test_a_permit_brings_no_request_past_any_other_bar(bar):
     """Guards against a limited instance that gets what its rest, start or leaving forbids."""
     upstream, gate = _make()
-    assert _get_bar(gate, upstream, has_permit=True) is None
+    assert _get_block_reason(gate, upstream, has_permit=True) is None
     HARMS[bar](upstream)
-    assert _get_bar(gate, upstream, has_permit=True) is bar
+    assert _get_block_reason(gate, upstream, has_permit=True) is bar
 
 
-@pytest.mark.parametrize("bar", [bar for bar in HARMS if bar is not Bar.SUSPECTED])
+@pytest.mark.parametrize("bar", [bar for bar in HARMS if bar is not BlockReason.SUSPECTED])
 def test_no_last_resort_overrides_what_binds(bar):
     upstream, gate = _make(limit_per_s=None)
     HARMS[bar](upstream)
     view = upstream_choice.View(
         hall="hall-a",
         silent_halls=(),
-        cut_halls=(),
+        cut_off_halls=(),
         now_s=NOW_S,
         gate=gate,
         claim=gateway_setting.CLAIM,
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
     choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
     assert choice.upstream is None
-    assert choice.barred == {bar: 1}
+    assert choice.blocked == {bar: 1}
 
 
 def test_an_ejected_instance_is_the_last_resort():
     upstream, gate = _make(limit_per_s=None)
     _eject(upstream)
-    assert _get_bar(gate, upstream) is Bar.SUSPECTED
-    assert not Bar.SUSPECTED.is_binding
+    assert _get_block_reason(gate, upstream) is BlockReason.SUSPECTED
+    assert not BlockReason.SUSPECTED.is_binding
 
 
 def test_a_limited_instance_bars_whom_it_just_rejected_and_none_more_urgent():
@@ -112,12 +112,12 @@
     gate.backoff.record(
         upstream.key, claim.rank, claim.workspace, retry_after_ms=9, backoff_ms=900, now_s=NOW_S
     )
-    assert _get_bar(gate, upstream) is Bar.LIMITED
-    assert _get_bar(gate, upstream, has_permit=True) is None
+    assert _get_block_reason(gate, upstream) is BlockReason.LIMITED
+    assert _get_block_reason(gate, upstream, has_permit=True) is None
     urgent = upstream_gate.RequestPriority(claim.rank - 1, claim.workspace)
-    assert gate.get_bar(SERVICE, upstream, NOW_S, claim=urgent) is None
+    assert gate.get_block_reason(SERVICE, upstream, NOW_S, claim=urgent) is None
 
 
 def test_a_cut_hall_bars_its_instances():
     upstream, gate = _make()
-    assert _get_bar(gate, upstream, cut_halls={"hall-a"}) is Bar.CUT_OFF
+    assert _get_block_reason(gate, upstream, cut_off_halls={"hall-a"}) is BlockReason.CUT_OFF
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -9,8 +9,8 @@
 from spoolhead._internal.models import fleet, route_table, shared_load
 from spoolhead._internal.policy import (
     retry_allowance,
-    run_safety,
-    upstream_book,
+    run_migration_policy,
+    upstream_registry,
     upstream_choice,
     watch_duty,
 )
@@ -24,23 +24,23 @@
 
 
 def _make_book(*items):
-    book = upstream_book.UpstreamBook()
-    book.update_instances(items, 0.0)
-    return book
+    registry = upstream_registry.UpstreamRegistry()
+    registry.update_instances(items, 0.0)
+    return registry
 
 
-def _choose(book, service=PLAIN, *, silent=(), cut=(), excluded=(), now_s=100.0):
+def _choose(registry, service=PLAIN, *, silent=(), cut=(), excluded=(), now_s=100.0):
     view = upstream_choice.View(
         hall="hall-a",
         silent_halls=silent,
-        cut_halls=cut,
+        cut_off_halls=cut,
         now_s=now_s,
         gate=gateway_setting.make_gate("entry-1", "hall-a"),
         claim=gateway_setting.CLAIM,
-        chance=random.Random(1),
+        rng=random.Random(1),
     )
     return upstream_choice.choose(
-        service, book.get_service("s"), need_tokens=1_000, excluded=excluded, view=view
+        service, registry.get_service("s"), need_tokens=1_000, excluded=excluded, view=view
     )
 
 
@@ -49,90 +49,90 @@
 
 
 def _work(upstream, tokens, reading=0):
-    name = f"r{len(upstream.works)}"
-    upstream.works[name] = upstream_book.Work(name, tokens, reading_tokens=reading)
+    name = f"r{len(upstream.in_flight)}"
+    upstream.in_flight[name] = upstream_registry.InFlightRequest(name, tokens, prefill_tokens=reading)
 
 
 def test_the_own_hall_is_preferred_until_it_is_busier():
-    book = _make_book(
+    registry = _make_book(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
-    assert _name(_choose(book)) == "near"
+    assert _name(_choose(registry)) == "near"
     for _ in range(3):
-        _work(book.get("near"), 0)
-    assert _name(_choose(book)) == "far"
+        _work(registry.get("near"), 0)
+    assert _name(_choose(registry)) == "far"
 
 
 def test_memory_and_reading_decide_at_engines():
-    book = _make_book(
+    registry = _make_book(
         gateway_setting.make_instance("full"), gateway_setting.make_instance("reading")
     )
-    _work(book.get("full"), 20_000)
-    assert _name(_choose(book, MODEL)) == "reading"
-    _work(book.get("reading"), 9_000, reading=9_000)
-    assert _name(_choose(book, MODEL)) == "full"
+    _work(registry.get("full"), 20_000)
+    assert _name(_choose(registry, MODEL)) == "reading"
+    _work(registry.get("reading"), 9_000, reading=9_000)
+    assert _name(_choose(registry, MODEL)) == "full"
 
 
 def test_a_silent_hall_comes_last_but_is_better_than_nothing():
-    book = _make_book(
+    registry = _make_book(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
     for _ in range(6):
-        _work(book.get("near"), 0)
-    assert _name(_choose(book, silent={"hall-b"})) == "near"
-    assert _name(_choose(book, silent={"hall-b"}, excluded={"near"})) == "far"
+        _work(registry.get("near"), 0)
+    assert _name(_choose(registry, silent={"hall-b"})) == "near"
+    assert _name(_choose(registry, silent={"hall-b"}, excluded={"near"})) == "far"
 
 
 def test_a_hall_that_cannot_be_reached_is_not_even_the_last_resort():
-    book = _make_book(
+    registry = _make_book(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
-    assert _name(_choose(book, cut={"hall-b"})) == "near"
-    assert _name(_choose(book, cut={"hall-b"}, excluded={"near"})) is None
+    assert _name(_choose(registry, cut={"hall-b"})) == "near"
+    assert _name(_choose(registry, cut={"hall-b"}, excluded={"near"})) is None
 
 
 def test_an_instance_that_fails_rests_and_is_used_if_there_is_no_other():
-    book = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
-    for _ in range(upstream_book.FAILURES_TO_EJECT):
-        book.get("a").record_failure(100.0)
-    assert not book.get("a").is_usable(100.1)
-    assert _name(_choose(book, excluded={"b"}, now_s=100.1)) == "a"
-    assert book.get("a").is_usable(100.0 + upstream_book.FIRST_EJECTION_S)
+    registry = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
+    for _ in range(upstream_registry.FAILURES_TO_EJECT):
+        registry.get("a").record_failure(100.0)
+    assert not registry.get("a").is_usable(100.1)
+    assert _name(_choose(registry, excluded={"b"}, now_s=100.1)) == "a"
+    assert registry.get("a").is_usable(100.0 + upstream_registry.FIRST_EJECTION_S)
 
 
 def test_an_unreachable_instance_rests_at_once():
-    book = _make_book(gateway_setting.make_instance("a"))
-    assert book.get("a").record_failure(100.0, is_unreachable=True)
+    registry = _make_book(gateway_setting.make_instance("a"))
+    assert registry.get("a").record_failure(100.0, is_unreachable=True)
 
 
 def test_a_leaving_instance_is_never_chosen():
-    book = _make_book(gateway_setting.make_instance("a", is_leaving=True))
-    assert _choose(book).upstream is None
+    registry = _make_book(gateway_setting.make_instance("a", is_leaving=True))
+    assert _choose(registry).upstream is None
 
 
 def test_an_alarm_passes_and_a_false_one_costs_its_sender_belief():
-    upstream = upstream_book.Upstream(gateway_setting.make_instance("a"))
+    upstream = upstream_registry.Upstream(gateway_setting.make_instance("a"))
     assert upstream.raise_alarm(100.0, SAID)
-    assert upstream.is_departing(100.1)
+    assert upstream.may_be_leaving(100.1)
     assert not upstream.raise_alarm(100.5, SAID)
-    assert not upstream.is_departing(100.0 + upstream_book.ALARM_S)
-    assert not upstream.raise_alarm(100.0 + upstream_book.ALARM_S + 1.0, SAID)
+    assert not upstream.may_be_leaving(100.0 + upstream_registry.ALARM_S)
+    assert not upstream.raise_alarm(100.0 + upstream_registry.ALARM_S + 1.0, SAID)
     assert upstream.raise_alarm(
-        100.0 + upstream_book.ALARM_S + upstream_book.ALARM_COOLDOWN_S, SAID
+        100.0 + upstream_registry.ALARM_S + upstream_registry.ALARM_COOLDOWN_S, SAID
     )
 
 
 def test_the_list_tells_what_leaves_and_what_is_gone_with_work():
-    book = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
-    b = book.get("b")
+    registry = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
+    b = registry.get("b")
     _work(b, 10)
-    leaving = book.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
+    leaving = registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
     assert [item.instance.instance_id for item in leaving] == ["a", "b"]
     assert b.is_gone
-    assert book.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
+    assert registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
 
 
 def test_each_instance_is_watched_by_exactly_one_entry_of_its_hall():
@@ -210,7 +210,7 @@
 def test_an_instance_that_could_not_be_reached_is_still_believed_when_it_speaks():
     upstream = _make_book(gateway_setting.make_instance("i")).get("i")
     assert upstream.raise_alarm(100.0, UNREACHABLE)
-    later_s = 100.0 + upstream_book.ALARM_S + 1.0
+    later_s = 100.0 + upstream_registry.ALARM_S + 1.0
     assert not upstream.is_alarmed(later_s)
     assert not upstream.raise_alarm(later_s, UNREACHABLE)
     assert upstream.raise_alarm(later_s, SAID)
@@ -235,22 +235,22 @@
 def test_losses_far_apart_are_two_accidents():
     upstream = _make_book(gateway_setting.make_instance("i")).get("i")
     assert not upstream.record_peer_failure("e1", 100.0)
-    assert not upstream.record_peer_failure("e2", 100.0 + upstream_book.REPORT_S + 0.1)
+    assert not upstream.record_peer_failure("e2", 100.0 + upstream_registry.REPORT_S + 0.1)
 
 
 def test_a_copy_goes_to_the_same_hall_where_there_is_room_and_is_tried_where_there_is_none():
-    book = _make_book(
+    registry = _make_book(
         gateway_setting.make_instance("here"),
         gateway_setting.make_instance("mate"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
-    _work(book.get("mate"), 10_000)
+    _work(registry.get("mate"), 10_000)
 
     def _choose_holder():
-        return run_safety.choose_holder(
+        return run_migration_policy.choose_copy_target(
             MODEL,
-            book.get_service("s"),
-            running_at=book.get("here"),
+            registry.get_service("s"),
+            running_at=registry.get("here"),
             excluded=(),
             now_s=100.0,
             gate=gateway_setting.make_gate("entry-1", "hall-a"),
@@ -258,9 +258,9 @@
         )
 
     assert _choose_holder().instance.instance_id == "mate"
-    _work(book.get("mate"), 30_500)
+    _work(registry.get("mate"), 30_500)
     assert _choose_holder().instance.instance_id == "far"
-    _work(book.get("far"), 40_000)
+    _work(registry.get("far"), 40_000)
     assert _choose_holder().instance.instance_id == "mate"
 
 
@@ -274,6 +274,6 @@
     for allowance in allowances:
         allowance.entry_count = entries
         for step in range(200):
-            allowance.note_request(step * 0.01)
+            allowance.record_request(step * 0.01)
             taken += allowance.try_acquire(step * 0.01)
     assert 0 < taken <= 0.2 * 200 * entries + 56
--- a/tests/unit/test_word_fleet.py
+++ b/tests/unit/test_word_fleet.py
@@ -28,7 +28,7 @@
 
     def _tell(self, number, instance, kind, for_ms=0):
         name = self.fleet.instances[instance]
-        self.fleet.entries[number].sharing.tell_alarm(name, kind, for_ms=for_ms)
+        self.fleet.entries[number].sharing.broadcast_alarm(name, kind, for_ms=for_ms)
         self.told_s[number] = self.fleet.clock()
         return name
 
@@ -38,7 +38,7 @@
     def leave(self, number, instance):
         kind = shared_load.AlarmKind.LEAVING
         name = self._tell(number, instance, kind)
-        self.fleet.entries[number].book.get(name).record_announced_end()
+        self.fleet.entries[number].registry.get(name).record_announced_leaving()
         self.leaving.add(name)
 
     @stateful.rule(
@@ -49,17 +49,17 @@
         kind = shared_load.AlarmKind.RESTING
         name = self._tell(number, INSTANCES - 1, kind, for_ms)
         now_s = self.fleet.clock()
-        self.fleet.entries[number].book.get(name).rest.record(for_ms, now_s)
+        self.fleet.entries[number].registry.get(name).rest.record(for_ms, now_s)
 
     @stateful.rule(number=strategies.integers(0, ENTRIES - 1))
     def restart_entry(self, number):
-        if self.fleet.clock() - self.told_s[number] > TOLD_S and not self.fleet.net.cut_halls:
+        if self.fleet.clock() - self.told_s[number] > TOLD_S and not self.fleet.net.cut_off_halls:
             self.fleet.restart_entry(number)
 
     @stateful.rule(number=strategies.integers(0, 2))
     def cut_or_join_hall(self, number):
         net = self.fleet.net
-        net.cut_halls = set() if net.cut_halls else {self.fleet.halls[number]}
+        net.cut_off_halls = set() if net.cut_off_halls else {self.fleet.halls[number]}
 
     @stateful.rule()
     def cut_or_join_hubs(self):
@@ -77,14 +77,14 @@
     def teardown(self):
         net = self.fleet.net
         net.loss = 0.0
-        net.cut_halls = set()
+        net.cut_off_halls = set()
         net.cut_keepers = set()
         self.fleet.run(CALM_S)
         now_s = self.fleet.clock()
         for entry in self.fleet.entries:
-            known = {item for item in self.leaving if entry.book.get(item).has_announced_end}
+            known = {item for item in self.leaving if entry.registry.get(item).has_announced_leaving}
             assert known == self.leaving
-            rest = entry.book.get(self.fleet.instances[-1]).rest
+            rest = entry.registry.get(self.fleet.instances[-1]).rest
             assert not rest.is_resting(now_s)
             assert not rest.has_reports(now_s)
 
--- a/tools/standins/platform.py
+++ b/tools/standins/platform.py
@@ -46,7 +46,7 @@
         self.zone = zone
         self.state = "ready"
         self.is_dead = False
-        self.born_ms = 0
+        self.started_ms = 0
         self.copies: set[str] = set()
         self.tasks: set[asyncio.Task] = set()
         self.server: asyncio.Server | None = None
@@ -80,8 +80,8 @@
             "state": self.state,
             "cold_remaining_ms": 0,
         }
-        if self.born_ms:
-            entry["born"] = self.born_ms
+        if self.started_ms:
+            entry["born"] = self.started_ms
         return entry
 
     async def crash(self, platform: "Platform") -> None:
@@ -100,9 +100,9 @@
         self.is_down = False
         await platform.listen(self, sock)
 
-    def start_again(self, born_ms: int) -> None:
+    def start_again(self, started_ms: int) -> None:
         """Forget all that ran here and take another start."""
-        self.born_ms = born_ms
+        self.started_ms = started_ms
         self.copies.clear()
         for task in list(self.tasks):
             task.cancel()
--- a/tools/write_result_codes.py
+++ b/tools/write_result_codes.py
@@ -25,7 +25,7 @@
 def make_page() -> str:
     """Return the page's text."""
     lines = []
-    for code, facts in codes.FACTS.items():
+    for code, facts in codes.CODE_INFO.items():
         status = int(facts.status) if facts.status is not None else "-"
         lines.append(f"| {int(code)} | {code.name} | {status} | {facts.meaning} |")
     return HEAD + "\n".join(lines) + "\n"
