--- a/src/spoolhead/_internal/commands/explain_logs.py
+++ b/src/spoolhead/_internal/commands/explain_logs.py
@@ -17,24 +17,24 @@
     :param paths: files, one a process or merged; ``-`` for standard input.
     """
     try:
-        story = log_trace.tell(read(paths), request_id)
+        trace = log_trace.build_trace(read(paths), request_id)
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
-    if not story.own:
+    if not trace.own:
         text = codes.CODE_INFO[codes.ResultCode.DECISION_NOT_FOUND].meaning
         output.print_error(f"{text} [{int(codes.ResultCode.DECISION_NOT_FOUND)}]")
         return exit_codes.ExitCode.NOT_FOUND
     if as_json:
-        output.print_json([_as_dict(line) for line in (*story.own, *story.beliefs)])
+        output.print_json([_as_dict(line) for line in (*trace.own, *trace.beliefs)])
         return exit_codes.ExitCode.OK
-    began_s = story.own[0].time_s
-    for line in story.own:
+    began_s = trace.own[0].time_s
+    for line in trace.own:
         _print_line(line, began_s)
-    if not story.has_end:
+    if not trace.has_end:
         print("no line tells its end: the process ended first, or the line was dropped")
     print("what the process believed:")
-    for line in story.beliefs:
+    for line in trace.beliefs:
         _print_line(line, began_s)
     return exit_codes.ExitCode.OK
 
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -123,7 +123,9 @@
         output.print_json(report)
         return
     if code is not codes.ResultCode.OK:
-        output.print_error(f"refused, nothing changed: {codes.CODE_INFO[code].meaning} [{int(code)}]")
+        output.print_error(
+            f"refused, nothing changed: {codes.CODE_INFO[code].meaning} [{int(code)}]"
+        )
         for item in report["faults"]:
             output.print_error(f"  {item['path']}: {item['text']}")
         for item in report["conflicts"]:
--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -18,7 +18,7 @@
 
     :param name: the entry's name.
     :param clock: monotonic time in seconds.
-    :param tell: called when something is to be told at once.
+    :param request_broadcast: called when something is to be told at once.
     :param on_held: called with the name of a content of which nothing may go on running.
     :ivar is_in_sync: a hub has been heard that knew what is known here, and nothing else.
     """
@@ -28,12 +28,12 @@
         name: str,
         *,
         clock: clocks.Clock,
-        tell: Callable[[], None],
+        request_broadcast: Callable[[], None],
         on_held: Callable[[bytes], None],
     ) -> None:
         self.is_in_sync = False
         self._clock = clock
-        self._tell = tell
+        self._request_broadcast = request_broadcast
         self._on_held = on_held
         self._quarantine = quarantine.Quarantine(name)
         self._broadcast = content_registry.ContentBroadcast(self._quarantine.registry)
@@ -149,7 +149,7 @@
         """Pass on what this entry has found out itself."""
         self._log(record, reason)
         self._broadcast.record_changed(record.content_id)
-        self._tell()
+        self._request_broadcast()
         self._report_if_held(record)
 
     def _report_if_held(self, record: content_record.ContentRecord) -> None:
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -218,7 +218,9 @@
             return False
         self._flows.discard(running)
         self._admission.finish(request.workspace)
-        self._decisions.record(request, "wait", code, text="no upstream has room for another attempt")
+        self._decisions.record(
+            request, "wait", code, text="no upstream has room for another attempt"
+        )
         waiting = self._make_waiting(_Job(request, running.caller, running))
         self._admission.put_back(waiting, clocks.get_s())
         running.caller.on_gone = lambda: self._withdraw(waiting)
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -48,7 +48,7 @@
         self._watch = content_watch.ContentWatch(
             name,
             clock=clocks.get_s,
-            tell=self._tell_changed,
+            request_broadcast=self._tell_changed,
             on_held=on_held,
         )
         self._saved: saved_contents.SavedContents | None = None
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -113,7 +113,9 @@
         if code is codes.ResultCode.ONCE_KEY_REUSED:
             ran = codes.Ran.NO
         item = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
-        self._decisions.record_refusal(request.request_id, request.workspace, item, request.arrived_s)
+        self._decisions.record_refusal(
+            request.request_id, request.workspace, item, request.arrived_s
+        )
         may_come_back = code in (
             codes.ResultCode.ONCE_CLAIM_UNAVAILABLE,
             codes.ResultCode.ONCE_IN_PROGRESS,
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -78,7 +78,10 @@
             self._contents,
         )
         self._neighbours = neighbours.Neighbours(
-            self._loop, outgoing, config, lambda reports: self._reports.handle_neighbour_report(reports)
+            self._loop,
+            outgoing,
+            config,
+            lambda reports: self._reports.handle_neighbour_report(reports),
         )
         self._reports = load_reports.LoadReports(
             self._loop,
@@ -102,7 +105,7 @@
         self._once = once_requests.OnceRequests(self._dispatcher, self._decisions, self._keeper)
         self._dispatcher.update_upstreams()
         self._front = caller_front.CallerFront(
-            self._loop, config, take=self._take, refuse=self._refuse_bytes
+            self._loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
         ).register(self._loop)
         if config.statsd is not None:
             self._send_metrics(config.statsd)
--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -153,7 +153,10 @@
         match alarm.kind:
             case shared_load.AlarmKind.LOST_REQUEST:
                 if upstream.record_peer_failure(alarm.reporter, now_s):
-                    fields = {"upstream": alarm.incarnation_id, "reason": f"told by {alarm.reporter}"}
+                    fields = {
+                        "upstream": alarm.incarnation_id,
+                        "reason": f"told by {alarm.reporter}",
+                    }
                     logger.warning("upstream ejected", extra={"fields": fields})
             case shared_load.AlarmKind.COLD:
                 if upstream.record_cold(alarm.for_ms, now_s):
@@ -161,7 +164,10 @@
                     logger.info("upstream is cold", extra={"fields": cold_fields})
             case shared_load.AlarmKind.LEAVING:
                 if upstream.record_announced_leaving():
-                    leaving_fields = {"upstream": alarm.incarnation_id, "reported_by": alarm.reporter}
+                    leaving_fields = {
+                        "upstream": alarm.incarnation_id,
+                        "reported_by": alarm.reporter,
+                    }
                     logger.info(
                         "upstream announced that it leaves", extra={"fields": leaving_fields}
                     )
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -12,7 +12,7 @@
 )
 from spoolhead._internal.models import codes, dialects, fault
 from spoolhead._internal.network import caller_front, links, upstream_calls
-from spoolhead._internal.policy import quarantine, run_admission, upstream_registry, upstream_choice
+from spoolhead._internal.policy import quarantine, run_admission, upstream_choice, upstream_registry
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -95,7 +95,7 @@
             case quarantine.Verdict.CLAIM:
                 logger.info("trial of a held request", extra={"fields": self.get_fields()})
                 self._is_trial = True
-                self._context.contents.claim(content_id)
+                self._context.contents.claim_trial(content_id)
                 self._context.timers.call_later(quarantine.CLAIM_S, self._run_claimed_trial)
             case verdict:
                 self._runs_apart = verdict is quarantine.Verdict.RUN_APART
@@ -121,7 +121,7 @@
             cut_off_halls=context.get_cut_off_halls(now_s),
             now_s=now_s,
             gate=context.gate,
-            claim=self.job.request_priority,
+            request_priority=self.job.request_priority,
             permitted=self._permitted,
             rng=context.rng,
         )
@@ -157,7 +157,7 @@
         fields = {**self.get_fields(), "upstream": upstream.instance.incarnation_id}
         fields["wait_ms"] = request.wait_ms
         logger.info("waits for a permit", extra={"fields": fields})
-        self._context.permits.ask(
+        self._context.permits.request_permit(
             upstream, request, lambda is_granted: self._handle_permit(upstream, is_granted)
         )
         return True
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -11,8 +11,8 @@
     cold_start,
     hall_reach,
     retry_allowance,
-    upstream_registry,
     upstream_gate,
+    upstream_registry,
 )
 from spoolhead._internal.utils import clocks
 
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -46,7 +46,9 @@
         "upstream",
     )
 
-    def __init__(self, owner: "HealthWatch", upstream: upstream_registry.Upstream, path: str) -> None:
+    def __init__(
+        self, owner: "HealthWatch", upstream: upstream_registry.Upstream, path: str
+    ) -> None:
         self.owner = owner
         self.upstream = upstream
         self.path = path
@@ -70,14 +72,14 @@
         pass
 
     def on_answer_end(self) -> None:
-        self.owner.take(self, f"status {self.status}")
+        self.owner.handle_probe_end(self, f"status {self.status}")
 
     def on_call_lost(self, reason: str) -> None:
         if self.call is not None and self.call.is_reused:
             self.owner.probe_again(self)
             return
         is_silent = reason == links.CONNECT_TIMEOUT
-        self.owner.take(self, reason, is_silent=is_silent)
+        self.owner.handle_probe_end(self, reason, is_silent=is_silent)
 
 
 class HealthWatch:
@@ -159,7 +161,9 @@
             self._silences[incarnation_id] = silences + 1
             return
         now_s = clocks.get_s()
-        kind = shared_load.AlarmKind.UNHEALTHY if probe.status else shared_load.AlarmKind.UNREACHABLE
+        kind = (
+            shared_load.AlarmKind.UNHEALTHY if probe.status else shared_load.AlarmKind.UNREACHABLE
+        )
         if probe.upstream.raise_alarm(now_s, kind):
             fields = {"upstream": incarnation_id, "outcome": outcome}
             logger.info("upstream says that it is not well", extra={"fields": fields})
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -154,7 +154,9 @@
         """Return the age of what is known of the others; -1 if nothing is."""
         return self._view.get_age_ms(self._clock())
 
-    def broadcast_alarm(self, incarnation_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0) -> None:
+    def broadcast_alarm(
+        self, incarnation_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0
+    ) -> None:
         """Tell all other entries at once of an instance that was found bad, or cold."""
         self._alarms.raise_alarm(incarnation_id, kind, self._clock(), for_ms=for_ms)
         self._report()
@@ -272,7 +274,11 @@
             is_reporter=is_reporter,
             rows=rows,
             alarms=self._alarms.get_raised(now_s) if is_reporter else [],
-            contents=self._contents.make_content_update() if is_reporter else self._contents.make_digest_update(),
+            contents=(
+                self._contents.make_content_update()
+                if is_reporter
+                else self._contents.make_digest_update()
+            ),
             limits=self._limits.get_reported(now_s) if is_reporter else [],
             wants_snapshot=is_reporter and not self._view.has_snapshot,
         )
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -13,8 +13,8 @@
     granter_choice,
     permit_backoff,
     permit_granter,
-    upstream_registry,
     upstream_gate,
+    upstream_registry,
 )
 from spoolhead._internal.utils import clocks, endpoints
 
@@ -43,9 +43,14 @@
     __slots__ = ("request_priority", "is_final", "is_retry", "wait_ms")
 
     def __init__(
-        self, claim: upstream_gate.RequestPriority, *, is_retry: bool, wait_ms: int, is_final: bool
+        self,
+        request_priority: upstream_gate.RequestPriority,
+        *,
+        is_retry: bool,
+        wait_ms: int,
+        is_final: bool,
     ) -> None:
-        self.request_priority = claim
+        self.request_priority = request_priority
         self.is_retry = is_retry
         self.wait_ms = wait_ms
         self.is_final = is_final
@@ -194,9 +199,9 @@
             permit_id=permit_id,
             key=key,
             turn=ask.turn,
-            rank=ask.request.claim.rank,
+            rank=ask.request.request_priority.rank,
             is_retry=ask.request.is_retry,
-            workspace=xxhash.xxh32_intdigest(ask.request.claim.workspace.encode()),
+            workspace=xxhash.xxh32_intdigest(ask.request.request_priority.workspace.encode()),
             wait_ms=ask.request.wait_ms,
             is_final=ask.request.is_final,
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
@@ -261,11 +266,11 @@
             self._missed.pop(granters[ask.turn].name, None)
 
     def _back_off(self, ask: _PendingRequest, reply: permits.PermitReply, now_s: float) -> None:
-        claim = ask.request.claim
+        request_priority = ask.request.request_priority
         self.backoff.record(
             ask.upstream.key,
-            claim.rank,
-            claim.workspace,
+            request_priority.rank,
+            request_priority.workspace,
             retry_after_ms=reply.retry_after_ms,
             backoff_ms=reply.backoff_ms,
             now_s=now_s,
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -36,7 +36,9 @@
         self._attempts_made += 1
         self._tried.add(upstream.instance.incarnation_id)
         request_id = self.job.head.request_id
-        upstream.in_flight[request_id] = upstream_registry.InFlightRequest(request_id, 0, prefill_tokens=0)
+        upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
+            request_id, 0, prefill_tokens=0
+        )
         self._context.on_change()
         orders = dialects.AttemptOrders(
             instance_id=upstream.instance.instance_id,
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -10,17 +10,17 @@
     entry_metrics,
     exchange,
     exchange_context,
-    startup,
     health_watch,
     load_sharing,
     permit_exchange,
     plain_exchange,
     refusals,
     routed_job,
+    startup,
     stream_exchange,
     table_feed,
-    upstream_limits,
     upstream_events,
+    upstream_limits,
 )
 from spoolhead._internal.load_broadcast import load_socket
 from spoolhead._internal.models import (
@@ -93,7 +93,7 @@
         self._contents = content_watch.ContentWatch(
             config.name,
             clock=clocks.get_s,
-            tell=lambda: self._sharing.broadcast_contents(),
+            request_broadcast=lambda: self._sharing.broadcast_contents(),
             on_held=self._reject_held,
         )
         self._metrics.held_contents.set_function(lambda: self._contents.held_count)
@@ -101,7 +101,7 @@
         sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         self._limits = upstream_limits.UpstreamLimits(
             self._registry.get_by_key,
-            tell=lambda: self._sharing.broadcast_limits(),
+            request_broadcast=lambda: self._sharing.broadcast_limits(),
             on_change=self._on_limit_change,
         )
         self._metrics.limited_upstreams.set_function(lambda: self._limits.registry.limited_count)
@@ -128,7 +128,9 @@
             self.loop.scheduler,
             self._contents,
             read_instance_id=lambda status, head: dialect.read_answer(status, head).instance_id,
-            on_ended=lambda incarnation_id: self._sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED),
+            on_ended=lambda incarnation_id: self._sharing.broadcast_alarm(
+                incarnation_id, shared_load.AlarmKind.ENDED
+            ),
         )
         self._context = exchange_context.Context(
             config=config,
@@ -157,7 +159,7 @@
         )
         self._metrics.waiting.set_function(lambda: len(self._context.queue))
         self._front = caller_front.CallerFront(
-            self.loop, config, take=self._take, refuse=self._refuse_bytes
+            self.loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
         ).register(self.loop)
         small_server.SmallServer(
             (config.ready_host, config.ready_port),
@@ -248,7 +250,9 @@
         self._permits.backoff.clear(key)
         self._context.queue.schedule_check()
 
-    def _handle_health_answer(self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead) -> None:
+    def _handle_health_answer(
+        self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead
+    ) -> None:
         self._limits.handle_health_answer(upstream, head, clocks.get_s())
         if head.is_leaving:
             self._upstream_events.handle_announced_leaving(upstream)
@@ -315,7 +319,9 @@
     def _find_unreachable(self) -> str:
         """Return the name of a service whose instances all stand in lost halls; empty for none."""
         lost = self._context.reach.get_unreachable_halls(
-            self._sharing.get_silent_halls(), clocks.get_s(), is_isolated=self._sharing.is_isolated()
+            self._sharing.get_silent_halls(),
+            clocks.get_s(),
+            is_isolated=self._sharing.is_isolated(),
         )
         if not lost or self._matcher is None:
             return ""
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -165,11 +165,13 @@
             return
         self._order_copy(running_at, holder)
 
-    def _ask(self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream) -> None:
+    def _ask(
+        self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream
+    ) -> None:
         """Ask for a permit for the run to go on at a limited instance."""
         self._is_awaiting_permit = True
         request = permit_exchange.PermitTerms(
-            self._job.claim, is_retry=False, wait_ms=0, is_final=False
+            self._job.request_priority, is_retry=False, wait_ms=0, is_final=False
         )
 
         def _handle_permit(is_granted: bool) -> None:
@@ -181,14 +183,14 @@
             else:
                 self._check_later(TRY_AGAIN_S)
 
-        self._context.permits.ask(holder, request, _handle_permit)
+        self._context.permits.request_permit(holder, request, _handle_permit)
 
     def _is_blocked(self, holder: upstream_registry.Upstream) -> bool:
         bar = self._context.gate.get_block_reason(
             self._job.service,
             holder,
             clocks.get_s(),
-            claim=self._job.claim,
+            request_priority=self._job.request_priority,
             has_permit=True,
         )
         return bar is not None
@@ -229,7 +231,7 @@
             excluded=self._refusers,
             now_s=clocks.get_s(),
             gate=self._context.gate,
-            claim=self._job.claim,
+            request_priority=self._job.request_priority,
         )
 
     def _hold(self, holder: upstream_registry.Upstream) -> None:
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -12,7 +12,12 @@
 )
 from spoolhead._internal.models import codes, dialects
 from spoolhead._internal.network import caller_front
-from spoolhead._internal.policy import run_admission, run_migration_policy, upstream_registry, upstream_choice
+from spoolhead._internal.policy import (
+    run_admission,
+    run_migration_policy,
+    upstream_choice,
+    upstream_registry,
+)
 from spoolhead._internal.relay import pace_meter, splice
 from spoolhead._internal.utils import clocks
 
@@ -244,7 +249,9 @@
         }
         logger.info("attempt failed", extra={"fields": fields})
 
-    def _open(self, upstream: upstream_registry.Upstream, resume: dialects.ResumePoint | None) -> None:
+    def _open(
+        self, upstream: upstream_registry.Upstream, resume: dialects.ResumePoint | None
+    ) -> None:
         attempt = self._attempt = attempts.Attempt(self, upstream, is_resumed=resume is not None)
         request_id = self.job.head.request_id
         generation = self.job.head.generation
@@ -322,7 +329,8 @@
             "longest_pause_ms": self._pace.longest_pause_ms,
             "pause_after_events": self._pace.longest_after,
             "is_late": (self._pace.first_ms or 0) > route.objective_ms,
-            "has_long_pause": self._pace.longest_pause_ms > run_migration_policy.get_max_pause_ms(route),
+            "has_long_pause": self._pace.longest_pause_ms
+            > run_migration_policy.get_max_pause_ms(route),
         }
         logger.info("answered", extra={"fields": fields})
         self._context.metrics.first_event_ms.observe(self._pace.first_ms or 0)
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -39,7 +39,7 @@
         registry = self._context.registry
         before = registry.get_all()
         known = {upstream.instance.incarnation_id for upstream in before}
-        leaving = registry.take_list(listed, clocks.get_s())
+        leaving = registry.update_instances(listed, clocks.get_s())
         now_known = {upstream.instance.incarnation_id for upstream in registry.get_all()}
         for incarnation_id in sorted(now_known - known):
             logger.info("upstream came", extra={"fields": {"upstream": incarnation_id}})
@@ -50,7 +50,7 @@
         self._context.cold_starts.forget_quotas()
         self._context.permits.refresh()
         self._context.limits.registry.expire(clocks.get_s())
-        self._context.queue.note_change()
+        self._context.queue.schedule_check()
         for upstream in leaving:
             if upstream.has_restarted:
                 self._end_at(upstream)
@@ -62,7 +62,9 @@
         for upstream in before:
             has_announced = upstream.instance.is_leaving or upstream.has_announced_leaving
             if upstream.is_gone and not has_announced:
-                self._context.contents.record_ended(upstream.instance.incarnation_id, "no longer listed")
+                self._context.contents.record_ended(
+                    upstream.instance.incarnation_id, "no longer listed"
+                )
 
     def handle_evacuations(self, halls: frozenset[str]) -> None:
         """Send nothing more to instances of these halls, and to all others again.
@@ -77,9 +79,11 @@
             if service is not None:
                 upstream.assume_cold(service.cold_start_ms, now_s)
         self._recheck_runs()
-        self._context.queue.note_change()
+        self._context.queue.schedule_check()
 
-    def handle_alarm(self, upstream: upstream_registry.Upstream, kind: shared_load.AlarmKind) -> None:
+    def handle_alarm(
+        self, upstream: upstream_registry.Upstream, kind: shared_load.AlarmKind
+    ) -> None:
         """Take what this entry found bad, and tell the others."""
         self._context.metrics.alarms.inc()
         self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
@@ -118,7 +122,9 @@
         self._sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.LEAVING)
         self.drain(upstream)
 
-    def _handle_rest(self, upstream: upstream_registry.Upstream, rest_ms: int, now_s: float) -> None:
+    def _handle_rest(
+        self, upstream: upstream_registry.Upstream, rest_ms: int, now_s: float
+    ) -> None:
         """Send an instance nothing while it rests, and report that unless enough others did."""
         if not upstream.rest.record(rest_ms, now_s):
             return
@@ -126,14 +132,16 @@
         fields = {"upstream": incarnation_id, "for_ms": rest_ms, "reported_by": ""}
         logger.info("upstream asked for rest", extra={"fields": fields})
         if not upstream.rest.has_reports(now_s):
-            self._sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.RESTING, for_ms=rest_ms)
+            self._sharing.broadcast_alarm(
+                incarnation_id, shared_load.AlarmKind.RESTING, for_ms=rest_ms
+            )
 
     def handle_replaced(self, upstream: upstream_registry.Upstream) -> None:
         """Tell the others of an instance at whose address another one answers."""
         self._context.contents.record_ended(upstream.instance.incarnation_id, "another answers")
         kind = shared_load.AlarmKind.REPLACED
         self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
-        self._context.queue.note_change()
+        self._context.queue.schedule_check()
 
     def drain(self, upstream: upstream_registry.Upstream) -> None:
         """Have runs leave an instance that leaves or may do so."""
@@ -149,7 +157,10 @@
 
     def _end_at(self, upstream: upstream_registry.Upstream) -> None:
         """End what ran at an instance before it was started again."""
-        fields = {"upstream": upstream.instance.incarnation_id, "requests_here": len(upstream.in_flight)}
+        fields = {
+            "upstream": upstream.instance.incarnation_id,
+            "requests_here": len(upstream.in_flight),
+        }
         logger.warning("upstream has started again", extra={"fields": fields})
         for item in list(self._exchanges):
             item.on_upstream_ended()
--- a/src/spoolhead/_internal/gateway/upstream_limits.py
+++ b/src/spoolhead/_internal/gateway/upstream_limits.py
@@ -16,22 +16,29 @@
     """The rate limits that one entry knows of.
 
     :param get_upstream: returns the instance that a datagram names by a number, if it is listed.
-    :param tell: called when other entries should be told at once.
+    :param request_broadcast: called when other entries should be told at once.
     :param on_change: called with the number of an instance whose limit has changed.
     :ivar registry: the newest statement of each instance.
     """
 
-    __slots__ = ("_get_upstream", "_on_change", "_reported_s", "_tell", "_unreadable", "registry")
+    __slots__ = (
+        "_get_upstream",
+        "_on_change",
+        "_reported_s",
+        "_request_broadcast",
+        "_unreadable",
+        "registry",
+    )
 
     def __init__(
         self,
         get_upstream: Callable[[int], upstream_registry.Upstream | None],
-        tell: Callable[[], None],
+        request_broadcast: Callable[[], None],
         on_change: Callable[[int], None],
     ) -> None:
         self.registry = limit_registry.LimitRegistry()
         self._get_upstream = get_upstream
-        self._tell = tell
+        self._request_broadcast = request_broadcast
         self._on_change = on_change
         self._reported_s: dict[int, float] = {}
         self._unreadable: set[int] = set()
@@ -52,7 +59,7 @@
             return
         self._reported_s[key] = now_s
         self._note_change(key, before_per_s, reported_by="")
-        self._tell()
+        self._request_broadcast()
 
     def handle_health_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
--- a/src/spoolhead/_internal/models/shared_load.py
+++ b/src/spoolhead/_internal/models/shared_load.py
@@ -446,7 +446,8 @@
 
 def _list_alarms(alarms: Iterable[Alarm]) -> list[list[object]]:
     return [
-        [item.incarnation_id, int(item.kind), item.reporter, item.sequence, item.for_ms] for item in alarms
+        [item.incarnation_id, int(item.kind), item.reporter, item.sequence, item.for_ms]
+        for item in alarms
     ]
 
 
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -208,8 +208,8 @@
 
     :param loop: root of the program.
     :param config: the entry's settings.
-    :param take: called with each request's caller side.
-    :param refuse: called with the caller side of a request that cannot be served and why.
+    :param on_request: called with each request's caller side.
+    :param on_bad_request: called with the caller side of a request that cannot be served and why.
     """
 
     channel = "web"
@@ -219,14 +219,14 @@
         loop: loops.Loop,
         config: settings.EntrySettings,
         *,
-        take: Callable[[Caller], None],
-        refuse: Callable[[Caller, fault.Fault], None],
+        on_request: Callable[[Caller], None],
+        on_bad_request: Callable[[Caller, fault.Fault], None],
     ) -> None:
         super().__init__()
         self._limits = config.callers
         self._set_limits = config.callers
-        self._take = take
-        self._refuse = refuse
+        self._handle_request = on_request
+        self._on_bad_request = on_bad_request
         self._connections: dict[socket.socket, _Connection] = {}
         self._is_ending = False
         self._server = direct_server.DirectServer(
@@ -391,7 +391,7 @@
         wire = connection.waiting.popleft()
         connection.waiting_bytes -= len(wire.body)
         caller = self._make_caller(connection, wire, response)
-        self._take(caller)
+        self._handle_request(caller)
         return True
 
     @circuits.handler("write")
@@ -431,7 +431,7 @@
         wire.keep_alive = False
         response = wrappers.Response(wrappers.Request(None, server=self))
         connection.must_linger = True
-        self._refuse(self._make_caller(connection, wire, response), item)
+        self._on_bad_request(self._make_caller(connection, wire, response), item)
 
     def _has_too_much_waiting(self, connection: _Connection) -> bool:
         return (
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -43,7 +43,9 @@
         self._changed.setdefault(key)
         self._empty_rounds.pop(key, None)
 
-    def replace(self, key: int, old: shared_load.InstanceLoad | None, new: shared_load.InstanceLoad) -> None:
+    def replace(
+        self, key: int, old: shared_load.InstanceLoad | None, new: shared_load.InstanceLoad
+    ) -> None:
         """Exchange one contribution to a row for another."""
         if old == new:
             return
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -14,8 +14,8 @@
     changed_rows,
     content_registry,
     datagram_order,
-    limit_registry,
     limit_broadcast,
+    limit_registry,
     standing_alarms,
 )
 from spoolhead._internal.utils import endpoints
@@ -201,7 +201,9 @@
             self._take_row(hub, key, held, totals.sequence)
         for age in totals.ages:
             heard_s = now_s - age.age_ms / 1000
-            self._halls_reported_s[age.hall] = max(self._halls_reported_s.get(age.hall, heard_s), heard_s)
+            self._halls_reported_s[age.hall] = max(
+                self._halls_reported_s.get(age.hall, heard_s), heard_s
+            )
         self._take_alarms(totals.alarms, now_s)
         self._handle_contents(totals.contents, now_s)
         self._to_hubs.record_digest(totals.hub, totals.contents.digest, now_s)
@@ -326,7 +328,9 @@
         self._limits_to_hubs.add(self._limits.get_keys(), now_s)
         self._alarms_to_hubs.send_again(self._standing_alarms.get_names(), now_s)
 
-    def _take_row(self, hub: _OtherHub, key: int, held: shared_load.InstanceLoad, sequence: int) -> None:
+    def _take_row(
+        self, hub: _OtherHub, key: int, held: shared_load.InstanceLoad, sequence: int
+    ) -> None:
         row = hub.rows.get(key)
         if row is not None and sequence <= row.sequence:
             return
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -126,7 +126,11 @@
         return int((now_s - self._updated_s) * 1000) if math.isfinite(self._updated_s) else -1
 
     def _take_row(
-        self, key: int, total: shared_load.InstanceLoad, own: shared_load.InstanceLoad | None, sequence: int
+        self,
+        key: int,
+        total: shared_load.InstanceLoad,
+        own: shared_load.InstanceLoad | None,
+        sequence: int,
     ) -> None:
         row = self._rows.get(key)
         if row is not None and datagram_order.is_late(sequence, row.sequence):
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -61,7 +61,9 @@
 
     def has_abandoned(self, incarnation_id: str, now_s: float) -> bool:
         """Tell whether this entry abandoned a request at an instance just now."""
-        return any(now_s - run.lost_s <= ABANDONED_S for run in self._abandoned.get(incarnation_id, []))
+        return any(
+            now_s - run.lost_s <= ABANDONED_S for run in self._abandoned.get(incarnation_id, [])
+        )
 
     def record_ended(self, incarnation_id: str, now_s: float) -> list[LostRun]:
         """Take note that an instance has ended; returns what it had of this entry's."""
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -119,7 +119,7 @@
             return [self._reply(ask, known, now_s)]
         share.waiting.append(_Waiting(ask, now_s))
         replies = self._settle(ask.key, share, limit_per_s, now_s)
-        if any(item.ask is ask for item in share.waiting):
+        if any(item.request is ask for item in share.waiting):
             _remember(share, ask, permits.Verdict.QUEUED)
             replies.append(self._reply(ask, permits.Verdict.QUEUED, now_s))
         return replies
@@ -170,9 +170,9 @@
         share.waiting.sort(key=lambda item: _get_order(share, item))
         while share.waiting and share.bucket.try_acquire():
             item = share.waiting.pop(0)
-            share.granted.append((item.ask.workspace, item.ask.hall))
-            _remember(share, item.ask, permits.Verdict.GRANTED)
-            replies.append(self._reply(item.ask, permits.Verdict.GRANTED, now_s))
+            share.granted.append((item.request.workspace, item.request.hall))
+            _remember(share, item.request, permits.Verdict.GRANTED)
+            replies.append(self._reply(item.request, permits.Verdict.GRANTED, now_s))
             share.waiting.sort(key=lambda each: _get_order(share, each))
         kept = []
         for item in share.waiting:
@@ -180,14 +180,14 @@
             if granted_s <= item.expires_s and len(kept) < MOST_WAITING:
                 kept.append(item)
                 continue
-            replies.append(self._reject(share, item.ask, granted_s, rate_per_s, now_s))
+            replies.append(self._reject(share, item.request, granted_s, rate_per_s, now_s))
         share.waiting = kept
         return replies
 
     def _release(self, share: _Share, now_s: float) -> list[AddressedReply]:
         """Let all that waits go, since the instance has lifted its limit."""
         waiting, share.waiting = share.waiting, []
-        return [self._reply(item.ask, permits.Verdict.UNLIMITED, now_s) for item in waiting]
+        return [self._reply(item.request, permits.Verdict.UNLIMITED, now_s) for item in waiting]
 
     def _reject(
         self,
@@ -233,7 +233,7 @@
 
 def _get_order(share: _Share, item: _Waiting) -> tuple[int, bool, int, int, float]:
     """Return an ask's place: by rank, first attempts, workspaces in turn, halls in turn."""
-    ask = item.ask
+    ask = item.request
     of_workspace = sum(workspace == ask.workspace for workspace, _ in share.granted)
     of_hall = sum(hall == ask.hall for _, hall in share.granted)
     return ask.rank, ask.is_retry, of_workspace, of_hall, item.arrived_s
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -97,7 +97,10 @@
         return Verdict.CLAIM
 
     def claim_trial(self, content_id: bytes, now_s: float) -> content_record.ContentRecord:
-        """Claim the one run that a held content is given; :meth:`may_run_trial` tells who got it."""
+        """Claim the one run that a held content is given.
+
+        :meth:`may_run_trial` tells who got it.
+        """
         record = self.registry.get(content_id)
         assert record is not None
         self._tried.discard(content_id)
@@ -121,7 +124,9 @@
         :param sent_s: when the request was sent there.
         :returns: the record of its content, if that changed.
         """
-        record = self.registry.get(content_id) or content_record.ContentRecord(content_id=content_id)
+        record = self.registry.get(content_id) or content_record.ContentRecord(
+            content_id=content_id
+        )
         if instance_key in record.ends:
             return None
         is_later = record.waves and sent_s > self._learnt_s.get(content_id, math.inf)
@@ -132,7 +137,9 @@
         ends = tuple(sorted({*record.ends, instance_key}))
         return self._change(dataclasses.replace(record, ends=ends, waves=waves), now_s)
 
-    def record_harmless(self, content_id: bytes, now_s: float) -> content_record.ContentRecord | None:
+    def record_harmless(
+        self, content_id: bytes, now_s: float
+    ) -> content_record.ContentRecord | None:
         """Take note that a request has ended well.
 
         :returns: the record of its content, if it was suspected.
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -93,7 +93,7 @@
     # nothing; the number of attempts bounds it.
     if not failed.may_have_arrived:
         return NextStep.RETRY
-    return NextStep.RETRY if budget.take() else NextStep.GIVE_UP
+    return NextStep.RETRY if budget.try_acquire() else NextStep.GIVE_UP
 
 
 def get_ran(failed: FailedAttempt) -> codes.Ran:
--- a/src/spoolhead/_internal/policy/run_admission.py
+++ b/src/spoolhead/_internal/policy/run_admission.py
@@ -9,7 +9,7 @@
 import enum
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_registry, upstream_choice
+from spoolhead._internal.policy import upstream_choice, upstream_registry
 
 FILL_LIMIT = 1.0
 """Share of an engine's memory that generations may be foreseen to fill at their full length."""
--- a/src/spoolhead/_internal/policy/run_migration_policy.py
+++ b/src/spoolhead/_internal/policy/run_migration_policy.py
@@ -3,7 +3,7 @@
 from collections.abc import Collection, Sequence
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_registry, upstream_gate
+from spoolhead._internal.policy import upstream_gate, upstream_registry
 
 OTHER_HALL_COST = 0.4
 """What another hall counts against a holder, as a share of a memory: a copy between halls takes
@@ -27,7 +27,7 @@
     excluded: Collection[str],
     now_s: float,
     gate: upstream_gate.Gate,
-    claim: upstream_gate.RequestPriority,
+    request_priority: upstream_gate.RequestPriority,
 ) -> upstream_registry.Upstream | None:
     """Choose the instance that gets a copy of a run's memory.
 
@@ -37,7 +37,7 @@
     :param running_at: where the run is.
     :param excluded: runs of instances that have just refused.
     :param gate: what bounds this entry's requests to instances.
-    :param claim: what the request may claim where not all get something.
+    :param request_priority: what the request may claim where not all get something.
     :returns: the instance with most room, with those of the same hall preferred, or None.
     """
     engine = service.engine
@@ -48,7 +48,8 @@
         for upstream in upstreams
         if upstream is not running_at
         and upstream.instance.incarnation_id not in excluded
-        and gate.get_block_reason(service, upstream, now_s, claim=claim) is None
+        and gate.get_block_reason(service, upstream, now_s, request_priority=request_priority)
+        is None
     ]
 
     def _get_cost(upstream: upstream_registry.Upstream) -> float:
--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -96,5 +96,9 @@
     alarm = item.alarm
     left_ms = 0 if alarm.for_ms == 0 else math.ceil((item.until_s - now_s) * 1000)
     return shared_load.Alarm(
-        alarm.incarnation_id, alarm.kind, reporter=alarm.reporter, sequence=alarm.sequence, for_ms=left_ms
+        alarm.incarnation_id,
+        alarm.kind,
+        reporter=alarm.reporter,
+        sequence=alarm.sequence,
+        for_ms=left_ms,
     )
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_registry, upstream_gate
+from spoolhead._internal.policy import upstream_gate, upstream_registry
 
 OTHER_HALL_COST = 0.1
 """What another hall counts against an instance, as a share of its capacity: a tenth more work
@@ -122,7 +122,7 @@
         cut_off_halls: Collection[str],
         now_s: float,
         gate: upstream_gate.Gate,
-        claim: upstream_gate.RequestPriority,
+        request_priority: upstream_gate.RequestPriority,
         permitted: str = "",
         rng: random.Random,
     ) -> None:
@@ -131,7 +131,7 @@
         self.cut_off_halls = cut_off_halls
         self.now_s = now_s
         self.gate = gate
-        self.request_priority = claim
+        self.request_priority = request_priority
         self.permitted = permitted
         self.rng = rng
 
@@ -193,14 +193,15 @@
         service,
         upstream,
         view.now_s,
-        claim=view.claim,
+        request_priority=view.request_priority,
         has_permit=upstream.instance.incarnation_id == view.permitted,
         cut_off_halls=view.cut_off_halls,
     )
 
 
 def _get_retry_after_ms(
-    untried: Sequence[tuple[upstream_registry.Upstream, upstream_gate.BlockReason | None]], view: View
+    untried: Sequence[tuple[upstream_registry.Upstream, upstream_gate.BlockReason | None]],
+    view: View,
 ) -> int | None:
     waits_ms = [
         view.gate.get_retry_after_ms(upstream, bar, view.now_s) for upstream, bar in untried
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -73,7 +73,7 @@
         upstream: upstream_registry.Upstream,
         now_s: float,
         *,
-        claim: RequestPriority,
+        request_priority: RequestPriority,
         has_permit: bool = False,
         cut_off_halls: Collection[str] = (),
     ) -> BlockReason | None:
@@ -81,7 +81,7 @@
 
         One that may go to a limited instance still needs a permit.
 
-        :param claim: what the request may claim where not all get something.
+        :param request_priority: what the request may claim where not all get something.
         :param has_permit: the request was granted a permit for it.
         :param cut_off_halls: halls that cannot be reached just now.
         """
@@ -97,16 +97,20 @@
             return BlockReason.RESTING
         if not self.cold_starts.may_send(service, upstream, now_s):
             return BlockReason.COLD
-        if not has_permit and self._must_back_off(upstream, claim, now_s):
+        if not has_permit and self._must_back_off(upstream, request_priority, now_s):
             return BlockReason.LIMITED
         if not upstream.is_usable(now_s):
             return BlockReason.SUSPECTED
         return None
 
-    def _must_back_off(self, upstream: upstream_registry.Upstream, claim: RequestPriority, now_s: float) -> bool:
+    def _must_back_off(
+        self, upstream: upstream_registry.Upstream, request_priority: RequestPriority, now_s: float
+    ) -> bool:
         if not self.is_limited(upstream):
             return False
-        return self.backoff.blocks(upstream.key, claim.rank, claim.workspace, now_s)
+        return self.backoff.blocks(
+            upstream.key, request_priority.rank, request_priority.workspace, now_s
+        )
 
     def is_limited(self, upstream: upstream_registry.Upstream) -> bool:
         """Tell whether a request needs a permit to go to an instance."""
--- a/src/spoolhead/_internal/policy/upstream_registry.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -311,7 +311,9 @@
         """Return all instances."""
         return list(self._upstreams.values())
 
-    def update_instances(self, listed: Iterable[instances.Instance], now_s: float) -> list[Upstream]:
+    def update_instances(
+        self, listed: Iterable[instances.Instance], now_s: float
+    ) -> list[Upstream]:
         """Take over a reading of the platform's list.
 
         A former run of an instance that was started again is passed over: such a reading is
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -84,7 +84,9 @@
         self._saved_contents = saved_contents.SavedContents(
             pathlib.Path(config.data_dir), self._contents, self.loop.scheduler
         )
-        self._pending_operations = pending_operations.PendingOperations(self.loop.scheduler, self._mesh, self._member, config)
+        self._pending_operations = pending_operations.PendingOperations(
+            self.loop.scheduler, self._mesh, self._member, config
+        )
         self._reader = list_reader.ListReader(
             self.loop, calls, config.instance_list, dialect, self._handle_instances
         )
@@ -96,7 +98,7 @@
             service=self,
         ).register(self.loop)
         self._front = caller_front.CallerFront(
-            self.loop, config, take=self._take, refuse=self._refuse
+            self.loop, config, on_request=self._take, on_bad_request=self._refuse
         ).register(self.loop)
         made = prometheus_metrics.PrometheusMetrics()
         self._metrics = keeper_metrics.KeeperMetrics(made)
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -89,7 +89,7 @@
     return Line(words[-1] if words else process, time_s, message, kept)
 
 
-def tell(lines: Iterable[Line], request_id: str) -> RequestTrace:
+def build_trace(lines: Iterable[Line], request_id: str) -> RequestTrace:
     """Gather a request's story.
 
     :param lines: lines of all processes, in any order.
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -11,8 +11,8 @@
     plain_exchange,
     routed_job,
     stream_exchange,
-    upstream_limits,
     upstream_events,
+    upstream_limits,
 )
 from spoolhead._internal.models import (
     dialects,
@@ -28,8 +28,8 @@
     limit_registry,
     permit_backoff,
     request_content,
-    upstream_registry,
     upstream_gate,
+    upstream_registry,
 )
 from spoolhead._internal.utils import clocks, prometheus_metrics
 from spoolhead.platform import dialect
@@ -197,9 +197,14 @@
     return wire
 
 
-def make_contents(name="entry-1", *, clock=clocks.get_s, tell=lambda: None, on_held=None):
+def make_contents(
+    name="entry-1", *, clock=clocks.get_s, request_broadcast=lambda: None, on_held=None
+):
     return content_watch.ContentWatch(
-        name, clock=clock, tell=tell, on_held=on_held or (lambda content_id: None)
+        name,
+        clock=clock,
+        request_broadcast=request_broadcast,
+        on_held=on_held or (lambda content_id: None),
     )
 
 
@@ -209,7 +214,9 @@
 def make_gate(name, hall):
     """Return what bounds an entry that knows of no limits."""
     return upstream_gate.Gate(
-        cold_start.ColdStarts(name, hall), limit_registry.LimitRegistry(), permit_backoff.PermitBackoff()
+        cold_start.ColdStarts(name, hall),
+        limit_registry.LimitRegistry(),
+        permit_backoff.PermitBackoff(),
     )
 
 
@@ -256,7 +263,9 @@
         self.list()
         self.registry.set_evacuated(frozenset(evacuated_halls))
         for upstream in self.registry.get_all():
-            upstream.in_flight["other"] = upstream_registry.InFlightRequest("other", fill, prefill_tokens=0)
+            upstream.in_flight["other"] = upstream_registry.InFlightRequest(
+                "other", fill, prefill_tokens=0
+            )
             if not fill:
                 upstream.in_flight.clear()
         for name, count in (busy or {}).items():
@@ -296,7 +305,7 @@
         self.alarms = []
         self.news = None
         self.limits = upstream_limits.UpstreamLimits(
-            self.registry.get_by_key, tell=lambda: None, on_change=lambda key: None
+            self.registry.get_by_key, request_broadcast=lambda: None, on_change=lambda key: None
         )
         self.permits = permit_exchange.PermitExchange(
             self.timers,
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -59,7 +59,7 @@
     def __init__(self, number, came_s, rank, workspace):
         self.number = number
         self.came_s = came_s
-        self.claim = upstream_gate.RequestPriority(rank, workspace)
+        self.request_priority = upstream_gate.RequestPriority(rank, workspace)
 
 
 class LimitFleet(load_fleet.LoadFleet):
@@ -126,7 +126,11 @@
         now_s = self.clock()
         bars = {
             upstream: gate.get_block_reason(
-                SERVICE, upstream, now_s, claim=request.claim, cut_off_halls=self._get_cut_halls(entry)
+                SERVICE,
+                upstream,
+                now_s,
+                request_priority=request.request_priority,
+                cut_off_halls=self._get_cut_halls(entry),
             )
             for upstream in entry.registry.get_all()
         }
@@ -155,7 +159,7 @@
         left_s = request.came_s + WAIT_S - self.clock()
         can_wait = all(gate.is_limited(upstream) for upstream in open_ones)
         asked = permit_exchange.PermitTerms(
-            request.claim,
+            request.request_priority,
             is_retry=False,
             wait_ms=max(0, int(left_s * 1000)) if can_wait else 0,
             is_final=len(open_ones) == 1,
@@ -167,7 +171,7 @@
             else:
                 self._go_on(entry, request)
 
-        entry.permits.ask(open_ones[0], asked, _take)
+        entry.permits.request_permit(open_ones[0], asked, _take)
 
     def _send_to(self, entry, request, upstream):
         if entry is not self.entries[request.number] or not entry.process.is_up:
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -8,8 +8,8 @@
 from spoolhead._internal.gateway import (
     load_sharing,
     permit_exchange,
-    upstream_limits,
     upstream_events,
+    upstream_limits,
 )
 from spoolhead._internal.load_broadcast import hub_port
 from spoolhead._internal.models import fleet, permits, shared_load
@@ -106,13 +106,13 @@
         self.contents = gateway_setting.make_contents(
             process.name,
             clock=fleet_.clock,
-            tell=lambda: self.sharing.broadcast_contents(),
+            request_broadcast=lambda: self.sharing.broadcast_contents(),
             on_held=self.held.append,
         )
         config = gateway_setting.make_settings(name=process.name, hall=process.hall)
         self.limits = upstream_limits.UpstreamLimits(
             self.registry.get_by_key,
-            tell=lambda: self.sharing.broadcast_limits(),
+            request_broadcast=lambda: self.sharing.broadcast_limits(),
             on_change=lambda key: self.permits.backoff.clear(key),
         )
         self.permits = permit_exchange.PermitExchange(
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -12,8 +12,8 @@
 from spoolhead._internal.models import route_table
 from spoolhead._internal.policy import (
     run_admission,
-    upstream_registry,
     upstream_choice,
+    upstream_registry,
 )
 
 
@@ -108,7 +108,7 @@
             cut_off_halls=(),
             now_s=self.now_s,
             gate=gateway_setting.make_gate("entry-1", hall),
-            claim=gateway_setting.CLAIM,
+            request_priority=gateway_setting.CLAIM,
             rng=self.rng,
         )
         engine = self.service.engine
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -11,7 +11,7 @@
 
 from lib import cold_fleet, gateway_setting
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import upstream_registry, upstream_gate
+from spoolhead._internal.policy import upstream_gate, upstream_registry
 
 COLD_PER_S = 25.0
 ALLOWED = COLD_PER_S * 1.5 + 5
@@ -77,5 +77,7 @@
     setting.exchange._tried.clear()
     assert setting.exchange.choose(0).upstream is upstream
     for name in ("x", "y"):
-        upstream.in_flight[name] = upstream_registry.InFlightRequest(name, 9, prefill_tokens=0, is_copy=True)
+        upstream.in_flight[name] = upstream_registry.InFlightRequest(
+            name, 9, prefill_tokens=0, is_copy=True
+        )
     assert setting.exchange.choose(0).upstream is None
--- a/tests/patterns/test_scarce_permits.py
+++ b/tests/patterns/test_scarce_permits.py
@@ -17,9 +17,9 @@
 def _count(fleet, bound_s, *, workspace=None, hall=None, rank=None):
     return sum(
         at_s >= bound_s
-        and workspace in (None, request.claim.workspace)
+        and workspace in (None, request.request_priority.workspace)
         and hall in (None, fleet.entries[request.number].process.hall)
-        and rank in (None, request.claim.rank)
+        and rank in (None, request.request_priority.rank)
         for request, at_s in fleet.served
     )
 
@@ -56,9 +56,15 @@
     fleet.run(limit_fleet.CONTACT_S)
     bound_s = fleet.clock()
     fleet.run(20.0)
-    urgent = [item for item, came_s in fleet.served if item.claim.rank == 0 and came_s >= bound_s]
+    urgent = [
+        item
+        for item, came_s in fleet.served
+        if item.request_priority.rank == 0 and came_s >= bound_s
+    ]
     refused = [
-        item for item, came_s, _ in fleet.refused if item.claim.rank == 0 and came_s >= bound_s
+        item
+        for item, came_s, _ in fleet.refused
+        if item.request_priority.rank == 0 and came_s >= bound_s
     ]
     assert len(urgent) >= 0.5 * (len(urgent) + len(refused))
 
--- a/tests/unit/test_cold_start.py
+++ b/tests/unit/test_cold_start.py
@@ -6,7 +6,7 @@
 
 
 def _take(registry, now_s, **fields):
-    registry.take_list([gateway_setting.make_instance("i-1", **fields)], now_s)
+    registry.update_instances([gateway_setting.make_instance("i-1", **fields)], now_s)
     return registry.get("i-1")
 
 
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -55,7 +55,9 @@
 
 def _get_block_reason(setting, upstream, now_s):
     service = setting.exchange.job.service
-    return setting.context.gate.get_block_reason(service, upstream, now_s, claim=gateway_setting.CLAIM)
+    return setting.context.gate.get_block_reason(
+        service, upstream, now_s, request_priority=gateway_setting.CLAIM
+    )
 
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
@@ -143,7 +145,10 @@
     setting.list()
     now_s = clocks.get_s()
     for later_s in (0.0, 5.0, 600.0):
-        assert _get_block_reason(setting, upstream, now_s + later_s) is upstream_gate.BlockReason.LEAVING
+        assert (
+            _get_block_reason(setting, upstream, now_s + later_s)
+            is upstream_gate.BlockReason.LEAVING
+        )
     assert setting.alarms == [("i-1", shared_load.AlarmKind.LEAVING, 0)]
     setting.news.handle_answer(upstream, _read(200), now_s)
     assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.LEAVING
@@ -182,7 +187,9 @@
     fleet = limit_fleet.LimitFleet(entries=8)
     entry = fleet.entries[0]
     name, *_ = fleet.instances
-    entry.news.handle_answer(entry.registry.get(name), _read(200, server_leaving="1"), fleet.clock())
+    entry.news.handle_answer(
+        entry.registry.get(name), _read(200, server_leaving="1"), fleet.clock()
+    )
     fleet.run(0.3)
     assert all(item.registry.get(name).is_leaving for item in fleet.entries)
     assert all(item.alarms == [name] for item in fleet.entries[1:])
--- a/tests/unit/test_limit_broadcast.py
+++ b/tests/unit/test_limit_broadcast.py
@@ -1,6 +1,6 @@
 """What a hub passes on of the limits that instances state, and how often."""
 
-from spoolhead._internal.policy import limit_registry, limit_broadcast, repeats
+from spoolhead._internal.policy import limit_broadcast, limit_registry, repeats
 
 STEP_S = 0.1
 
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -92,7 +92,7 @@
     assert made.is_agreed()
     made.hubs[0].is_up = True
     made.run(hub_choice.LONGEST_REST_S + 3.0)
-    present = {entry.sharing._choice.present for entry in made.entries}
+    present = {entry.sharing._choice.current for entry in made.entries}
     assert made.hubs[0].address in present
     assert made.is_agreed()
 
@@ -202,7 +202,9 @@
     made.net.loss = 0.01
     made.run(2.0)
     others = made.entries[2:]
-    assert [entry for entry in others if not entry.registry.get(leaving).has_announced_leaving] == []
+    assert [
+        entry for entry in others if not entry.registry.get(leaving).has_announced_leaving
+    ] == []
     now_s = made.clock()
     assert all(entry.registry.get(resting).rest.has_reports(now_s) for entry in others)
     made.run(0.4)
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -258,7 +258,9 @@
 def test_only_so_many_alarms_are_kept_the_newest():
     hub = load_hub.LoadHub("k1", 1)
     for number in range(1, 200):
-        alarm = _make_alarm(shared_load.AlarmKind.LEAVING, incarnation_id=f"i-{number}", sequence=number)
+        alarm = _make_alarm(
+            shared_load.AlarmKind.LEAVING, incarnation_id=f"i-{number}", sequence=number
+        )
         _take(hub, sequence=number, alarms=[alarm])
     told = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
     assert told == [f"i-{number}" for number in range(200 - standing_alarms.MOST_KEPT, 200)]
@@ -266,8 +268,12 @@
 
 def test_a_reporter_restarted_with_its_clock_set_back_is_taken_at_once():
     hub = load_hub.LoadHub("k1", 1)
-    old = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=9_000_000)
-    new = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5_000_001)
+    old = shared_load.Alarm(
+        "i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=9_000_000
+    )
+    new = shared_load.Alarm(
+        "i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5_000_001
+    )
     _take(hub, sequence=9_000_000, tokens=100, alarms=[old])
     assert len(hub.make_update(0.0).alarms) == 1
     _take(hub, sequence=5_000_000, tokens=7, alarms=[new])
@@ -328,7 +334,9 @@
         return self.registry.get("i-1")
 
     def hold(self, tokens):
-        self.upstream.in_flight["r"] = upstream_registry.InFlightRequest("r", tokens, prefill_tokens=0)
+        self.upstream.in_flight["r"] = upstream_registry.InFlightRequest(
+            "r", tokens, prefill_tokens=0
+        )
 
     def report(self):
         self.sequence += 1
--- a/tests/unit/test_log_trace.py
+++ b/tests/unit/test_log_trace.py
@@ -41,17 +41,17 @@
 
 def _tell(lines, request_id):
     read = [log_trace.read_line("entry-1", line) for line in lines]
-    return log_trace.tell([line for line in read if line is not None], request_id)
+    return log_trace.build_trace([line for line in read if line is not None], request_id)
 
 
 def test_the_story_has_the_request_and_what_its_process_believed():
-    story = _tell(reversed(LINES), "r1")
-    assert [line.text for line in story.own] == ["attempt", "copy ordered"]
-    assert [line.text for line in story.beliefs] == [
+    trace = _tell(reversed(LINES), "r1")
+    assert [line.text for line in trace.own] == ["attempt", "copy ordered"]
+    assert [line.text for line in trace.beliefs] == [
         "table in force",
         "upstream says that it is not well",
     ]
-    assert not story.has_end
+    assert not trace.has_end
 
 
 def test_a_collectors_prefix_names_the_process():
@@ -92,5 +92,5 @@
         _line(30.0, "attempt", request="r1", upstream="", evacuated=4),
         _line(30.0, "refused", request="r1", code=2005),
     )
-    story = _tell(lines, "r1")
-    assert [line.fields["revision"] for line in story.beliefs] == [2]
+    trace = _tell(lines, "r1")
+    assert [line.fields["revision"] for line in trace.beliefs] == [2]
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -57,7 +57,9 @@
 
 def test_an_ask_that_may_wait_is_granted_when_its_token_comes():
     _, granter = _make_granter()
-    assert _list(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [(1, V.QUEUED)]
+    assert _list(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [
+        (1, V.QUEUED)
+    ]
     assert granter.get_due_s(0.0) == pytest.approx(0.5)
     assert _list(granter.poll(0.51)) == [(1, V.GRANTED)]
 
@@ -94,7 +96,10 @@
 
 def test_callers_that_are_refused_come_back_one_after_the_other():
     _, granter = _make_granter()
-    waits_ms = [granter.handle_request(_make_permit_request(n), 0.0)[0].reply.retry_after_ms for n in range(4)]
+    waits_ms = [
+        granter.handle_request(_make_permit_request(n), 0.0)[0].reply.retry_after_ms
+        for n in range(4)
+    ]
     assert waits_ms == [500, 1_000, 1_500, 2_000]
 
 
@@ -164,7 +169,7 @@
     )
     setting.timers.run_due(0.0)
     (ask,) = setting.permits._granter._shares[setting.registry.get("i-1").key].waiting
-    assert ask.ask.sender == "entry-1"
+    assert ask.request.sender == "entry-1"
 
 
 def _make(kind, *, names=("i-1",)):
@@ -174,7 +179,9 @@
 
 def _reply(setting, verdict, **changes):
     (permit_id,) = setting.permits._pending_requests
-    setting.permits._handle_reply(permits.PermitReply(permit_id=permit_id, verdict=verdict, **changes))
+    setting.permits._handle_reply(
+        permits.PermitReply(permit_id=permit_id, verdict=verdict, **changes)
+    )
 
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
@@ -235,11 +242,11 @@
     """Guards against permits that come to nothing: the entry backs off for all but this request."""
     setting = _make(kind)
     (ask,) = setting.permits._pending_requests.values()
-    claim = setting.exchange.job.request_priority
+    request_priority = setting.exchange.job.request_priority
     setting.permits.backoff.record(
         ask.upstream.key,
-        claim.rank,
-        claim.workspace,
+        request_priority.rank,
+        request_priority.workspace,
         retry_after_ms=900,
         backoff_ms=900,
         now_s=clocks.get_s(),
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -25,7 +25,7 @@
     """Tell one process's records to another."""
     registry = source.registry
     items = [registry.get_aged(content_id, now_s) for content_id in registry.get_ids()]
-    return target.take(items, now_s)
+    return target.merge_records(items, now_s)
 
 
 def test_what_nothing_is_known_of_runs():
@@ -151,7 +151,7 @@
 def _order(made, *, is_held):
     """Have an operator's order told to an entry, as a keeper passes it on."""
     record = content_record.begin_epoch(DEADLY, made.registry.get(DEADLY), is_by_hand=is_held)
-    made.take([content_record.AgedRecord(record, 0)], NOW_S)
+    made.merge_records([content_record.AgedRecord(record, 0)], NOW_S)
 
 
 def test_operators_hold_and_release():
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -20,7 +20,7 @@
 
 
 def _take(registry, *listed):
-    return registry.take_list(list(listed), 100.0)
+    return registry.update_instances(list(listed), 100.0)
 
 
 def test_a_later_start_is_another_run_and_the_former_is_over():
@@ -72,7 +72,7 @@
 
 def _restart(setting, name):
     """List an instance as started again and tell the request."""
-    setting.registry.take_list([_make(2_000, name)], 100.0)
+    setting.registry.update_instances([_make(2_000, name)], 100.0)
     setting.exchange.on_upstream_ended()
 
 
@@ -186,7 +186,7 @@
 def _list_everywhere(made, entries, started_ms):
     listed = [_make(started_ms, name) for name in made.instances]
     for entry in entries:
-        entry.registry.take_list(listed, 0.0)
+        entry.registry.update_instances(listed, 0.0)
         entry.sharing.refresh()
 
 
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -5,7 +5,7 @@
 from lib import gateway_setting
 from spoolhead._internal.gateway import run_queue
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import run_admission, upstream_registry, upstream_choice
+from spoolhead._internal.policy import run_admission, upstream_choice, upstream_registry
 
 ENGINE = gateway_setting.ENGINE
 STREAM = route_table.RequestKind.STREAM
@@ -21,7 +21,9 @@
 def _make_upstream(tokens, reading=0):
     upstream = upstream_registry.Upstream(gateway_setting.make_instance("i"))
     if tokens:
-        upstream.in_flight["r"] = upstream_registry.InFlightRequest("r", tokens, prefill_tokens=reading)
+        upstream.in_flight["r"] = upstream_registry.InFlightRequest(
+            "r", tokens, prefill_tokens=reading
+        )
     return upstream
 
 
--- a/tests/unit/test_stated_limits.py
+++ b/tests/unit/test_stated_limits.py
@@ -86,7 +86,7 @@
     (upstream,) = setting.registry.get_all()
     limits = upstream_limits.UpstreamLimits(
         setting.registry.get_by_key,
-        tell=lambda: changes.append("told"),
+        request_broadcast=lambda: changes.append("told"),
         on_change=lambda key: changes.append(key),
     )
     limits.handle_answer(upstream, _read("2"), 1.0)
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -10,9 +10,9 @@
     cold_start,
     limit_registry,
     permit_backoff,
-    upstream_registry,
     upstream_choice,
     upstream_gate,
+    upstream_registry,
 )
 
 NOW_S = 100.0
@@ -68,8 +68,10 @@
 
 
 def _get_block_reason(gate, upstream, **options):
-    claim = gateway_setting.CLAIM
-    return gate.get_block_reason(SERVICE, upstream, NOW_S, claim=claim, **options)
+    request_priority = gateway_setting.CLAIM
+    return gate.get_block_reason(
+        SERVICE, upstream, NOW_S, request_priority=request_priority, **options
+    )
 
 
 @pytest.mark.parametrize("bar", list(HARMS))
@@ -91,7 +93,7 @@
         cut_off_halls=(),
         now_s=NOW_S,
         gate=gate,
-        claim=gateway_setting.CLAIM,
+        request_priority=gateway_setting.CLAIM,
         rng=random.Random(1),
     )
     choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
@@ -108,14 +110,19 @@
 
 def test_a_limited_instance_bars_whom_it_just_rejected_and_none_more_urgent():
     upstream, gate = _make()
-    claim = gateway_setting.CLAIM
+    request_priority = gateway_setting.CLAIM
     gate.backoff.record(
-        upstream.key, claim.rank, claim.workspace, retry_after_ms=9, backoff_ms=900, now_s=NOW_S
+        upstream.key,
+        request_priority.rank,
+        request_priority.workspace,
+        retry_after_ms=9,
+        backoff_ms=900,
+        now_s=NOW_S,
     )
     assert _get_block_reason(gate, upstream) is BlockReason.LIMITED
     assert _get_block_reason(gate, upstream, has_permit=True) is None
-    urgent = upstream_gate.RequestPriority(claim.rank - 1, claim.workspace)
-    assert gate.get_block_reason(SERVICE, upstream, NOW_S, claim=urgent) is None
+    urgent = upstream_gate.RequestPriority(request_priority.rank - 1, request_priority.workspace)
+    assert gate.get_block_reason(SERVICE, upstream, NOW_S, request_priority=urgent) is None
 
 
 def test_a_cut_hall_bars_its_instances():
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -10,8 +10,8 @@
 from spoolhead._internal.policy import (
     retry_allowance,
     run_migration_policy,
-    upstream_registry,
     upstream_choice,
+    upstream_registry,
     watch_duty,
 )
 
@@ -36,7 +36,7 @@
         cut_off_halls=cut,
         now_s=now_s,
         gate=gateway_setting.make_gate("entry-1", "hall-a"),
-        claim=gateway_setting.CLAIM,
+        request_priority=gateway_setting.CLAIM,
         rng=random.Random(1),
     )
     return upstream_choice.choose(
@@ -50,7 +50,9 @@
 
 def _work(upstream, tokens, reading=0):
     name = f"r{len(upstream.in_flight)}"
-    upstream.in_flight[name] = upstream_registry.InFlightRequest(name, tokens, prefill_tokens=reading)
+    upstream.in_flight[name] = upstream_registry.InFlightRequest(
+        name, tokens, prefill_tokens=reading
+    )
 
 
 def test_the_own_hall_is_preferred_until_it_is_busier():
@@ -132,7 +134,9 @@
     leaving = registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
     assert [item.instance.instance_id for item in leaving] == ["a", "b"]
     assert b.is_gone
-    assert registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
+    assert (
+        registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0) == []
+    )
 
 
 def test_each_instance_is_watched_by_exactly_one_entry_of_its_hall():
@@ -254,7 +258,7 @@
             excluded=(),
             now_s=100.0,
             gate=gateway_setting.make_gate("entry-1", "hall-a"),
-            claim=gateway_setting.CLAIM,
+            request_priority=gateway_setting.CLAIM,
         )
 
     assert _choose_holder().instance.instance_id == "mate"
--- a/tests/unit/test_word_fleet.py
+++ b/tests/unit/test_word_fleet.py
@@ -82,7 +82,9 @@
         self.fleet.run(CALM_S)
         now_s = self.fleet.clock()
         for entry in self.fleet.entries:
-            known = {item for item in self.leaving if entry.registry.get(item).has_announced_leaving}
+            known = {
+                item for item in self.leaving if entry.registry.get(item).has_announced_leaving
+            }
             assert known == self.leaving
             rest = entry.registry.get(self.fleet.instances[-1]).rest
             assert not rest.is_resting(now_s)
