--- a/src/spoolhead/_internal/entry/decision_book.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -11,7 +11,7 @@
 logger = logging.getLogger("spoolhead.decisions")
 
 
-class DecisionBook:
+class DecisionHistory:
     """Decisions on the newest requests, for operators who ask.
 
     :param config: the entry's settings.
@@ -36,7 +36,7 @@
         """Return what was decided on a request, oldest first."""
         return list(self._decisions.get(request_id, ()))
 
-    def note(
+    def record(
         self,
         request: requests.CallerRequest,
         action: str,
@@ -64,7 +64,7 @@
             )
         )
 
-    def note_refusal(
+    def record_refusal(
         self, request_id: str, workspace: str, item: fault.Fault, arrived_s: float
     ) -> None:
         """Take note of a refusal before there was anything to choose from."""
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -6,7 +6,7 @@
 
 from spoolhead._internal.entry import (
     answers,
-    decision_book,
+    decision_history,
     flow,
     flow_context,
     held_contents,
@@ -76,7 +76,7 @@
         calls: upstream_calls.UpstreamCalls,
         gathered: metrics.Metrics,
         policies: policy_set.PolicySet,
-        decisions: decision_book.DecisionBook,
+        decisions: decision_history.DecisionHistory,
         contents: held_contents.HeldContents,
     ) -> None:
         self._contents = contents
@@ -150,12 +150,12 @@
         if on_end is not None:
             self._on_end[request.request_id] = on_end
         now_s = request.arrived_s
-        self._context.budget.note_request()
+        self._context.budget.record_request()
         if request.resume is not None:
             self._resume(request, caller)
             return
         request.content_id = request_content.get_content_id(request, "", request.workspace)
-        match self._contents.judge(request.content_id):
+        match self._contents.evaluate(request.content_id):
             case quarantine.Verdict.REFUSE:
                 self._refuse(_Job(request, caller), _make_held_refusal())
             case quarantine.Verdict.CLAIM:
@@ -173,14 +173,14 @@
             else:
                 self._refuse(_Job(request, caller), _make_held_refusal())
 
-        self._contents.claim(request.content_id, _on_settled)
+        self._contents.claim_trial(request.content_id, _on_settled)
 
-    def hold_back(self, content_id: bytes) -> None:
+    def reject_held(self, content_id: bytes) -> None:
         """End what runs of a content that is held from now on."""
         for running in list(self._flows):
             request = running.request
             if request.content_id == content_id and not request.is_trial:
-                running.hold_back()
+                running.reject_held()
 
     def _take(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
@@ -197,7 +197,7 @@
         """Choose an upstream for another attempt of a flow."""
         return self._choose(running.request, excluded)
 
-    def note_attempt(
+    def record_attempt(
         self,
         running: flow.Flow,
         action: str,
@@ -205,7 +205,7 @@
         code: codes.ResultCode,
     ) -> None:
         """Log another attempt of a flow."""
-        self._decisions.note(running.request, action, code, choice=choice)
+        self._decisions.record(running.request, action, code, choice=choice)
 
     def wait_again(self, running: flow.Flow, code: codes.ResultCode) -> bool:
         """Put a flow whose attempt failed back to the head of its queue.
@@ -218,7 +218,9 @@
             return False
         self._flows.discard(running)
         self._admission.finish(request.workspace)
-        self._decisions.note(request, "wait", code, text="no upstream has room for another attempt")
+        self._decisions.record(
+            request, "wait", code, text="no upstream has room for another attempt"
+        )
         waiting = self._make_waiting(_Job(request, running.caller, running))
         self._admission.put_back(waiting, clocks.get_s())
         running.caller.on_gone = lambda: self._withdraw(waiting)
@@ -239,7 +241,7 @@
         if request.wants_stream:
             self._gathered.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
-        self._decisions.note(request, "end", result.code, text=text)
+        self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
         self._pump_service(request.service_name)
 
@@ -279,7 +281,7 @@
     def _withdraw(self, waiting: admission.Waiting) -> None:
         request = waiting.owner.request
         self._admission.withdraw(waiting)
-        self._decisions.note(request, "withdraw", codes.ResultCode.OK, text="the caller left")
+        self._decisions.record(request, "withdraw", codes.ResultCode.OK, text="the caller left")
         self._call_on_end(request, flow_context.Result(codes.ResultCode.OK, waiting.owner.ran, 0))
 
     def _resume(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
@@ -287,20 +289,20 @@
         replica = self._pools.get(point.upstream)
         if replica is None:
             item = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
-            self._decisions.note(request, "refuse", item.code, text=item.text)
+            self._decisions.record(request, "refuse", item.code, text=item.text)
             answers.send_error(caller, item, ran=codes.Ran.YES, request_id=request.request_id)
             return
         self._admission.start_unqueued(request.workspace, request.arrived_s)
         running = flow.Flow(request, caller, self._context)
         self._flows.add(running)
-        self._decisions.note(
+        self._decisions.record(
             request, "resume", codes.ResultCode.OK, choice=_make_forced_choice(replica)
         )
         running.resume(replica, point.generation)
 
-    def take_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
+    def handle_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
         """Take an upstream's load report, and start what it makes room for."""
-        replica.take_report(report)
+        replica.handle_report(report)
         if self._admission.waiting_count:
             self._pump_service(replica.row.service)
 
@@ -337,7 +339,7 @@
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
         self._gathered.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
-        self._decisions.note(request, "run", codes.ResultCode.OK, choice=choice)
+        self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
         running = job.tried or flow.Flow(request, job.caller, self._context)
         self._flows.add(running)
         running.start(choice)
@@ -363,7 +365,7 @@
         for running in list(self._flows):
             running.tick()
         now_s = clocks.get_s()
-        for waiting in self._admission.take_overdue(now_s):
+        for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
             text = "the deadline passed while the request was waiting"
             item = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
@@ -384,12 +386,12 @@
             refusal = _make_refusal(
                 codes.ResultCode.NO_UPSTREAM, f"no upstream of {service} answers"
             )
-            for waiting in self._admission.take_all(service):
+            for waiting in self._admission.pop_all(service):
                 self._refuse(waiting.owner, refusal)
 
     def _refuse(self, job: _Job, refused: admission.Refused) -> None:
         request = job.request
-        self._decisions.note(request, "refuse", refused.fault.code, text=refused.fault.text)
+        self._decisions.record(request, "refuse", refused.fault.code, text=refused.fault.text)
         self._call_on_end(request, flow_context.Result(refused.fault.code, job.ran, 0))
         answers.send_error(
             job.caller,
@@ -411,7 +413,7 @@
 
 def _make_held_refusal() -> admission.Refused:
     """Return a refusal that does not say when to come back: the next run would end an upstream."""
-    return admission.Refused(fault.make_held(), None)
+    return admission.Refused(fault.make_held_fault(), None)
 
 
 def _make_forced_choice(replica: replicas.Replica) -> placement.Choice:
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -9,7 +9,7 @@
     answers,
     api,
     control,
-    decision_book,
+    decision_history,
     dispatcher,
     held_contents,
     keeper_link,
@@ -57,14 +57,14 @@
         self._table = view.TableView()
         outgoing = links.Links(self._loop, channel="links").register(self._loop)
         calls = upstream_calls.UpstreamCalls(self._loop, outgoing, config.upstreams)
-        self._decisions = decision_book.DecisionBook(config, self._metrics, clocks.get_s)
+        self._decisions = decision_history.DecisionHistory(config, self._metrics, clocks.get_s)
         self._contents = held_contents.HeldContents(
             config.name,
             calls,
             self._loop.scheduler,
             probe_path=load_reports.REPORT_PATH,
-            tell=lambda records: self._keeper.tell_contents(records),
-            on_held=lambda content_id: self._dispatcher.hold_back(content_id),
+            tell=lambda records: self._keeper.send_contents(records),
+            on_held=lambda content_id: self._dispatcher.reject_held(content_id),
             folder=pathlib.Path(config.data_dir) if config.data_dir is not None else None,
         )
         self._dispatcher = dispatcher.Dispatcher(
@@ -78,7 +78,10 @@
             self._contents,
         )
         self._neighbours = neighbours.Neighbours(
-            self._loop, outgoing, config, lambda reports: self._reports.take_from_neighbour(reports)
+            self._loop,
+            outgoing,
+            config,
+            lambda reports: self._reports.handle_neighbour_report(reports),
         )
         self._reports = load_reports.LoadReports(
             self._loop,
@@ -102,7 +105,7 @@
         self._once = once_requests.OnceRequests(self._dispatcher, self._decisions, self._keeper)
         self._dispatcher.update_upstreams()
         self._front = caller_front.CallerFront(
-            self._loop, config, take=self._take, refuse=self._refuse_bytes
+            self._loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
         ).register(self._loop)
         if config.statsd is not None:
             self._send_metrics(config.statsd)
@@ -128,11 +131,11 @@
 
     def on_keeper(self) -> None:
         """Tell a keeper what is known of contents that may end upstreams; it may be new."""
-        self._keeper.tell_contents(self._contents.get_all())
+        self._keeper.send_contents(self._contents.get_all())
 
     def on_contents(self, records: held_contents.Records) -> None:
         """Take over what a keeper passes on of contents that may end upstreams."""
-        self._contents.take(self._keeper.keeper_address, records)
+        self._contents.merge_records(self._keeper.keeper_address, records)
 
     def get_status(self) -> control.Status:
         """Return the entry's status, for operators and readiness."""
@@ -276,8 +279,8 @@
         Callers take that as final. While no keeper confirms the table, as after a start from the
         saved copy, the key or the model may be new, and they are told to come back instead.
         """
-        if item.code in codes.BY_THE_TABLE and self._keeper.unconfirmed_ms:
-            unconfirmed = fault.make_unconfirmed(item)
+        if item.code in codes.TABLE_REFUSALS and self._keeper.unconfirmed_ms:
+            unconfirmed = fault.make_unconfirmed_fault(item)
             after_ms = UNCONFIRMED_RETRY_AFTER_MS
             self._refuse(caller, request_id, workspace, unconfirmed, now_s, after_ms)
         else:
@@ -292,7 +295,7 @@
         now_s: float,
         retry_after_ms: int | None = None,
     ) -> None:
-        self._decisions.note_refusal(request_id, workspace, item, now_s)
+        self._decisions.record_refusal(request_id, workspace, item, now_s)
         answers.send_error(
             caller,
             item,
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -62,11 +62,11 @@
     def __init__(self) -> None:
         self.tokens = LARGEST_BUDGET / 2
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn a part of a retry with a new request."""
         self.tokens = min(LARGEST_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Spend one retry; False if there is none left."""
         if self.tokens < 1:
             return False
@@ -93,7 +93,7 @@
     # nothing; the number of attempts bounds it.
     if not failed.may_have_arrived:
         return NextStep.RETRY
-    return NextStep.RETRY if budget.take() else NextStep.GIVE_UP
+    return NextStep.RETRY if budget.try_acquire() else NextStep.GIVE_UP
 
 
 def get_ran(failed: FailedAttempt) -> codes.Ran:
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -29,11 +29,11 @@
         self._used: collections.deque[float] = collections.deque()
         self.entry_count = 1
 
-    def note_request(self, now_s: float) -> None:
+    def record_request(self, now_s: float) -> None:
         """Count a caller's request."""
         self._requests.append(now_s)
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Take one second attempt, if there is one left."""
         self._forget(now_s)
         own_slack = self._slack * USED_PART / max(1, self.entry_count)
--- a/tests/unit/test_log_story.py
+++ b/tests/unit/test_log_trace.py
@@ -8,7 +8,7 @@
 
 from spoolhead._internal.cli import exit_codes
 from spoolhead._internal.commands import explain_logs
-from spoolhead._internal.utils import log_story
+from spoolhead._internal.utils import log_trace
 
 
 def _line(second, text, **fields):
@@ -40,22 +40,22 @@
 
 
 def _tell(lines, request_id):
-    read = [log_story.read_line("entry-1", line) for line in lines]
-    return log_story.tell([line for line in read if line is not None], request_id)
+    read = [log_trace.read_line("entry-1", line) for line in lines]
+    return log_trace.build_trace([line for line in read if line is not None], request_id)
 
 
 def test_the_story_has_the_request_and_what_its_process_believed():
-    story = _tell(reversed(LINES), "r1")
-    assert [line.text for line in story.own] == ["attempt", "copy ordered"]
-    assert [line.text for line in story.beliefs] == [
+    trace = _tell(reversed(LINES), "r1")
+    assert [line.text for line in trace.own] == ["attempt", "copy ordered"]
+    assert [line.text for line in trace.beliefs] == [
         "table in force",
         "upstream says that it is not well",
     ]
-    assert not story.has_end
+    assert not trace.has_end
 
 
 def test_a_collectors_prefix_names_the_process():
-    read = log_story.read_line("", f"  10.000 front-hall-a-1 {LINES[0]}")
+    read = log_trace.read_line("", f"  10.000 front-hall-a-1 {LINES[0]}")
     assert read.process == "front-hall-a-1"
     assert read.fields == {"version": 7}
 
@@ -92,5 +92,5 @@
         _line(30.0, "attempt", request="r1", upstream="", evacuated=4),
         _line(30.0, "refused", request="r1", code=2005),
     )
-    story = _tell(lines, "r1")
-    assert [line.fields["revision"] for line in story.beliefs] == [2]
+    trace = _tell(lines, "r1")
+    assert [line.fields["revision"] for line in trace.beliefs] == [2]
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -5,7 +5,7 @@
 from lib import gateway_setting
 from spoolhead._internal.gateway import run_queue
 from spoolhead._internal.models import route_table
-from spoolhead._internal.policy import run_admission, upstream_book, upstream_choice
+from spoolhead._internal.policy import run_admission, upstream_choice, upstream_registry
 
 ENGINE = gateway_setting.ENGINE
 STREAM = route_table.RequestKind.STREAM
@@ -19,9 +19,11 @@
 
 
 def _make_upstream(tokens, reading=0):
-    upstream = upstream_book.Upstream(gateway_setting.make_instance("i"))
+    upstream = upstream_registry.Upstream(gateway_setting.make_instance("i"))
     if tokens:
-        upstream.works["r"] = upstream_book.Work("r", tokens, reading_tokens=reading)
+        upstream.in_flight["r"] = upstream_registry.InFlightRequest(
+            "r", tokens, prefill_tokens=reading
+        )
     return upstream
 
 
@@ -72,8 +74,8 @@
 
 
 def test_a_caller_is_told_to_come_back_within_its_time():
-    assert run_admission.get_come_back_ms(39_000) == 6_500
-    assert run_admission.get_come_back_ms(600) == run_admission.LEAST_COME_BACK_MS
+    assert run_admission.compute_retry_after_ms(39_000) == 6_500
+    assert run_admission.compute_retry_after_ms(600) == run_admission.MIN_RETRY_AFTER_MS
 
 
 class Item:
@@ -101,7 +103,7 @@
     assert len(queue) == 2
     queue.remove(late)
     log.clear()
-    queue.note_change()
+    queue.schedule_check()
     timers.run_due(run_queue.SPREAD_S)
     assert log == [early]
 
@@ -111,8 +113,8 @@
         STREAM, attempts=1, names=("i-1",), tokens="3000,800", fill=33_000
     )
     assert setting.calls.attempts == []
-    setting.book.get("i-1").works.clear()
-    setting.exchange._context.queue.note_change()
+    setting.registry.get("i-1").in_flight.clear()
+    setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(run_queue.SPREAD_S)
     assert len(setting.calls.attempts) == 1
 
@@ -122,8 +124,8 @@
         STREAM, attempts=1, names=("i-1",), tokens="3000,800", fill=33_000
     )
     setting.caller.on_gone()
-    setting.book.get("i-1").works.clear()
-    setting.exchange._context.queue.note_change()
+    setting.registry.get("i-1").in_flight.clear()
+    setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(5.0)
     assert setting.calls.attempts == []
     assert setting.ended == [setting.exchange]
