--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -220,12 +220,12 @@
 def measure_decisions() -> list[dict[str, float]]:
     """Processor time of a placement among several numbers of replicas."""
     service = rows.ServiceRow(kind=rows.ServiceKind.MODEL)
-    need = placement.Need(workspace="w", service="m", prompt_tokens=200, limit_tokens=4_000)
+    demand = placement.Demand(workspace="w", service="m", prompt_tokens=200, limit_tokens=4_000)
     results = []
     for count in FLEET_SIZES:
         chooser = placement.Placement("h0", lengths.LengthModel(), random.Random(1))
         pool = _make_pool(count)
-        decide_us = _time_us(lambda c=chooser, p=pool: c.choose(need, service, p, 0.1), 2_000)
+        decide_us = _time_us(lambda c=chooser, p=pool: c.choose(demand, service, p, 0.1), 2_000)
         results.append({"replicas": count, "decision_us": decide_us})
     return results
 
@@ -237,7 +237,7 @@
         table_rows = {f"w{n}": rows.WorkspaceRow(key_sha256=[]) for n in range(count)}
         queue = admission.Admission(table_rows)
         for number, name in enumerate(table_rows):
-            waiting = admission.Waiting(
+            waiting = admission.WaitingRequest(
                 request_id=str(number),
                 workspace=name,
                 service="m",
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -37,12 +37,12 @@
 
     _turn = 0
 
-    def choose(self, need, service, pool, now_s):
+    def choose(self, demand, service, pool, now_s):
         """Take the next one that has not failed for this request."""
         members = [
             item for hall in sorted(pool.get_halls(first="")) for item in pool.get_hall(hall)
         ]
-        members = [item for item in members if item.name not in need.excluded] or members
+        members = [item for item in members if item.name not in demand.excluded] or members
         self._turn += 1
         chosen = members[self._turn % len(members)] if members else None
         return placement.Choice(chosen, 0.0, ())
@@ -75,8 +75,8 @@
 class UnboundPlacement(placement.Placement):
     """Sends at once to the emptiest engine, whatever would fill."""
 
-    def _judge_engine(self, replica, planned, share, now_s):
-        candidate = super()._judge_engine(replica, planned, share, now_s)
+    def _evaluate_engine(self, replica, planned, capacity_fraction, now_s):
+        candidate = super()._evaluate_engine(replica, planned, capacity_fraction, now_s)
         return placement.Candidate(candidate.name, candidate.fill, "")
 
 
@@ -85,9 +85,9 @@
 
     limit = 1.0
 
-    def _judge_engine(self, replica, planned, share, now_s):
+    def _evaluate_engine(self, replica, planned, capacity_fraction, now_s):
         replica.operating_point.limit = self.limit
-        return super()._judge_engine(replica, planned, share, now_s)
+        return super()._evaluate_engine(replica, planned, capacity_fraction, now_s)
 
 
 class HerdingPlacement(placement.Placement):
--- a/src/spoolhead/_internal/discovery/list_reader.py
+++ b/src/spoolhead/_internal/discovery/list_reader.py
@@ -10,7 +10,7 @@
 
 logger = logging.getLogger(__name__)
 
-LONGEST_READING_S = 1.5
+READ_TIMEOUT_S = 1.5
 """Time for a whole reading; a page takes some milliseconds, so a longer one is lost."""
 MAX_PAGES = 200
 """Bound on the pages of a reading: 1,600 instances at 50 a page are 32 pages."""
@@ -25,7 +25,7 @@
     :param calls: makes the HTTP requests.
     :param config: where the list is.
     :param dialect: how the list is written.
-    :param take: gets each whole reading.
+    :param on_list: gets each whole reading.
     """
 
     def __init__(
@@ -34,21 +34,21 @@
         calls: upstream_calls.UpstreamCalls,
         config: settings.InstanceListSettings,
         dialect: dialects.TableDialect,
-        take: Callable[[list[instances.Instance]], None],
+        on_list: Callable[[list[instances.Instance]], None],
     ) -> None:
         self._loop = loop
         self._calls = calls
         self._config = config
         self._dialect = dialect
-        self._take = take
+        self._on_list = on_list
         self._call: upstream_calls.UpstreamCall | None = None
-        self._began_s = 0.0
+        self._started_s = 0.0
         self._page_count = 0
-        self._found: list[instances.Instance] = []
+        self._listed: list[instances.Instance] = []
         self._status = 0
         self._body: list[bytes] = []
         self._has_failed = False
-        self._before: dict[str, instances.Instance] = {}
+        self._previous: dict[str, instances.Instance] = {}
         self._faults: list[fault.Fault] = []
         self._last_fault = ""
 
@@ -56,15 +56,15 @@
         """Begin a reading, unless one is under way."""
         now_s = clocks.get_s()
         if self._call is not None:
-            if now_s - self._began_s < LONGEST_READING_S:
+            if now_s - self._started_s < READ_TIMEOUT_S:
                 return
             self._call.cancel()
             self._fail("the reading took too long")
-        self._began_s = now_s
+        self._started_s = now_s
         self._page_count = 0
-        self._found = []
+        self._listed = []
         self._faults = []
-        self._ask(self._dialect.list_target)
+        self._request_page(self._dialect.list_target)
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
         """Take the head of a page."""
@@ -86,27 +86,27 @@
             self._fail(str(page.error))
             return
         self._faults.extend(page.ok.faults)
-        self._found.extend(page.ok.instances)
+        self._listed.extend(page.ok.instances)
         if page.ok.next_target and self._page_count < MAX_PAGES:
-            self._ask(page.ok.next_target)
+            self._request_page(page.ok.next_target)
             return
         if self._has_failed:
             self._has_failed = False
             logger.info("instance list is readable again")
-        self._note_faults()
-        listed = instances.remove_duplicates(self._found, self._before)
-        if len(listed) < len(self._found):
-            fields = {"entries": len(self._found), "ids": len(listed)}
+        self._log_faults()
+        listed = instances.remove_duplicates(self._listed, self._previous)
+        if len(listed) < len(self._listed):
+            fields = {"entries": len(self._listed), "ids": len(listed)}
             logger.warning("instance list names ids more than once", extra={"fields": fields})
-        self._before = {item.instance_id: item for item in listed}
-        self._take(listed)
+        self._previous = {item.instance_id: item for item in listed}
+        self._on_list(listed)
 
     def on_call_lost(self, reason: str) -> None:
         """Take the loss of a page."""
         self._call = None
         self._fail(reason)
 
-    def _note_faults(self) -> None:
+    def _log_faults(self) -> None:
         """Write which entry could not be read first, once as long as it is the same."""
         first = self._faults[0].text if self._faults else ""
         if first and first != self._last_fault:
@@ -114,7 +114,7 @@
             logger.warning("entries of the instance list are passed over", extra={"fields": fields})
         self._last_fault = first
 
-    def _ask(self, target: str) -> None:
+    def _request_page(self, target: str) -> None:
         self._page_count += 1
         self._status = 0
         self._body = []
--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -31,7 +31,7 @@
 
 MAX_ONCE_KEY_LENGTH = 255
 BYTES_PER_TOKEN = 4
-HIGHEST_PRIORITY = 9
+MAX_PRIORITY = 9
 
 _TRUE_WORDS = frozenset({"1", "true", "yes"})
 _FALSE_WORDS = frozenset({"0", "false", "no"})
@@ -58,7 +58,7 @@
 Parsed = expression.Result[requests.CallerRequest, fault.Fault]
 
 
-class Arrival:
+class ParseContext:
     """What the entry adds to a request when it arrives.
 
     :ivar request_id: id of the request.
@@ -98,7 +98,7 @@
 
 
 def parse(
-    wire: request_reader.WireRequest, workspace: str, table: view.TableView, arrival: Arrival
+    wire: request_reader.WireRequest, workspace: str, table: view.TableView, context: ParseContext
 ) -> Parsed:
     """Check a request of a known workspace.
 
@@ -106,12 +106,12 @@
     """
     path = get_path(wire)
     if path in (CHAT_PATH, COMPLETIONS_PATH):
-        return _parse_generation(wire, path, workspace, table, arrival)
+        return _parse_generation(wire, path, workspace, table, context)
     if path.startswith(STREAMS_PATH):
-        return _parse_resume(wire, path, workspace, table, arrival)
+        return _parse_resume(wire, path, workspace, table, context)
     if path == "/v1" or path.startswith("/v1/"):
         return _refuse(codes.ResultCode.UNKNOWN_PATH, f"no such path: {path}")
-    return _parse_plain(wire, workspace, table, arrival)
+    return _parse_plain(wire, workspace, table, context)
 
 
 def _parse_generation(
@@ -119,7 +119,7 @@
     path: str,
     workspace: str,
     table: view.TableView,
-    arrival: Arrival,
+    context: ParseContext,
 ) -> Parsed:
     if wire.method != "POST":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes POST")
@@ -136,10 +136,10 @@
     if service.is_error():
         return expression.Error(service.error)
     row = table.workspaces[workspace]
-    limit = _set_limit(body, row)
-    body["priority"] = HIGHEST_PRIORITY - row.priority
+    limit = _apply_output_limit(body, row)
+    body["priority"] = MAX_PRIORITY - row.priority
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=body["model"],
         service=service.ok,
@@ -147,8 +147,8 @@
         target=path,
         headers=[("content-type", "application/json"), ("accept", "*/*")],
         body=json.dumps(body).encode(),
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.wants_stream = body.get("stream") is True
     request.prompt_tokens = max(1, len(wire.body) // BYTES_PER_TOKEN)
@@ -161,11 +161,11 @@
     path: str,
     workspace: str,
     table: view.TableView,
-    arrival: Arrival,
+    context: ParseContext,
 ) -> Parsed:
     if wire.method != "GET":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{STREAMS_PATH} takes GET")
-    token = stream_token.parse_token(arrival.shared_key, path.removeprefix(STREAMS_PATH))
+    token = stream_token.parse_token(context.shared_key, path.removeprefix(STREAMS_PATH))
     # Somebody else's token reads exactly like one that was never made.
     if token is None or token.workspace != workspace or token.service not in table.services:
         return _refuse(codes.ResultCode.UNKNOWN_PATH, "no such stream")
@@ -175,7 +175,7 @@
         return _refuse(codes.ResultCode.WRONG_FIELD, text, path=LAST_EVENT_HEADER)
     row = table.workspaces[workspace]
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=token.service,
         service=table.services[token.service],
@@ -183,8 +183,8 @@
         target=path,
         headers=[],
         body=b"",
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.wants_stream = True
     request.limit_tokens = row.max_output_tokens
@@ -193,7 +193,7 @@
 
 
 def _parse_plain(
-    wire: request_reader.WireRequest, workspace: str, table: view.TableView, arrival: Arrival
+    wire: request_reader.WireRequest, workspace: str, table: view.TableView, context: ParseContext
 ) -> Parsed:
     name, slash, rest = wire.target.removeprefix("/").partition("/")
     name, question, query = name.partition("?")
@@ -203,7 +203,7 @@
     service = _get_service(table, workspace, name, rows.ServiceKind.PLAIN)
     if service.is_error():
         return expression.Error(service.error)
-    once = _get_once_mark(wire, service.ok)
+    once = _get_once_flag(wire, service.ok)
     if once.is_error():
         return expression.Error(once.error)
     once_key = wire.get_header(ONCE_KEY_HEADER) or ""
@@ -213,7 +213,7 @@
     row = table.workspaces[workspace]
     target = f"/{rest}" if slash else f"/{question}{query}"
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=name,
         service=service.ok,
@@ -221,8 +221,8 @@
         target=target,
         headers=[item for item in wire.headers if _may_forward(wire, item[0])],
         body=wire.body,
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.is_once = once.ok or bool(once_key)
     request.once_key = once_key
@@ -289,7 +289,7 @@
     return {**_COMMON_CHECKS, "prompt": _check_prompt}
 
 
-def _set_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
+def _apply_output_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
     """Bound the length of the answer by the workspace's row; return the bound."""
     names = [name for name in _LIMIT_NAMES if isinstance(body.get(name), int)]
     limit = min([row.max_output_tokens, *(body[name] for name in names)])
@@ -314,7 +314,7 @@
     return expression.Ok(row)
 
 
-def _get_once_mark(
+def _get_once_flag(
     wire: request_reader.WireRequest, service: rows.ServiceRow
 ) -> expression.Result[bool, fault.Fault]:
     """Tell whether a request must not be repeated.
--- a/src/spoolhead/_internal/entry/control.py
+++ b/src/spoolhead/_internal/entry/control.py
@@ -42,9 +42,9 @@
             case messages.GetStatus():
                 answer = messages.StatusAnswer(request=message.request, status=self._get_status())
             case messages.GetDecision():
-                made = self._decisions.get(message.request_id)
+                decisions = self._decisions.get(message.request_id)
                 answer = messages.DecisionAnswer(
-                    request=message.request, decisions=[item.get_fields() for item in made]
+                    request=message.request, decisions=[item.get_fields() for item in decisions]
                 )
             case _:
                 raise messages.MessageError(f"unexpected {type(message).__name__}")
--- a/src/spoolhead/_internal/entry/decision_history.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -15,18 +15,18 @@
     """Decisions on the newest requests, for operators who ask.
 
     :param config: the entry's settings.
-    :param gathered: metrics.
+    :param collector: metrics.
     :param clock: returns the monotonic time in seconds.
     """
 
     def __init__(
         self,
         config: settings.EntrySettings,
-        gathered: metrics.Metrics,
+        collector: metrics.Metrics,
         clock: Callable[[], float],
     ) -> None:
         self._config = config
-        self._gathered = gathered
+        self._metrics = collector
         self._clock = clock
         self._decisions: collections.OrderedDict[str, list[decision.Decision]] = (
             collections.OrderedDict()
@@ -50,7 +50,7 @@
         :param choice: upstreams that it was taken among.
         """
         chosen = choice.replica if choice is not None else None
-        self._remember(
+        self._append(
             decision.Decision(
                 request_id=request.request_id,
                 workspace=request.workspace,
@@ -68,7 +68,7 @@
         self, request_id: str, workspace: str, item: fault.Fault, arrived_s: float
     ) -> None:
         """Take note of a refusal before there was anything to choose from."""
-        self._remember(
+        self._append(
             decision.Decision(
                 request_id=request_id,
                 workspace=workspace,
@@ -83,10 +83,10 @@
     def _get_age_ms(self, arrived_s: float) -> int:
         return int((self._clock() - arrived_s) * 1000)
 
-    def _remember(self, made: decision.Decision) -> None:
-        self._gathered.count(metrics.Metric.DECISIONS, kind=str(int(made.code)))
-        self._decisions.setdefault(made.request_id, []).append(made)
+    def _append(self, item: decision.Decision) -> None:
+        self._metrics.count(metrics.Metric.DECISIONS, kind=str(int(item.code)))
+        self._decisions.setdefault(item.request_id, []).append(item)
         while len(self._decisions) > self._config.remembered_decisions:
             self._decisions.popitem(last=False)
         if logger.isEnabledFor(logging.INFO):
-            logger.info(made.action, extra={"fields": made.get_fields()})
+            logger.info(item.action, extra={"fields": item.get_fields()})
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -26,33 +26,37 @@
 from spoolhead._internal.table import view
 from spoolhead._internal.utils import clocks, metrics
 
-TICK_S = 0.1
-LOOK_AHEAD = 4
-"""Workspaces whose next request is tried when the one before fits nowhere."""
+CHECK_INTERVAL_S = 0.1
+MAX_WORKSPACES_TRIED = 4
+"""Workspaces whose next request is existing_flow when the one before fits nowhere."""
 
-STRANDED_S = 3.0
+NO_UPSTREAM_TIMEOUT_S = 3.0
 """Time without any upstream after which what waits for one is refused."""
 
 
 class _Job:
-    """A request that waits, with its caller, and its flow if it has been tried before."""
+    """A request that waits, with its caller, and its flow if it has been existing_flow before."""
 
-    __slots__ = ("caller", "request", "tried")
+    __slots__ = ("caller", "request", "existing_flow")
 
     def __init__(
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
-        tried: flow.Flow | None = None,
+        existing_flow: flow.Flow | None = None,
     ) -> None:
         self.request = request
         self.caller = caller
-        self.tried = tried
+        self.existing_flow = existing_flow
 
     @property
     def ran(self) -> codes.Ran:
         """Whether the request may have run, now that it waits."""
-        return self.tried.get_ran_before() if self.tried is not None else codes.Ran.NO
+        return (
+            self.existing_flow.get_ran_while_waiting()
+            if self.existing_flow is not None
+            else codes.Ran.NO
+        )
 
 
 class Dispatcher:
@@ -62,7 +66,7 @@
     :param config: the entry's settings.
     :param table: the table.
     :param calls: makes requests to upstreams.
-    :param gathered: metrics.
+    :param collector: metrics.
     :param policies: what decides.
     :param decisions: remembers what was decided.
     :param contents: what is known of requests that may end upstreams.
@@ -74,7 +78,7 @@
         config: settings.EntrySettings,
         table: view.TableView,
         calls: upstream_calls.UpstreamCalls,
-        gathered: metrics.Metrics,
+        collector: metrics.Metrics,
         policies: policy_set.PolicySet,
         decisions: decision_history.DecisionHistory,
         contents: held_contents.HeldContents,
@@ -82,7 +86,7 @@
         self._contents = contents
         self._config = config
         self._table = table
-        self._gathered = gathered
+        self._metrics = collector
         self._calls = calls
         self._admission = policies.make_admission(table.workspaces)
         self._lengths = policies.make_lengths()
@@ -90,14 +94,14 @@
         self._pools = upstream_pools.UpstreamPools(calls.forget)
         self._flows: set[flow.Flow] = set()
         self._decisions = decisions
-        self._on_end: dict[str, Callable[[flow_context.Result], None]] = {}
-        self._available_s: dict[str, float] = {}
+        self._on_end: dict[str, Callable[[flow_context.FlowResult], None]] = {}
+        self._last_available_s: dict[str, float] = {}
         self._started_s = clocks.get_s()
-        self._context = flow_context.Context(
+        self._context = flow_context.FlowContext(
             calls=calls,
             host=self,
             contents=contents,
-            gathered=gathered,
+            collector=collector,
             clock=clocks.get_s,
             shared_key=config.shared_key,
             attempts=config.upstreams.attempts,
@@ -105,10 +109,10 @@
             unread_bytes=config.callers.unread_bytes,
             policies=policies,
         )
-        loop.scheduler.call_every(TICK_S, self._tick)
+        loop.scheduler.call_every(CHECK_INTERVAL_S, self._check_timeouts)
 
     @property
-    def held_count(self) -> int:
+    def request_count(self) -> int:
         """Requests waiting and running."""
         return len(self._flows) + self._admission.waiting_count
 
@@ -135,13 +139,13 @@
         now_s = clocks.get_s()
         is_new = now_s - self._started_s > replicas.REPORT_STALE_S
         self._pools.update(self._table.upstreams, self._table.halls, now_s, is_new=is_new)
-        self._pump()
+        self._start_waiting()
 
     def submit(
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
-        on_end: Callable[[flow_context.Result], None] | None = None,
+        on_end: Callable[[flow_context.FlowResult], None] | None = None,
     ) -> None:
         """Take a request: run it, let it wait, or refuse it.
 
@@ -159,17 +163,17 @@
             case quarantine.Verdict.REFUSE:
                 self._refuse(_Job(request, caller), _make_held_refusal())
             case quarantine.Verdict.CLAIM:
-                self._claim(request, caller)
+                self._claim_trial(request, caller)
             case _:
-                self._take(request, caller, now_s)
+                self._admit(request, caller, now_s)
 
-    def _claim(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
+    def _claim_trial(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
         """Run a held request once more, by itself, if no other entry does."""
 
         def _on_settled(is_own: bool) -> None:
             if is_own and not caller.is_gone:
                 request.is_trial = True
-                self._take(request, caller, clocks.get_s())
+                self._admit(request, caller, clocks.get_s())
             else:
                 self._refuse(_Job(request, caller), _make_held_refusal())
 
@@ -182,7 +186,7 @@
             if request.content_id == content_id and not request.is_trial:
                 running.reject_held()
 
-    def _take(
+    def _admit(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
     ) -> None:
         refusal = self._get_early_refusal(request)
@@ -191,9 +195,9 @@
         if refusal is not None:
             self._refuse(_Job(request, caller), refusal)
             return
-        self._pump_service(request.service_name)
+        self._start_waiting_of(request.service_name)
 
-    def choose_again(self, running: flow.Flow, excluded: frozenset[str]) -> placement.Choice:
+    def choose_upstream(self, running: flow.Flow, excluded: frozenset[str]) -> placement.Choice:
         """Choose an upstream for another attempt of a flow."""
         return self._choose(running.request, excluded)
 
@@ -207,7 +211,7 @@
         """Log another attempt of a flow."""
         self._decisions.record(running.request, action, code, choice=choice)
 
-    def wait_again(self, running: flow.Flow, code: codes.ResultCode) -> bool:
+    def requeue(self, running: flow.Flow, code: codes.ResultCode) -> bool:
         """Put a flow whose attempt failed back to the head of its queue.
 
         :returns: False if no upstream is left that could make room.
@@ -228,10 +232,10 @@
 
     def charge(self, running: flow.Flow, tokens: int) -> None:
         """Charge tokens to a flow's workspace."""
-        self._gathered.count(metrics.Metric.TOKENS, tokens)
+        self._metrics.count(metrics.Metric.TOKENS, tokens)
         self._admission.charge(running.request.workspace, tokens, clocks.get_s())
 
-    def end(self, running: flow.Flow, result: flow_context.Result) -> None:
+    def handle_flow_end(self, running: flow.Flow, result: flow_context.FlowResult) -> None:
         """Take a flow that is over out of the books."""
         request = running.request
         self._flows.discard(running)
@@ -239,16 +243,16 @@
         if result.is_natural_end and 0 < result.tokens < request.limit_tokens:
             self._lengths.observe(request.workspace, request.service_name, result.tokens)
         if request.wants_stream:
-            self._gathered.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
+            self._metrics.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
         self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
-        self._pump_service(request.service_name)
+        self._start_waiting_of(request.service_name)
 
-    def _get_early_refusal(self, request: requests.CallerRequest) -> admission.Refused | None:
-        if self.held_count >= self._config.max_requests:
+    def _get_early_refusal(self, request: requests.CallerRequest) -> admission.Refusal | None:
+        if self.request_count >= self._config.max_requests:
             return _make_refusal(
-                codes.ResultCode.ENTRY_FULL, f"this entry holds {self.held_count} requests"
+                codes.ResultCode.ENTRY_FULL, f"this entry holds {self.request_count} requests"
             )
         pool = self._pools.get_pool(request.service_name)
         if pool is None or not pool.has_available(request.arrived_s):
@@ -258,7 +262,7 @@
 
     def _offer(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
-    ) -> admission.Refused | None:
+    ) -> admission.Refusal | None:
         waiting = self._make_waiting(_Job(request, caller))
         offered = self._admission.offer(waiting, now_s)
         if offered.is_error():
@@ -267,9 +271,9 @@
         return None
 
     @staticmethod
-    def _make_waiting(job: _Job) -> admission.Waiting:
+    def _make_waiting(job: _Job) -> admission.WaitingRequest:
         request = job.request
-        return admission.Waiting(
+        return admission.WaitingRequest(
             request_id=request.request_id,
             workspace=request.workspace,
             service=request.service_name,
@@ -278,11 +282,13 @@
             owner=job,
         )
 
-    def _withdraw(self, waiting: admission.Waiting) -> None:
+    def _withdraw(self, waiting: admission.WaitingRequest) -> None:
         request = waiting.owner.request
         self._admission.withdraw(waiting)
         self._decisions.record(request, "withdraw", codes.ResultCode.OK, text="the caller left")
-        self._call_on_end(request, flow_context.Result(codes.ResultCode.OK, waiting.owner.ran, 0))
+        self._call_on_end(
+            request, flow_context.FlowResult(codes.ResultCode.OK, waiting.owner.ran, 0)
+        )
 
     def _resume(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
         point = request.resume
@@ -304,20 +310,22 @@
         """Take an upstream's load report, and start what it makes room for."""
         replica.handle_report(report)
         if self._admission.waiting_count:
-            self._pump_service(replica.row.service)
+            self._start_waiting_of(replica.row.service)
 
-    def _pump(self) -> None:
+    def _start_waiting(self) -> None:
         for service in self._admission.waiting_services:
-            self._pump_service(service)
+            self._start_waiting_of(service)
 
-    def _pump_service(self, service: str) -> None:
-        while self._start_one(service):
+    def _start_waiting_of(self, service: str) -> None:
+        while self._start_next(service):
             pass
 
-    def _start_one(self, service: str) -> bool:
+    def _start_next(self, service: str) -> bool:
         """Start the next request of a service; False where none can start."""
         now_s = clocks.get_s()
-        for waiting in itertools.islice(self._admission.iterate(service, now_s), LOOK_AHEAD):
+        for waiting in itertools.islice(
+            self._admission.iterate(service, now_s), MAX_WORKSPACES_TRIED
+        ):
             if self._is_held(waiting.owner.request):
                 self._admission.withdraw(waiting)
                 self._refuse(waiting.owner, _make_held_refusal())
@@ -326,21 +334,23 @@
             if choice.replica is not None:
                 self._start(waiting, choice, now_s)
                 return True
-            if not waiting.may_be_passed(now_s):
+            if not waiting.may_be_bypassed(now_s):
                 return False
         return False
 
     def _is_held(self, request: requests.CallerRequest) -> bool:
         return not request.is_trial and self._contents.is_held(request.content_id)
 
-    def _start(self, waiting: admission.Waiting, choice: placement.Choice, now_s: float) -> None:
+    def _start(
+        self, waiting: admission.WaitingRequest, choice: placement.Choice, now_s: float
+    ) -> None:
         job: _Job = waiting.owner
         request = job.request
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
-        self._gathered.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
+        self._metrics.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
         self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
-        running = job.tried or flow.Flow(request, job.caller, self._context)
+        running = job.existing_flow or flow.Flow(request, job.caller, self._context)
         self._flows.add(running)
         running.start(choice)
 
@@ -352,36 +362,36 @@
         if pool is None or service is None:
             return placement.Choice(None, 0.0, ())
         now_s = clocks.get_s()
-        need = placement.Need(
+        demand = placement.Demand(
             workspace=request.workspace,
             service=request.service_name,
             prompt_tokens=request.prompt_tokens,
             limit_tokens=request.limit_tokens,
             excluded=excluded,
         )
-        return self._placement.choose(need, service, pool, now_s)
+        return self._placement.choose(demand, service, pool, now_s)
 
-    def _tick(self) -> None:
+    def _check_timeouts(self) -> None:
         for running in list(self._flows):
-            running.tick()
+            running.check_timeouts()
         now_s = clocks.get_s()
         for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
             text = "the deadline passed while the request was waiting"
             item = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
             retry_after_ms = self._admission.get_retry_after_ms(waiting.service, now_s)
-            self._refuse(job, admission.Refused(item, retry_after_ms))
-        self._refuse_stranded(now_s)
-        self._pump()
+            self._refuse(job, admission.Refusal(item, retry_after_ms))
+        self._refuse_without_upstream(now_s)
+        self._start_waiting()
 
-    def _refuse_stranded(self, now_s: float) -> None:
+    def _refuse_without_upstream(self, now_s: float) -> None:
         """Refuse what waits for a service whose upstreams have all been gone for a while."""
         for service in self._admission.waiting_services:
             pool = self._pools.get_pool(service)
             if pool is not None and pool.has_available(now_s):
-                self._available_s[service] = now_s
+                self._last_available_s[service] = now_s
                 continue
-            if now_s - self._available_s.setdefault(service, now_s) < STRANDED_S:
+            if now_s - self._last_available_s.setdefault(service, now_s) < NO_UPSTREAM_TIMEOUT_S:
                 continue
             refusal = _make_refusal(
                 codes.ResultCode.NO_UPSTREAM, f"no upstream of {service} answers"
@@ -389,10 +399,10 @@
             for waiting in self._admission.pop_all(service):
                 self._refuse(waiting.owner, refusal)
 
-    def _refuse(self, job: _Job, refused: admission.Refused) -> None:
+    def _refuse(self, job: _Job, refused: admission.Refusal) -> None:
         request = job.request
         self._decisions.record(request, "refuse", refused.fault.code, text=refused.fault.text)
-        self._call_on_end(request, flow_context.Result(refused.fault.code, job.ran, 0))
+        self._call_on_end(request, flow_context.FlowResult(refused.fault.code, job.ran, 0))
         answers.send_error(
             job.caller,
             refused.fault,
@@ -401,19 +411,21 @@
             retry_after_ms=refused.retry_after_ms,
         )
 
-    def _call_on_end(self, request: requests.CallerRequest, result: flow_context.Result) -> None:
+    def _call_on_end(
+        self, request: requests.CallerRequest, result: flow_context.FlowResult
+    ) -> None:
         on_end = self._on_end.pop(request.request_id, None)
         if on_end is not None:
             on_end(result)
 
 
-def _make_refusal(code: codes.ResultCode, text: str) -> admission.Refused:
-    return admission.Refused(fault.Fault(code, text), flow.RETRY_AFTER_MS)
+def _make_refusal(code: codes.ResultCode, text: str) -> admission.Refusal:
+    return admission.Refusal(fault.Fault(code, text), flow.RETRY_AFTER_MS)
 
 
-def _make_held_refusal() -> admission.Refused:
+def _make_held_refusal() -> admission.Refusal:
     """Return a refusal that does not say when to come back: the next run would end an upstream."""
-    return admission.Refused(fault.make_held_fault(), None)
+    return admission.Refusal(fault.make_held_fault(), None)
 
 
 def _make_forced_choice(replica: replicas.Replica) -> placement.Choice:
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -7,7 +7,7 @@
 
 import logging
 
-from spoolhead._internal.entry import answers, api, flow_attempt, flow_context, passed_answers
+from spoolhead._internal.entry import answers, api, flow_attempt, flow_context, relayed_answers
 from spoolhead._internal.models import codes, fault, requests
 from spoolhead._internal.network import caller_front, links, upstream_calls
 from spoolhead._internal.policy import placement, quarantine, replicas, retry
@@ -39,16 +39,16 @@
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
-        context: flow_context.Context,
+        context: flow_context.FlowContext,
     ) -> None:
         self.request = request
         self.caller = caller
-        self.work = replicas.RunningRequest(
+        self.running_request = replicas.RunningRequest(
             request.workspace, request.prompt_tokens, request.limit_tokens
         )
         self.is_over = False
         self._context = context
-        self._relay = stream_relay.StreamRelay(_make_order(request))
+        self._relay = stream_relay.StreamRelay(_make_sequencer(request))
         self._attempt: flow_attempt.Attempt | None = None
         self._attempts_made = 0
         self._generations_made = 0
@@ -87,13 +87,13 @@
         self._attempts_made += 1
         attempt = self._begin(replica, generation, 0.0)
         self._relay.begin_connection()
-        headers = [("accept", passed_answers.EVENT_STREAM)]
+        headers = [("accept", relayed_answers.EVENT_STREAM)]
         if self._relay.order.next_index:
             last = f"{generation}:{self._relay.order.next_index - 1}"
             headers.append((api.LAST_EVENT_HEADER, last))
         self._open(attempt, "GET", f"{api.STREAMS_PATH}{generation}", headers, b"")
 
-    def tick(self) -> None:
+    def check_timeouts(self) -> None:
         """Look at the clock: deadline, silence, stall."""
         if self.is_over:
             return
@@ -113,9 +113,9 @@
         held, ran = fault.make_held_fault(), self._get_ran_now()
         # Only what has not run may be told so by the status of a held request.
         code = held.code if ran is codes.Ran.NO else codes.ResultCode.UPSTREAM_LOST
-        self._give_up(code, held.text, ran, comes_back=False)
+        self._give_up(code, held.text, ran, may_retry=False)
 
-    def get_ran_before(self) -> codes.Ran:
+    def get_ran_while_waiting(self) -> codes.Ran:
         """Tell whether the request ran, while no attempt is being made."""
         return codes.Ran.UNKNOWN if self._may_have_run else codes.Ran.NO
 
@@ -200,14 +200,14 @@
             self,
             replica,
             generation,
-            incarnation_id=self._context.contents.get_life_id(replica.name),
+            incarnation_id=self._context.contents.get_incarnation_id(replica.name),
             sent_s=self._context.clock(),
         )
         self._attempt = attempt
         self._body = []
         self._body_bytes = 0
         self._pace.last_s = self._context.clock()
-        replica.start(self.work, planned)
+        replica.start(self.running_request, planned)
         return attempt
 
     def _open(
@@ -242,7 +242,7 @@
     def _send(self, attempt: flow_attempt.Attempt, data: bytes) -> bool:
         """Send bytes to the caller; False where that ended the flow."""
         if not self.caller.is_started:
-            headers = passed_answers.make_stream_headers(
+            headers = relayed_answers.make_stream_headers(
                 self.request,
                 self._context.shared_key,
                 upstream=attempt.replica.name,
@@ -261,15 +261,15 @@
     def _record_tokens(self, count: int) -> None:
         now_s = self._context.clock()
         gap_s = self._pace.record_tokens(count, now_s)
-        gathered = self._context.gathered
+        collector = self._context.collector
         if self._first_token_s is None:
             self._first_token_s = now_s
             waited_s = now_s - self.request.arrived_s
-            gathered.time(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
+            collector.time(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
             self._pace.stalled_s = 0.0
         else:
-            gathered.time(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
-        self.work.generated_tokens += count
+            collector.time(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
+        self.running_request.generated_tokens += count
         self._context.host.charge(self, count)
 
     def _is_silent(self, now_s: float) -> bool:
@@ -297,10 +297,12 @@
         # The done mark comes a little before the end of the message; a connection closed in
         # between could not be used again.
         self._attempt = None
-        attempt.replica.finish(self.work)
+        attempt.replica.finish(self.running_request)
         self._context.calls.finish_in_background(attempt.call)
         attempt.replica.health.record_success(self._context.clock())
-        result = flow_context.Result(codes.ResultCode.OK, codes.Ran.YES, self.work.generated_tokens)
+        result = flow_context.FlowResult(
+            codes.ResultCode.OK, codes.Ran.YES, self.running_request.generated_tokens
+        )
         result.is_natural_end = self.request.resume is None
         self._end(result)
 
@@ -308,13 +310,15 @@
         self._record_whole_answer(attempt.status)
         body = b"".join(self._body)
         if self.request.is_model:
-            self.work.generated_tokens = passed_answers.get_usage_tokens(body)
-            self._context.host.charge(self, self.work.generated_tokens)
-        headers = passed_answers.make_whole_headers(attempt.headers, self.request.request_id)
+            self.running_request.generated_tokens = relayed_answers.get_usage_tokens(body)
+            self._context.host.charge(self, self.running_request.generated_tokens)
+        headers = relayed_answers.make_whole_headers(attempt.headers, self.request.request_id)
         self.caller.send_whole(attempt.status, headers, body)
         attempt.replica.health.record_success(self._context.clock())
-        self._drop_attempt(cancel=False)
-        result = flow_context.Result(codes.ResultCode.OK, codes.Ran.YES, self.work.generated_tokens)
+        self._release_attempt(cancel=False)
+        result = flow_context.FlowResult(
+            codes.ResultCode.OK, codes.Ran.YES, self.running_request.generated_tokens
+        )
         result.is_natural_end = self.request.is_model and attempt.status == _OK
         result.status = attempt.status
         result.content_type = dict(attempt.headers).get("content-type", "")
@@ -353,10 +357,10 @@
         )
         step = self._context.policies.decide_retry(failed, self._context.budget)
         ran = retry.get_ran(failed)
-        self._drop_attempt(cancel=step is not retry.NextStep.RESUME)
+        self._release_attempt(cancel=step is not retry.NextStep.RESUME)
         if step is retry.NextStep.RESUME:
-            self._resume_again(attempt, code)
-        elif step is not retry.NextStep.RETRY or not self._try_again(attempt, code):
+            self._reconnect(attempt, code)
+        elif step is not retry.NextStep.RETRY or not self._retry_elsewhere(attempt, code):
             self._give_up(_get_final_code(code, has_begun), text, ran)
 
     def _get_attempts_left(self) -> int:
@@ -365,24 +369,24 @@
             return 0
         return self._context.attempts - self._attempts_made
 
-    def _resume_again(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> None:
+    def _reconnect(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> None:
         choice = placement.Choice(attempt.replica, 0.0, ())
         self._context.host.record_attempt(self, "resume", choice, code)
-        self._context.gathered.count(metrics.Metric.RESUMES)
+        self._context.collector.count(metrics.Metric.RESUMES)
         self._pace.record_resume(self._context.clock())
         self.resume(attempt.replica, attempt.generation)
 
-    def _try_again(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> bool:
+    def _retry_elsewhere(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> bool:
         self._failed_upstreams.add(attempt.replica.name)
         self._relay = stream_relay.StreamRelay()
-        self._context.gathered.count(metrics.Metric.RETRIES)
+        self._context.collector.count(metrics.Metric.RETRIES)
         excluded = frozenset(self._failed_upstreams)
-        choice = self._context.host.choose_again(self, excluded)
+        choice = self._context.host.choose_upstream(self, excluded)
         if choice.replica is None:
             # An upstream that lost one connection may be well, and if it is not it is ejected
             # by now; so after a wait it may be asked again.
             self._failed_upstreams.clear()
-            return self._context.host.wait_again(self, code)
+            return self._context.host.requeue(self, code)
         self._context.host.record_attempt(self, "retry", choice, code)
         self.start(choice)
         return True
@@ -395,18 +399,18 @@
         return codes.Ran.UNKNOWN if arrived or self._may_have_run else codes.Ran.NO
 
     def _give_up(
-        self, code: codes.ResultCode, text: str, ran: codes.Ran, *, comes_back: bool = True
+        self, code: codes.ResultCode, text: str, ran: codes.Ran, *, may_retry: bool = True
     ) -> None:
-        self._drop_attempt(cancel=True)
+        self._release_attempt(cancel=True)
         item = fault.Fault(code, text)
         answers.send_error(
             self.caller,
             item,
             ran=ran,
             request_id=self.request.request_id,
-            retry_after_ms=RETRY_AFTER_MS if ran is codes.Ran.NO and comes_back else None,
+            retry_after_ms=RETRY_AFTER_MS if ran is codes.Ran.NO and may_retry else None,
         )
-        self._end(flow_context.Result(code, ran, self.work.generated_tokens))
+        self._end(flow_context.FlowResult(code, ran, self.running_request.generated_tokens))
 
     def _on_caller_gone(self) -> None:
         if self.is_over:
@@ -415,14 +419,16 @@
         # A once-only request goes on without its caller: its outcome is what a resend gets.
         if self.request.once_key and ran is not codes.Ran.NO:
             return
-        self._drop_attempt(cancel=True)
-        self._end(flow_context.Result(codes.ResultCode.OK, ran, self.work.generated_tokens))
+        self._release_attempt(cancel=True)
+        self._end(
+            flow_context.FlowResult(codes.ResultCode.OK, ran, self.running_request.generated_tokens)
+        )
 
-    def _drop_attempt(self, *, cancel: bool) -> None:
+    def _release_attempt(self, *, cancel: bool) -> None:
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        attempt.replica.finish(self.work)
+        attempt.replica.finish(self.running_request)
         call = attempt.call
         if call is None:
             return
@@ -444,14 +450,14 @@
         request = upstream_calls.make_request("POST", target, address, [], b"")
         self._context.calls.open(address, request, upstream_calls.DiscardedAnswer())
 
-    def _end(self, result: flow_context.Result) -> None:
+    def _end(self, result: flow_context.FlowResult) -> None:
         if self.is_over:
             return
         self.is_over = True
-        self._context.host.end(self, result)
+        self._context.host.handle_flow_end(self, result)
 
 
-def _make_order(request: requests.CallerRequest) -> sequencer.Sequencer:
+def _make_sequencer(request: requests.CallerRequest) -> sequencer.Sequencer:
     if request.resume is None:
         return sequencer.Sequencer()
     return sequencer.Sequencer(request.resume.generation.encode(), request.resume.next_index)
--- a/src/spoolhead/_internal/entry/flow_attempt.py
+++ b/src/spoolhead/_internal/entry/flow_attempt.py
@@ -6,7 +6,7 @@
 from spoolhead._internal.policy import replicas
 
 
-class AttemptUser(Protocol):
+class AttemptOwner(Protocol):
     """The flow that made an attempt."""
 
     def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        flow: AttemptUser,
+        flow: AttemptOwner,
         replica: replicas.Replica,
         generation: str,
         *,
--- a/src/spoolhead/_internal/entry/flow_context.py
+++ b/src/spoolhead/_internal/entry/flow_context.py
@@ -12,7 +12,7 @@
     from spoolhead._internal.entry import flow
 
 
-class Result:
+class FlowResult:
     """How a flow ended.
 
     :ivar code: result code.
@@ -36,7 +36,7 @@
         self.body = b""
 
 
-class Calls(Protocol):
+class FlowCalls(Protocol):
     """What a flow needs of :class:`upstream_calls.UpstreamCalls`."""
 
     def open(
@@ -54,13 +54,13 @@
         """Let a call end whose answer is no longer needed."""
 
 
-class Contents(Protocol):
+class FlowContents(Protocol):
     """What a flow needs of :class:`spoolhead._internal.entry.held_contents.HeldContents`."""
 
     def is_suspect(self, content_id: bytes) -> bool:
         """Tell whether a content was at an upstream that ended, and has not ended well since."""
 
-    def get_life_id(self, upstream: str) -> str:
+    def get_incarnation_id(self, upstream: str) -> str:
         """Name the present run of an upstream."""
 
     def record_lost(
@@ -80,10 +80,10 @@
         """Take note of a request that has ended well."""
 
 
-class Host(Protocol):
+class FlowHost(Protocol):
     """What a flow asks of the dispatcher that owns it."""
 
-    def choose_again(self, flow: "flow.Flow", excluded: frozenset[str]) -> placement.Choice:
+    def choose_upstream(self, flow: "flow.Flow", excluded: frozenset[str]) -> placement.Choice:
         """Choose an upstream for another attempt."""
 
     def record_attempt(
@@ -91,7 +91,7 @@
     ) -> None:
         """Log that another attempt is made because the last one ended with a code."""
 
-    def wait_again(self, flow: "flow.Flow", code: codes.ResultCode) -> bool:
+    def requeue(self, flow: "flow.Flow", code: codes.ResultCode) -> bool:
         """Put a flow back into the queue, because no upstream has room for another attempt.
 
         :returns: False if no upstream is left that could make room.
@@ -100,18 +100,18 @@
     def charge(self, flow: "flow.Flow", tokens: int) -> None:
         """Charge tokens to the workspace."""
 
-    def end(self, flow: "flow.Flow", result: Result) -> None:
+    def handle_flow_end(self, flow: "flow.Flow", result: FlowResult) -> None:
         """The flow is over."""
 
 
-class Context:
+class FlowContext:
     """What all flows of an entry share.
 
     :ivar calls: makes requests to upstreams.
     :ivar host: the dispatcher.
     :ivar contents: what is known of requests that may end upstreams.
     :ivar budget: bounds retries.
-    :ivar gathered: metrics.
+    :ivar collector: metrics.
     :ivar clock: returns the monotonic time in seconds.
     :ivar shared_key: the fleet's secret.
     :ivar attempts: attempts for one request, the first included.
@@ -127,7 +127,7 @@
         "calls",
         "clock",
         "contents",
-        "gathered",
+        "collector",
         "host",
         "policies",
         "shared_key",
@@ -137,10 +137,10 @@
     def __init__(
         self,
         *,
-        calls: Calls,
-        host: Host,
-        contents: Contents,
-        gathered: metrics.Metrics,
+        calls: FlowCalls,
+        host: FlowHost,
+        contents: FlowContents,
+        collector: metrics.Metrics,
         clock: Callable[[], float],
         shared_key: str,
         attempts: int,
@@ -152,7 +152,7 @@
         self.host = host
         self.contents = contents
         self.budget = retry.RetryBudget()
-        self.gathered = gathered
+        self.collector = collector
         self.clock = clock
         self.shared_key = shared_key
         self.attempts = attempts
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -24,7 +24,7 @@
     :param calls: makes requests to upstreams.
     :param timers: calls back.
     :param probe_path: what an upstream that lost a request is asked for.
-    :param tell: called with records that the keeper is to pass on.
+    :param send_records: called with records that the keeper is to pass on.
     :param on_held: called with the name of a content that is held from now on.
     :param folder: the entry's data folder; None for none.
     """
@@ -36,19 +36,19 @@
         timers: scheduler.Scheduler,
         *,
         probe_path: str,
-        tell: Callable[[Records], None],
+        send_records: Callable[[Records], None],
         on_held: Callable[[bytes], None],
         folder: pathlib.Path | None,
     ) -> None:
         self._name = name
         self._timers = timers
         self._probe_path = probe_path
-        self._tell = tell
-        self._starts: dict[str, int] = {}
+        self._send_records = send_records
+        self._restart_counts: dict[str, int] = {}
         self._watch = content_watch.ContentWatch(
             name,
             clock=clocks.get_s,
-            request_broadcast=self._tell_changed,
+            request_broadcast=self._send_changed,
             on_held=on_held,
         )
         self._saved: saved_contents.SavedContents | None = None
@@ -59,7 +59,7 @@
             timers,
             self._watch,
             read_instance_id=lambda status, headers: "",
-            on_ended=self._note_restart,
+            on_ended=self._record_restart,
         )
 
     @property
@@ -71,9 +71,9 @@
         """Return all records."""
         return self._watch.get_all()
 
-    def merge_records(self, teller: str, records: Records) -> None:
+    def merge_records(self, peer: str, records: Records) -> None:
         """Take records that another process tells."""
-        self._watch.merge_records(teller, records)
+        self._watch.merge_records(peer, records)
         self._save()
 
     def evaluate(self, content_id: bytes) -> quarantine.Verdict:
@@ -98,9 +98,9 @@
             quarantine.CLAIM_S, lambda: on_settled(self._watch.may_run_trial(content_id))
         )
 
-    def get_life_id(self, upstream: str) -> str:
+    def get_incarnation_id(self, upstream: str) -> str:
         """Name the present run of an upstream, as far as this entry tells its runs apart."""
-        return f"{upstream}@{self._name}.{self._starts.get(upstream, 0)}"
+        return f"{upstream}@{self._name}.{self._restart_counts.get(upstream, 0)}"
 
     def record_abandoned(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
@@ -111,12 +111,12 @@
 
     def record_unreachable(self, replica: replicas.Replica) -> None:
         """Ask an upstream that refuses connections, if a request was abandoned there just now."""
-        incarnation_id = self.get_life_id(replica.name)
+        incarnation_id = self.get_incarnation_id(replica.name)
         if replica.row.state is rows.UpstreamState.LEAVING or not self._watch.has_abandoned(
             incarnation_id
         ):
             return
-        self._ask(replica, incarnation_id)
+        self._query_end(replica, incarnation_id)
 
     def record_lost(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
@@ -125,9 +125,9 @@
         if replica.row.state is rows.UpstreamState.LEAVING:
             return
         self._watch.record_lost(incarnation_id, content_id, sent_s)
-        self._ask(replica, incarnation_id)
+        self._query_end(replica, incarnation_id)
 
-    def _ask(self, replica: replicas.Replica, incarnation_id: str) -> None:
+    def _query_end(self, replica: replicas.Replica, incarnation_id: str) -> None:
         asked = end_watch.EndQuery(
             incarnation_id,
             instance_id="",
@@ -140,14 +140,14 @@
         """Take note of a request that has ended well."""
         self._watch.record_harmless(content_id)
 
-    def _tell_changed(self) -> None:
-        self._tell(self._watch.pop_changed())
+    def _send_changed(self) -> None:
+        self._send_records(self._watch.pop_changed())
         self._save()
 
     def _save(self) -> None:
         if self._saved is not None:
             self._saved.record()
 
-    def _note_restart(self, incarnation_id: str) -> None:
+    def _record_restart(self, incarnation_id: str) -> None:
         upstream = incarnation_id.rpartition("@")[0]
-        self._starts[upstream] = self._starts.get(upstream, 0) + 1
+        self._restart_counts[upstream] = self._restart_counts.get(upstream, 0) + 1
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -18,7 +18,7 @@
 
 ROLE = "entry"
 CLAIM_TIMEOUT_S = 2.0
-MAX_KEPT_BODY_BYTES = 16_384
+MAX_STORED_BODY_BYTES = 16_384
 FAILED_STATE = "failed"
 
 
@@ -40,13 +40,13 @@
         self.outcome = outcome
 
 
-class TableUser(Protocol):
+class TableListener(Protocol):
     """Who is told of the table."""
 
     def on_table(self) -> None:
         """Another version is in force."""
 
-    def on_keeper(self) -> None:
+    def on_keeper_ready(self) -> None:
         """A keeper can be told things."""
 
     def on_contents(self, records: held_contents.Records) -> None:
@@ -82,7 +82,7 @@
         outgoing: links.Links,
         config: settings.EntrySettings,
         table: view.TableView,
-        user: TableUser,
+        user: TableListener,
         control_address: str,
     ) -> None:
         self._hall = config.hall
@@ -91,15 +91,15 @@
         self._table = table
         self._user = user
         self._followed = following.FollowedTable()
-        self._copy: saved_copy.SavedCopy | None = None
+        self._saved_copy: saved_copy.SavedCopy | None = None
         self._folder_lock: files.FolderLock | None = None
         self._numbers = itertools.count(1)
         self._claims: dict[int, _PendingClaim] = {}
         self._unconfirmed: dict[str, messages.FinishOnce] = {}
-        self._lost_s: float | None = clocks.get_s()
-        self._save_planned = False
+        self._unconfirmed_since_s: float | None = clocks.get_s()
+        self._save_scheduled = False
         if config.data_dir is not None:
-            self._open_copy(pathlib.Path(config.data_dir))
+            self._load_saved_copy(pathlib.Path(config.data_dir))
         self._client = peer_client.PeerClient(
             loop,
             outgoing,
@@ -123,9 +123,9 @@
     @property
     def unconfirmed_ms(self) -> int:
         """Time since a keeper last confirmed the table; 0 while one does."""
-        if self._lost_s is None:
+        if self._unconfirmed_since_s is None:
             return 0
-        return int((clocks.get_s() - self._lost_s) * 1000)
+        return int((clocks.get_s() - self._unconfirmed_since_s) * 1000)
 
     @property
     def unconfirmed_count(self) -> int:
@@ -144,18 +144,18 @@
         is_sent = self._client.send(message)
         delay_s = CLAIM_TIMEOUT_S if is_sent else 0
         pending.timer = self._scheduler.call_later(
-            delay_s, lambda: self._give_up_claim(number, is_sent)
+            delay_s, lambda: self._expire_claim(number, is_sent)
         )
 
     def finish(self, key: str, ran: codes.Ran, outcome: once_journal.Outcome | None) -> None:
         """Report the end of a claimed request; repeated until a keeper has it on its disk."""
-        is_kept = outcome is not None and len(outcome.body) <= MAX_KEPT_BODY_BYTES
+        is_stored = outcome is not None and len(outcome.body) <= MAX_STORED_BODY_BYTES
         message = messages.FinishOnce(
             key=key,
             ran=ran.value,
-            status=outcome.status if is_kept else 0,
-            content_type=outcome.content_type if is_kept else "",
-            body=outcome.body if is_kept else b"",
+            status=outcome.status if is_stored else 0,
+            content_type=outcome.content_type if is_stored else "",
+            body=outcome.body if is_stored else b"",
         )
         self._unconfirmed[key] = message
         self._client.send(message)
@@ -174,11 +174,11 @@
         )
         for message in self._unconfirmed.values():
             self._client.send(message)
-        self._user.on_keeper()
+        self._user.on_keeper_ready()
 
     def on_peer_lost(self) -> None:
         """Go on with the table as it is."""
-        self._lost_s = clocks.get_s()
+        self._unconfirmed_since_s = clocks.get_s()
         logger.warning(
             "no keeper confirms the table", extra={"fields": {"version": self._table.version}}
         )
@@ -187,7 +187,7 @@
         """Handle a keeper's message."""
         match message:
             case messages.Snapshot():
-                self._take_snapshot(message)
+                self._handle_snapshot(message)
             case messages.ChangeMade():
                 self._handle_change(message)
             case messages.Current():
@@ -211,38 +211,38 @@
             return
         self._user.on_contents(records)
 
-    def _open_copy(self, folder: pathlib.Path) -> None:
+    def _load_saved_copy(self, folder: pathlib.Path) -> None:
         self._folder_lock = files.FolderLock(folder)
-        self._copy = saved_copy.SavedCopy(folder)
-        if self._copy.load(self._followed):
+        self._saved_copy = saved_copy.SavedCopy(folder)
+        if self._saved_copy.load(self._followed):
             self._table.replace((key, row.value) for key, row in self._followed.rows.items())
             self._table.version = self._followed.version
             logger.info("table of version %d read from the disk", self._followed.version)
 
-    def _take_snapshot(self, message: messages.Snapshot) -> None:
+    def _handle_snapshot(self, message: messages.Snapshot) -> None:
         rows = packing.unpack_rows(message.rows)
-        taken = self._followed.take_snapshot(message.log_id, message.version, rows)
-        if taken.is_error():
-            self._refuse_source(taken.error, message.version)
+        result = self._followed.take_snapshot(message.log_id, message.version, rows)
+        if result.is_error():
+            self._reject_table(result.error, message.version)
             return
-        if taken.ok:
+        if result.ok:
             self._table.replace((key, row.value) for key, row in rows.items())
-            self._put_in_force()
+            self._activate_version()
         self._confirm()
 
     def _handle_change(self, message: messages.ChangeMade) -> None:
         change = versioned_table.Change.unpack(message.change)
-        taken = self._followed.take_change(message.log_id, change)
-        if taken.is_error():
-            self._refuse_source(taken.error, change.version)
+        result = self._followed.take_change(message.log_id, change)
+        if result.is_error():
+            self._reject_table(result.error, change.version)
             return
-        if taken.ok:
+        if result.ok:
             for edit in change.proposal.edits:
                 self._table.set_row(edit.key, edit.value)
-            self._put_in_force()
+            self._activate_version()
         self._confirm()
 
-    def _refuse_source(self, reason: following.FollowFault, version: int) -> None:
+    def _reject_table(self, reason: following.FollowFault, version: int) -> None:
         logger.error(
             "a keeper's table is not taken: %s",
             reason.value,
@@ -250,22 +250,22 @@
         )
         self._client.reconnect(f"its table is not taken: {reason.value}")
 
-    def _put_in_force(self) -> None:
+    def _activate_version(self) -> None:
         self._table.version = self._followed.version
         self._user.on_table()
         logger.info("table in force", extra={"fields": {"version": self._table.version}})
-        if self._copy is not None and not self._save_planned:
+        if self._saved_copy is not None and not self._save_scheduled:
             # Changes come in bursts; one write serves all that arrive in the same turn.
-            self._save_planned = True
+            self._save_scheduled = True
             self._scheduler.call_later(0, self._save)
 
     def _save(self) -> None:
-        self._save_planned = False
-        if self._copy is not None:
-            self._copy.save(self._followed)
+        self._save_scheduled = False
+        if self._saved_copy is not None:
+            self._saved_copy.save(self._followed)
 
     def _confirm(self) -> None:
-        self._lost_s = None
+        self._unconfirmed_since_s = None
         self._client.send(messages.InForce(version=self._table.version))
 
     def _handle_claim_answer(self, message: messages.ClaimAnswer) -> None:
@@ -282,7 +282,7 @@
             outcome = once_journal.Outcome(message.status, message.content_type, message.body)
         pending.on_answer(ClaimResult(once_journal.ClaimState(message.state), outcome))
 
-    def _give_up_claim(self, number: int, is_sent: bool) -> None:
+    def _expire_claim(self, number: int, is_sent: bool) -> None:
         pending = self._claims.pop(number, None)
         if pending is None:
             return
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -21,12 +21,12 @@
 
 REPORT_PATH = "/metrics"
 MAX_REPORT_BYTES = 1_048_576
-TIMEOUT_INTERVALS = 8
+FETCH_TIMEOUT_INTERVALS = 8
 
-FAR_TURNS = 4
+OTHER_HALL_INTERVAL_TURNS = 4
 """Turns between two fetches from an upstream of another hall."""
 
-MISSED_TURNS = 3
+MAX_MISSED_TURNS = 3
 """Turns without a neighbour's report after which an entry fetches it itself."""
 
 _RUNNING = "vllm:num_requests_running"
@@ -72,7 +72,7 @@
         self._status = 0
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self.begun_s = now_s
+        self.started_s = now_s
         self.call: upstream_calls.UpstreamCall | None = None
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
@@ -85,12 +85,12 @@
 
     def on_answer_end(self) -> None:
         if self._status == 200 and self._body_bytes <= MAX_REPORT_BYTES:
-            self._owner.take(self._replica, b"".join(self._body))
+            self._owner.handle_answer(self._replica, b"".join(self._body))
         else:
-            self._owner.fail(self._replica, f"status {self._status}")
+            self._owner.handle_failure(self._replica, f"status {self._status}")
 
     def on_call_lost(self, reason: str) -> None:
-        self._owner.fail(self._replica, reason)
+        self._owner.handle_failure(self._replica, reason)
 
 
 class LoadReports:
@@ -101,7 +101,7 @@
     :param calls: makes requests to upstreams.
     :param owner: knows the upstreams.
     :param neighbours: the other entries of the hall.
-    :param gathered: metrics.
+    :param collector: metrics.
     :param hall: hall of the entry; upstreams of other halls are asked less often.
     """
 
@@ -112,7 +112,7 @@
         calls: upstream_calls.UpstreamCalls,
         owner: dispatchers.Dispatcher,
         neighbours: entry_neighbours.Neighbours,
-        gathered: metrics.Metrics,
+        collector: metrics.Metrics,
         hall: str,
     ) -> None:
         self._neighbours = neighbours
@@ -123,11 +123,11 @@
         self._interval_s = config.report_interval_ms / 1000
         self._calls = calls
         self._owner = owner
-        self._gathered = gathered
+        self._metrics = collector
         self._fetches: dict[str, _Fetch] = {}
         loop.scheduler.call_every(self._interval_s, self._fetch_all)
 
-    def take(self, replica: replicas.Replica, body: bytes) -> None:
+    def handle_answer(self, replica: replicas.Replica, body: bytes) -> None:
         """Take a report that has come."""
         self._fetches.pop(replica.name, None)
         try:
@@ -140,7 +140,7 @@
         known = replica.report
         if known is not None and report.preemptions > known.preemptions:
             amount = report.preemptions - known.preemptions
-            self._gathered.count(metrics.Metric.PREEMPTIONS, amount)
+            self._metrics.count(metrics.Metric.PREEMPTIONS, amount)
         self._fetched.append(entry_neighbours.NamedReport(replica.name, report))
         self._owner.handle_report(replica, report)
 
@@ -153,32 +153,32 @@
             if replica.report is None or item.report.received_s > replica.report.received_s:
                 self._owner.handle_report(replica, item.report)
 
-    def fail(self, replica: replicas.Replica, reason: str) -> None:
+    def handle_failure(self, replica: replicas.Replica, reason: str) -> None:
         """Note a fetch that failed; the last report grows old."""
         self._fetches.pop(replica.name, None)
         logger.debug("report of %s not fetched: %s", replica.name, reason)
 
     def _fetch_all(self) -> None:
         now_s = clocks.get_s()
-        self._drop_overdue(now_s)
-        self._neighbours.publish(self._fetched)
+        self._cancel_overdue(now_s)
+        self._neighbours.broadcast_reports(self._fetched)
         self._fetched = []
         self._turn += 1
-        heard = self._neighbours.get_heard(now_s)
+        live_entries = self._neighbours.get_live_entries(now_s)
         for replica in self._owner.upstreams:
-            if replica.name not in self._fetches and self._is_due(replica, heard, now_s):
+            if replica.name not in self._fetches and self._is_due(replica, live_entries, now_s):
                 self._fetch(replica, now_s)
 
-    def _is_due(self, replica: replicas.Replica, heard: Sequence[str], now_s: float) -> bool:
+    def _is_due(self, replica: replicas.Replica, live_entries: Sequence[str], now_s: float) -> bool:
         """Whether this entry is to fetch a report in this turn."""
         is_near = replica.row.hall == self._hall
-        interval = 1 if is_near else FAR_TURNS
-        if reporting.get_fetcher(replica.name, heard) == heard[0]:
+        interval = 1 if is_near else OTHER_HALL_INTERVAL_TURNS
+        if reporting.get_fetcher(replica.name, live_entries) == live_entries[0]:
             return self._turn % interval == 0
         if replica.report is None:
             return True
         age_s = now_s - replica.report.received_s
-        return age_s > MISSED_TURNS * interval * self._interval_s
+        return age_s > MAX_MISSED_TURNS * interval * self._interval_s
 
     def _fetch(self, replica: replicas.Replica, now_s: float) -> None:
         fetch = _Fetch(self, replica, now_s)
@@ -187,9 +187,9 @@
         request = upstream_calls.make_request("GET", REPORT_PATH, address, [], b"")
         fetch.call = self._calls.open(address, request, fetch)
 
-    def _drop_overdue(self, now_s: float) -> None:
+    def _cancel_overdue(self, now_s: float) -> None:
         for name, fetch in list(self._fetches.items()):
-            if now_s - fetch.begun_s > TIMEOUT_INTERVALS * self._interval_s:
+            if now_s - fetch.started_s > FETCH_TIMEOUT_INTERVALS * self._interval_s:
                 del self._fetches[name]
                 if fetch.call is not None:
                     fetch.call.cancel()
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -8,7 +8,7 @@
 from spoolhead._internal.utils import clocks
 
 ROLE = "entry"
-HEARD_WITHIN_S = 2.0
+NEIGHBOUR_TIMEOUT_S = 2.0
 
 
 class NamedReport:
@@ -58,7 +58,7 @@
     def on_peer_message(self, message: messages.Message) -> None:
         """Take reports."""
         if isinstance(message, messages.Reports):
-            self._owner.take(message)
+            self._owner.handle_reports(message)
 
 
 class Neighbours:
@@ -67,7 +67,7 @@
     :param loop: root of the program.
     :param outgoing: the program's outgoing connections.
     :param config: the entry's settings.
-    :param take_reports: called with reports that a neighbour has fetched.
+    :param on_reports: called with reports that a neighbour has fetched.
     """
 
     def __init__(
@@ -75,12 +75,12 @@
         loop: loops.Loop,
         outgoing: links.Links,
         config: settings.EntrySettings,
-        take_reports: Callable[[Sequence[NamedReport]], None],
+        on_reports: Callable[[Sequence[NamedReport]], None],
     ) -> None:
         self._loop = loop
         self._outgoing = outgoing
         self._config = config
-        self._take_reports = take_reports
+        self._on_reports = on_reports
         self._neighbours: dict[str, _Neighbour] = {}
         self._sessions: set[peer_server.PeerSession] = set()
 
@@ -111,14 +111,14 @@
             user=user,
         )
 
-    def get_heard(self, now_s: float) -> list[str]:
+    def get_live_entries(self, now_s: float) -> list[str]:
         """Return the names of this entry and of the neighbours heard of lately."""
-        heard = [
+        live_names = [
             name
             for name, item in self._neighbours.items()
-            if item.client.is_ready and now_s - item.client.heard_s < HEARD_WITHIN_S
+            if item.client.is_ready and now_s - item.client.heard_s < NEIGHBOUR_TIMEOUT_S
         ]
-        return [self._config.name, *heard]
+        return [self._config.name, *live_names]
 
     def add_session(self, session: peer_server.PeerSession) -> None:
         """Send reports to a neighbour from now on."""
@@ -128,7 +128,7 @@
         """Send nothing more to a neighbour."""
         self._sessions.discard(session)
 
-    def publish(self, reports: Sequence[NamedReport]) -> None:
+    def broadcast_reports(self, reports: Sequence[NamedReport]) -> None:
         """Send reports that this entry has fetched to its neighbours."""
         if not reports or not self._sessions:
             return
@@ -139,10 +139,10 @@
         for session in self._sessions:
             session.send_encoded(data)
 
-    def take(self, message: messages.Reports) -> None:
+    def handle_reports(self, message: messages.Reports) -> None:
         """Take reports that a neighbour has fetched."""
         now_s = clocks.get_s()
-        self._take_reports([unpack(item, now_s=now_s) for item in message.items])
+        self._on_reports([unpack(item, now_s=now_s) for item in message.items])
 
 
 def pack(item: NamedReport, *, now_s: float) -> list[object]:
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -75,7 +75,7 @@
             self._keeper.finish(key, codes.Ran.NO, None)
             return
 
-        def _on_end(result: flow_context.Result) -> None:
+        def _on_end(result: flow_context.FlowResult) -> None:
             outcome = None
             if result.status:
                 outcome = once_journal.Outcome(result.status, result.content_type, result.body)
@@ -116,7 +116,7 @@
         self._decisions.record_refusal(
             request.request_id, request.workspace, item, request.arrived_s
         )
-        may_come_back = code in (
+        may_retry = code in (
             codes.ResultCode.ONCE_CLAIM_UNAVAILABLE,
             codes.ResultCode.ONCE_IN_PROGRESS,
         )
@@ -125,7 +125,7 @@
             item,
             ran=ran,
             request_id=request.request_id,
-            retry_after_ms=CLAIM_RETRY_AFTER_MS if may_come_back else None,
+            retry_after_ms=CLAIM_RETRY_AFTER_MS if may_retry else None,
         )
 
 
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -51,7 +51,7 @@
         self._config = config
         self._is_stopping = False
         self._started_s = clocks.get_s()
-        self._drained_s = self._started_s
+        self._idle_since_s = self._started_s
         self._loop = loop.Loop(self._begin_stop)
         self._metrics = metrics.Metrics()
         self._table = view.TableView()
@@ -63,7 +63,7 @@
             calls,
             self._loop.scheduler,
             probe_path=load_reports.REPORT_PATH,
-            tell=lambda records: self._keeper.send_contents(records),
+            send_records=lambda records: self._keeper.send_contents(records),
             on_held=lambda content_id: self._dispatcher.reject_held(content_id),
             folder=pathlib.Path(config.data_dir) if config.data_dir is not None else None,
         )
@@ -105,7 +105,10 @@
         self._once = once_requests.OnceRequests(self._dispatcher, self._decisions, self._keeper)
         self._dispatcher.update_upstreams()
         self._front = caller_front.CallerFront(
-            self._loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
+            self._loop,
+            config,
+            on_request=self._handle_request,
+            on_bad_request=self._refuse_malformed,
         ).register(self._loop)
         if config.statsd is not None:
             self._send_metrics(config.statsd)
@@ -129,7 +132,7 @@
         self._dispatcher.set_entry_count(len(members))
         self._neighbours.set_members(members)
 
-    def on_keeper(self) -> None:
+    def on_keeper_ready(self) -> None:
         """Tell a keeper what is known of contents that may end upstreams; it may be new."""
         self._keeper.send_contents(self._contents.get_all())
 
@@ -172,7 +175,7 @@
             "keeper_connected": self._keeper.is_connected,
             "table_unconfirmed_ms": self._keeper.unconfirmed_ms,
             "running": self._dispatcher.running_count,
-            "waiting": self._dispatcher.held_count - self._dispatcher.running_count,
+            "waiting": self._dispatcher.request_count - self._dispatcher.running_count,
             "connections": self._front.connection_count,
             "held_contents": self._contents.held_count,
             "exceptions": self._loop.exceptions,
@@ -184,7 +187,7 @@
     def _is_ready(self) -> bool:
         return self._table.version > 0 and not self._is_stopping
 
-    def _take(self, caller: caller_front.Caller) -> None:
+    def _handle_request(self, caller: caller_front.Caller) -> None:
         now_s = clocks.get_s()
         request_id = f"{self._config.name}-{secrets.token_hex(8)}"
         path = api.get_path(caller.request)
@@ -192,7 +195,7 @@
             self._answer_probe(caller, path, request_id)
             return
         self._metrics.count(metrics.Metric.REQUESTS)
-        item = self._get_obstacle()
+        item = self._get_availability_fault()
         if item is not None:
             self._refuse(caller, request_id, "", item, now_s, STOP_RETRY_AFTER_MS)
             return
@@ -202,15 +205,15 @@
         elif path == api.MODELS_PATH or path.startswith(f"{api.MODELS_PATH}/"):
             self._answer_models(caller, owner.ok, path, request_id, now_s)
         else:
-            self._take_work(caller, owner.ok, request_id, now_s)
+            self._handle_service_request(caller, owner.ok, request_id, now_s)
 
-    def _take_work(
+    def _handle_service_request(
         self, caller: caller_front.Caller, workspace: str, request_id: str, now_s: float
     ) -> None:
-        arrival = api.Arrival(
+        context = api.ParseContext(
             request_id=request_id, now_s=now_s, shared_key=self._config.shared_key
         )
-        parsed = api.parse(caller.request, workspace, self._table, arrival)
+        parsed = api.parse(caller.request, workspace, self._table, context)
         if parsed.is_error():
             self._refuse_by_table(caller, request_id, workspace, parsed.error, now_s)
         elif parsed.ok.once_key:
@@ -218,7 +221,7 @@
         else:
             self._dispatcher.submit(parsed.ok, caller)
 
-    def _get_obstacle(self) -> fault.Fault | None:
+    def _get_availability_fault(self) -> fault.Fault | None:
         if self._is_stopping:
             return fault.Fault(codes.ResultCode.STOPPING, "this entry is stopping")
         if not self._table.version:
@@ -304,21 +307,21 @@
             retry_after_ms=retry_after_ms,
         )
 
-    def _refuse_bytes(self, caller: caller_front.Caller, item: fault.Fault) -> None:
+    def _refuse_malformed(self, caller: caller_front.Caller, item: fault.Fault) -> None:
         request_id = f"{self._config.name}-{secrets.token_hex(8)}"
         self._refuse(caller, request_id, "", item, clocks.get_s())
 
     def _begin_stop(self) -> None:
         self._is_stopping = True
-        self._drained_s = clocks.get_s()
-        logger.info("stopping; %d requests are in flight", self._dispatcher.held_count)
+        self._idle_since_s = clocks.get_s()
+        logger.info("stopping; %d requests are in flight", self._dispatcher.request_count)
         self._loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
-        if self._dispatcher.held_count or self._once.claiming_count:
-            self._drained_s = clocks.get_s()
+        if self._dispatcher.request_count or self._once.claiming_count:
+            self._idle_since_s = clocks.get_s()
             return
-        waited_s = clocks.get_s() - self._drained_s
+        waited_s = clocks.get_s() - self._idle_since_s
         if self._keeper.unconfirmed_count and waited_s < STOP_CONFIRM_S:
             return
         self._front.close_when_idle()
@@ -331,7 +334,7 @@
         def _send() -> None:
             gauge = self._metrics.gauge
             gauge(metrics.Metric.RUNNING, self._dispatcher.running_count)
-            waiting = self._dispatcher.held_count - self._dispatcher.running_count
+            waiting = self._dispatcher.request_count - self._dispatcher.running_count
             gauge(metrics.Metric.WAITING, waiting)
             gauge(metrics.Metric.CONNECTIONS, self._front.connection_count)
             gauge(metrics.Metric.TABLE_VERSION, self._table.version)
--- a/src/spoolhead/_internal/entry/upstream_pools.py
+++ b/src/spoolhead/_internal/entry/upstream_pools.py
@@ -9,11 +9,11 @@
 class UpstreamPools:
     """Upstreams by name, and by service those that may get work.
 
-    :param forget: called with an address to which no connection need be kept.
+    :param on_address_unused: called with an address to which no connection need be kept.
     """
 
-    def __init__(self, forget: Callable[[str], None]) -> None:
-        self._forget = forget
+    def __init__(self, on_address_unused: Callable[[str], None]) -> None:
+        self._on_address_unused = on_address_unused
         self._pools: dict[str, placement.Pool] = {}
         self._replicas: dict[str, replicas.Replica] = {}
 
@@ -67,7 +67,7 @@
         replica.row = row
         self._replicas[replica.name] = replica
         if replica.is_leaving or replica.is_evacuated:
-            self._forget(row.address)
+            self._on_address_unused(row.address)
             return
         self._pools.setdefault(row.service, placement.Pool()).put(replica)
 
@@ -76,4 +76,4 @@
         pool = self._pools.get(replica.row.service)
         if pool is not None:
             pool.remove(name)
-        self._forget(replica.row.address)
+        self._on_address_unused(replica.row.address)
--- a/src/spoolhead/_internal/policy/admission.py
+++ b/src/spoolhead/_internal/policy/admission.py
@@ -19,20 +19,20 @@
 START_CHARGE_TOKENS = 16.0
 """Charged when a request starts, so that a burst of starts is not free until tokens come."""
 
-RATE_MEMORY = 0.95
+RATE_SMOOTHING = 0.95
 """Weight of the past in the rate of starts."""
 
-PAUSE_PART = 1 / 4
+IDLE_GAP_FRACTION = 1 / 4
 """Part of a pause in the starts that counts as their rate, before the next start ends it."""
 
-LONGEST_PASSED_S = 1.0
+MAX_BYPASS_S = 1.0
 """Time for which smaller requests may pass one that fits nowhere."""
 
 MIN_RETRY_AFTER_MS = 500
 MAX_RETRY_AFTER_MS = 60_000
 
 
-class Waiting:
+class WaitingRequest:
     """One request on its way to an upstream.
 
     :ivar request_id: its id.
@@ -41,7 +41,7 @@
     :ivar arrived_s: monotonic time of its arrival, in seconds.
     :ivar deadline_s: monotonic time by which its answer must be complete.
     :ivar owner: what the user of this module keeps with it.
-    :ivar passed_from_s: monotonic time since when it was next and fitted nowhere; None where
+    :ivar bypassed_since_s: monotonic time since when it was next and fitted nowhere; None where
         that is not so.
     """
 
@@ -49,7 +49,7 @@
         "arrived_s",
         "deadline_s",
         "owner",
-        "passed_from_s",
+        "bypassed_since_s",
         "request_id",
         "service",
         "workspace",
@@ -71,20 +71,20 @@
         self.arrived_s = arrived_s
         self.deadline_s = deadline_s
         self.owner = owner
-        self.passed_from_s: float | None = None
+        self.bypassed_since_s: float | None = None
 
-    def may_be_passed(self, now_s: float) -> bool:
+    def may_be_bypassed(self, now_s: float) -> bool:
         """Tell whether others may go first, now that this one is next and fits nowhere.
 
         Keeping everybody else waiting for it would leave room unused; letting them pass for
         ever would starve it, as there is always something smaller.
         """
-        if self.passed_from_s is None:
-            self.passed_from_s = now_s
-        return now_s - self.passed_from_s < LONGEST_PASSED_S
+        if self.bypassed_since_s is None:
+            self.bypassed_since_s = now_s
+        return now_s - self.bypassed_since_s < MAX_BYPASS_S
 
 
-class Refused:
+class Refusal:
     """A refusal.
 
     :ivar fault: why.
@@ -117,7 +117,7 @@
     __slots__ = ("by_workspace", "last_start_s", "start_gap_s", "total")
 
     def __init__(self) -> None:
-        self.by_workspace: dict[str, collections.deque[Waiting]] = {}
+        self.by_workspace: dict[str, collections.deque[WaitingRequest]] = {}
         self.total = 0
         self.last_start_s: float | None = None
         self.start_gap_s: float | None = None
@@ -150,7 +150,7 @@
         account = self._accounts.get(workspace)
         return account.running if account else 0
 
-    def offer(self, waiting: Waiting, now_s: float) -> expression.Result[None, Refused]:
+    def offer(self, waiting: WaitingRequest, now_s: float) -> expression.Result[None, Refusal]:
         """Take a request into its queue, or refuse it at once.
 
         :returns: nothing, or the refusal: the queue is full, or the wait would be too long.
@@ -170,7 +170,7 @@
         self._append(queue, account, waiting)
         return expression.Ok(None)
 
-    def put_back(self, waiting: Waiting, now_s: float) -> None:
+    def put_back(self, waiting: WaitingRequest, now_s: float) -> None:
         """Take a request that could not run after all back to the head of its queue."""
         account = self._get_account(waiting.workspace, now_s)
         queue = self._queues.setdefault(waiting.service, _Queue())
@@ -179,7 +179,7 @@
         queue.total += 1
         account.waiting += 1
 
-    def iterate(self, service: str, now_s: float) -> Iterator[Waiting]:
+    def iterate(self, service: str, now_s: float) -> Iterator[WaitingRequest]:
         """Yield the requests that may start, the next one first, one for each workspace.
 
         Stop iterating after :meth:`start`: what follows was computed before.
@@ -196,7 +196,7 @@
         for _, item in order:
             yield item
 
-    def start(self, waiting: Waiting, now_s: float) -> None:
+    def start(self, waiting: WaitingRequest, now_s: float) -> None:
         """Move a request from its queue to those that run."""
         self._remove(waiting)
         self.start_unqueued(waiting.workspace, now_s)
@@ -204,7 +204,7 @@
         if queue.last_start_s is not None:
             gap_s = now_s - queue.last_start_s
             known_s = queue.start_gap_s if queue.start_gap_s is not None else gap_s
-            queue.start_gap_s = RATE_MEMORY * known_s + (1 - RATE_MEMORY) * gap_s
+            queue.start_gap_s = RATE_SMOOTHING * known_s + (1 - RATE_SMOOTHING) * gap_s
         queue.last_start_s = now_s if queue.total else None
 
     def start_unqueued(self, workspace: str, now_s: float) -> None:
@@ -224,14 +224,14 @@
         """Count a running request as ended."""
         account = self._accounts[workspace]
         account.running -= 1
-        self._drop_idle(workspace)
+        self._remove_if_idle(workspace)
 
-    def withdraw(self, waiting: Waiting) -> None:
+    def withdraw(self, waiting: WaitingRequest) -> None:
         """Take a request out of its queue, because its caller left."""
         self._remove(waiting)
-        self._drop_idle(waiting.workspace)
+        self._remove_if_idle(waiting.workspace)
 
-    def pop_overdue(self, now_s: float) -> list[Waiting]:
+    def pop_overdue(self, now_s: float) -> list[WaitingRequest]:
         """Take out every request that can no longer be served: past its deadline, or its
         workspace was removed from the table.
         """
@@ -246,7 +246,7 @@
             self.withdraw(item)
         return overdue
 
-    def pop_all(self, service: str) -> list[Waiting]:
+    def pop_all(self, service: str) -> list[WaitingRequest]:
         """Take out everything that waits for a service."""
         queue = self._queues.get(service)
         if queue is None:
@@ -267,11 +267,11 @@
 
     def _refuse(
         self, code: codes.ResultCode, text: str, queue: _Queue, now_s: float
-    ) -> expression.Result[None, Refused]:
+    ) -> expression.Result[None, Refusal]:
         gap_s = self._get_gap_s(queue, now_s) or MIN_RETRY_AFTER_MS / 1000
         wait_ms = int(gap_s * max(1, queue.total) * 1000)
         retry_after_ms = min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms))
-        return expression.Error(Refused(fault.Fault(code, text), retry_after_ms))
+        return expression.Error(Refusal(fault.Fault(code, text), retry_after_ms))
 
     def _may_start(self, row: rows.WorkspaceRow, name: str, now_s: float) -> bool:
         account = self._get_account(name, now_s)
@@ -286,12 +286,14 @@
         account.balance_tokens = min(float(row.max_tokens_per_s), refilled)
         return account.balance_tokens >= 0
 
-    def _get_rank(self, row: rows.WorkspaceRow, name: str, first: Waiting, now_s: float) -> "_Rank":
+    def _get_rank(
+        self, row: rows.WorkspaceRow, name: str, first: WaitingRequest, now_s: float
+    ) -> "_Rank":
         waited_ms = (now_s - first.arrived_s) * 1000
         level = row.priority + int(waited_ms / AGING_MS_PER_PRIORITY)
         return -level, self._accounts[name].consumed, first.arrived_s
 
-    def _get_expected_wait_s(self, queue: _Queue, waiting: Waiting, now_s: float) -> float:
+    def _get_expected_wait_s(self, queue: _Queue, waiting: WaitingRequest, now_s: float) -> float:
         gap_s = self._get_gap_s(queue, now_s)
         if gap_s is None or not queue.total:
             return 0.0
@@ -305,9 +307,9 @@
     def _get_gap_s(queue: _Queue, now_s: float) -> float | None:
         if queue.start_gap_s is None or queue.last_start_s is None:
             return queue.start_gap_s
-        return max(queue.start_gap_s, PAUSE_PART * (now_s - queue.last_start_s))
+        return max(queue.start_gap_s, IDLE_GAP_FRACTION * (now_s - queue.last_start_s))
 
-    def _append(self, queue: _Queue, account: _Account, waiting: Waiting) -> None:
+    def _append(self, queue: _Queue, account: _Account, waiting: WaitingRequest) -> None:
         if account.running == 0 and account.waiting == 0:
             self._level_consumption(account)
         queue.by_workspace.setdefault(waiting.workspace, collections.deque()).append(waiting)
@@ -325,7 +327,7 @@
         if active:
             account.consumed = max(account.consumed, min(active))
 
-    def _remove(self, waiting: Waiting) -> None:
+    def _remove(self, waiting: WaitingRequest) -> None:
         queue = self._queues[waiting.service]
         own = queue.by_workspace[waiting.workspace]
         own.remove(waiting)
@@ -340,7 +342,7 @@
             account = self._accounts[workspace] = _Account(now_s)
         return account
 
-    def _drop_idle(self, workspace: str) -> None:
+    def _remove_if_idle(self, workspace: str) -> None:
         account = self._accounts[workspace]
         gone = workspace not in self._rows
         if gone and not account.running and not account.waiting:
--- a/src/spoolhead/_internal/policy/health.py
+++ b/src/spoolhead/_internal/policy/health.py
@@ -1,11 +1,11 @@
 """Whether an upstream gets new work: ejection after failures, gradual return, slow start."""
 
 FAILURES_BEFORE_EJECTION = 3
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 30.0
+INITIAL_EJECTION_S = 1.0
+MAX_EJECTION_S = 30.0
 SLOW_START_S = 8.0
-FIRST_SHARE = 0.1
-LONGEST_REST_S = 60.0
+INITIAL_CAPACITY_FRACTION = 0.1
+MAX_REST_S = 60.0
 
 
 class Health:
@@ -41,7 +41,7 @@
         if self._failures < FAILURES_BEFORE_EJECTION or self.is_ejected(now_s):
             return
         self._failures = 0
-        duration_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**self._ejections)
+        duration_s = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**self._ejections)
         self._ejections += 1
         self._ejected_until_s = now_s + duration_s
         self._ramp_from_s = self._ejected_until_s
@@ -49,15 +49,15 @@
     def record_rest(self, rest_s: float, now_s: float) -> None:
         """Record that it turned a request away and wants nothing for a time.
 
-        :param rest_s: that time in seconds; :data:`LONGEST_REST_S` counts at most.
+        :param rest_s: that time in seconds; :data:`MAX_REST_S` counts at most.
         """
-        self._rest_until_s = max(self._rest_until_s, now_s + min(rest_s, LONGEST_REST_S))
+        self._rest_until_s = max(self._rest_until_s, now_s + min(rest_s, MAX_REST_S))
 
     def is_ejected(self, now_s: float) -> bool:
         """Whether it gets no new work just now."""
         return now_s < max(self._ejected_until_s, self._rest_until_s)
 
-    def get_share(self, now_s: float) -> float:
+    def get_capacity_fraction(self, now_s: float) -> float:
         """Return the part of its capacity that may be used: rises to 1 after a start or return."""
         age = (now_s - self._ramp_from_s) / SLOW_START_S
-        return min(1.0, max(FIRST_SHARE, age))
+        return min(1.0, max(INITIAL_CAPACITY_FRACTION, age))
--- a/src/spoolhead/_internal/policy/lengths.py
+++ b/src/spoolhead/_internal/policy/lengths.py
@@ -22,14 +22,14 @@
 HALF_LIFE_ANSWERS = 512
 """Answers after which an older one counts half."""
 
-_GROWTH = 1.25
-_LONGEST_TOKENS = 131_072
+_CLASS_GROWTH = 1.25
+_MAX_LENGTH_TOKENS = 131_072
 
 
 def _make_bounds() -> list[int]:
     bounds = [1]
-    while bounds[-1] < _LONGEST_TOKENS:
-        bounds.append(max(bounds[-1] + 1, int(bounds[-1] * _GROWTH)))
+    while bounds[-1] < _MAX_LENGTH_TOKENS:
+        bounds.append(max(bounds[-1] + 1, int(bounds[-1] * _CLASS_GROWTH)))
     return bounds
 
 
@@ -58,15 +58,19 @@
         self.counts[index] += 1
         self._stale = True
 
-    def get_share(self, index: int) -> float:
+    def get_probability(self, index: int) -> float:
         """Probability of a class, leaning on the parent."""
-        parent_share = self._parent.get_share(index) if self._parent else _DEFAULT_SHARES[index]
-        return (self.counts[index] + PRIOR_ANSWERS * parent_share) / (self.answers + PRIOR_ANSWERS)
+        parent_probability = (
+            self._parent.get_probability(index) if self._parent else _DEFAULT_PROBABILITIES[index]
+        )
+        return (self.counts[index] + PRIOR_ANSWERS * parent_probability) / (
+            self.answers + PRIOR_ANSWERS
+        )
 
     def get_tail(self, length: float) -> float:
         """Probability that an answer gets longer than a length."""
         if self._stale:
-            self._tails = _get_tails([self.get_share(index) for index in range(len(_BOUNDS))])
+            self._tails = _get_tails([self.get_probability(index) for index in range(len(_BOUNDS))])
             self._stale = False
         index = _get_class(max(1, int(length)))
         if index + 1 >= len(_BOUNDS):
@@ -76,8 +80,10 @@
         return self._tails[index] * (1 - part) + self._tails[index + 1] * part
 
     def get_mean(self) -> float:
-        shares = [self.get_share(index) for index in range(len(_BOUNDS))]
-        return sum(share * _get_middle(index) for index, share in enumerate(shares))
+        probabilities = [self.get_probability(index) for index in range(len(_BOUNDS))]
+        return sum(
+            probability * _get_middle(index) for index, probability in enumerate(probabilities)
+        )
 
 
 class LengthModel:
@@ -121,8 +127,8 @@
             if length >= limit_tokens and ahead:
                 profile.append(0.0)
                 continue
-            stays = known.get_tail(length) / alive if alive > 0 else 0.0
-            profile.append(stays * (held + ahead))
+            survival = known.get_tail(length) / alive if alive > 0 else 0.0
+            profile.append(survival * (held + ahead))
         return profile
 
     def get_mean_tokens(self, service: str) -> float:
@@ -146,28 +152,28 @@
 
 
 def _get_middle(index: int) -> float:
-    upper = _BOUNDS[index + 1] if index + 1 < len(_BOUNDS) else _BOUNDS[index] * _GROWTH
+    upper = _BOUNDS[index + 1] if index + 1 < len(_BOUNDS) else _BOUNDS[index] * _CLASS_GROWTH
     return (_BOUNDS[index] + upper - 1) / 2
 
 
-def _get_tails(shares: list[float]) -> list[float]:
+def _get_tails(probabilities: list[float]) -> list[float]:
     """For each class the probability of a length in it or above."""
-    tails = [0.0] * len(shares)
+    tails = [0.0] * len(probabilities)
     mass = 0.0
-    for index in range(len(shares) - 1, -1, -1):
-        mass += shares[index]
+    for index in range(len(probabilities) - 1, -1, -1):
+        mass += probabilities[index]
         tails[index] = mass
     return tails
 
 
-def _make_default_shares() -> list[float]:
+def _make_default_probabilities() -> list[float]:
     """Geometric lengths: with nothing known, the rest does not depend on the past."""
-    shares = []
+    probabilities = []
     for index, bound in enumerate(_BOUNDS):
         upper = _BOUNDS[index + 1] if index + 1 < len(_BOUNDS) else bound * 2
         stay = 1 - 1 / DEFAULT_LENGTH_TOKENS
-        shares.append(stay ** (bound - 1) - stay ** (upper - 1))
-    return shares
+        probabilities.append(stay ** (bound - 1) - stay ** (upper - 1))
+    return probabilities
 
 
-_DEFAULT_SHARES = _make_default_shares()
+_DEFAULT_PROBABILITIES = _make_default_probabilities()
--- a/src/spoolhead/_internal/policy/operating_point.py
+++ b/src/spoolhead/_internal/policy/operating_point.py
@@ -6,12 +6,12 @@
 wrong by a factor that differs between engines and workloads, and the limit absorbs it.
 """
 
-FIRST_LIMIT = 0.75
-LOWEST_LIMIT = 0.3
-HIGHEST_LIMIT = 1.5
-FALL_FACTOR = 0.85
-RISE_PER_S = 0.005
-HOLD_AFTER_FALL_S = 1.0
+INITIAL_LIMIT = 0.75
+MIN_LIMIT = 0.3
+MAX_LIMIT = 1.5
+DECREASE_FACTOR = 0.85
+INCREASE_PER_S = 0.005
+DECREASE_INTERVAL_S = 1.0
 
 
 class OperatingPoint:
@@ -20,19 +20,19 @@
     :ivar limit: largest foreseen size of all work, as a multiple of the engine's memory.
     """
 
-    __slots__ = ("_fell_s", "_last_s", "_preemptions", "limit")
+    __slots__ = ("_decreased_s", "_last_s", "_preemptions", "limit")
 
     def __init__(self) -> None:
-        self.limit = FIRST_LIMIT
+        self.limit = INITIAL_LIMIT
         self._preemptions: int | None = None
         self._last_s: float | None = None
-        self._fell_s = 0.0
+        self._decreased_s = 0.0
 
-    def handle_report(self, *, preemptions: int, was_binding: bool, now_s: float) -> None:
+    def handle_report(self, *, preemptions: int, was_limiting: bool, now_s: float) -> None:
         """Learn from a load report.
 
         :param preemptions: the engine's count since its start.
-        :param was_binding: the limit held work back since the last report.
+        :param was_limiting: the limit held work back since the last report.
         :param now_s: monotonic time in seconds.
         """
         known, self._preemptions = self._preemptions, preemptions
@@ -40,14 +40,14 @@
         if known is None or last_s is None or preemptions < known:
             return
         if preemptions > known:
-            self._fall(now_s)
-        elif was_binding:
-            rise = RISE_PER_S * min(1.0, now_s - last_s)
-            self.limit = min(HIGHEST_LIMIT, self.limit + rise)
+            self._decrease(now_s)
+        elif was_limiting:
+            rise = INCREASE_PER_S * min(1.0, now_s - last_s)
+            self.limit = min(MAX_LIMIT, self.limit + rise)
 
-    def _fall(self, now_s: float) -> None:
+    def _decrease(self, now_s: float) -> None:
         # One overload shows in several reports; a fall for each would empty the engine.
-        if now_s - self._fell_s < HOLD_AFTER_FALL_S:
+        if now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
-        self._fell_s = now_s
-        self.limit = max(LOWEST_LIMIT, self.limit * FALL_FACTOR)
+        self._decreased_s = now_s
+        self.limit = max(MIN_LIMIT, self.limit * DECREASE_FACTOR)
--- a/src/spoolhead/_internal/policy/pace.py
+++ b/src/spoolhead/_internal/policy/pace.py
@@ -1,8 +1,8 @@
 """When a silent stream counts as stalled, judged by its own pace."""
 
-SHORTEST_STALL_S = 0.75
-GAPS_BEFORE_STALL = 12.0
-PACE_MEMORY = 0.9
+MIN_STALL_S = 0.75
+STALL_GAPS = 12.0
+PACE_SMOOTHING = 0.9
 """Weight of the past in the pace."""
 
 REPORTED_STALL_S = 0.5
@@ -16,13 +16,13 @@
     :ivar stalled_s: time that counts as stalled so far.
     """
 
-    __slots__ = ("_gap_s", "_patience", "last_s", "stalled_s")
+    __slots__ = ("_gap_s", "_timeout_factor", "last_s", "stalled_s")
 
     def __init__(self, now_s: float) -> None:
         self.last_s = now_s
         self.stalled_s = 0.0
         self._gap_s: float | None = None
-        self._patience = 1.0
+        self._timeout_factor = 1.0
 
     def record_tokens(self, count: int, now_s: float) -> float:
         """Note tokens that arrived together.
@@ -34,17 +34,17 @@
         self.stalled_s += max(0.0, gap_s - REPORTED_STALL_S)
         per_token_s = gap_s / count
         known_s = self._gap_s if self._gap_s is not None else per_token_s
-        self._gap_s = PACE_MEMORY * known_s + (1 - PACE_MEMORY) * per_token_s
+        self._gap_s = PACE_SMOOTHING * known_s + (1 - PACE_SMOOTHING) * per_token_s
         return gap_s
 
     def record_resume(self, now_s: float) -> None:
         """Note a new connection, which gets twice the time before it counts as stalled."""
-        self._patience *= 2
+        self._timeout_factor *= 2
         self.stalled_s += max(0.0, now_s - self.last_s - REPORTED_STALL_S)
         self.last_s = now_s
 
     def is_stalled(self, now_s: float) -> bool:
         """Whether the stream has been silent for much longer than its pace explains."""
         gap_s = self._gap_s if self._gap_s is not None else 0.0
-        limit_s = max(SHORTEST_STALL_S, GAPS_BEFORE_STALL * gap_s) * self._patience
+        limit_s = max(MIN_STALL_S, STALL_GAPS * gap_s) * self._timeout_factor
         return now_s - self.last_s > limit_s
--- a/src/spoolhead/_internal/policy/placement.py
+++ b/src/spoolhead/_internal/policy/placement.py
@@ -14,17 +14,17 @@
 SAMPLE_SIZE = 8
 """Upstreams of one hall looked at for one request; the cost does not grow with the fleet."""
 
-QUEUE_PART = 1 / 8
+QUEUE_FRACTION = 1 / 8
 """Part of an engine's running requests that may wait inside it for its next step."""
 
 MIN_QUEUE = 2
 """Requests that may wait inside an engine however few run."""
 
-SENT_PART = 1 / 2
+SENT_FRACTION = 1 / 2
 """Part of what was sent during the last report that may wait inside the engine."""
 
 
-class Need:
+class Demand:
     """What a request needs.
 
     :ivar workspace: who asks.
@@ -99,42 +99,42 @@
     """Chooses upstreams for one entry.
 
     :param hall: hall of the entry; its upstreams come first.
-    :param model: learned lengths.
-    :param source: random numbers.
+    :param length_model: learned lengths.
+    :param rng: random numbers.
     :ivar entry_count: entries that share the upstreams, this one included.
     """
 
-    def __init__(self, hall: str, model: lengths.LengthModel, source: random.Random) -> None:
+    def __init__(self, hall: str, length_model: lengths.LengthModel, rng: random.Random) -> None:
         self._hall = hall
-        self._model = model
-        self._random = source
+        self._length_model = length_model
+        self._rng = rng
         self.entry_count = 1
 
     def choose(
         self,
-        need: Need,
+        demand: Demand,
         service: rows.ServiceRow,
         pool: "Pool",
         now_s: float,
     ) -> Choice:
         """Choose an upstream for a request.
 
-        :param need: the request.
+        :param demand: the request.
         :param service: row of its service.
         :param pool: upstreams of the service.
         :param now_s: monotonic time in seconds.
         """
-        planned = self._model.get_profile(
-            need.workspace,
-            need.service,
-            prompt_tokens=need.prompt_tokens,
+        planned = self._length_model.get_profile(
+            demand.workspace,
+            demand.service,
+            prompt_tokens=demand.prompt_tokens,
             generated_tokens=0,
-            limit_tokens=need.limit_tokens,
+            limit_tokens=demand.limit_tokens,
         )
         candidates: list[Candidate] = []
         for hall in pool.get_halls(first=self._hall):
             sample = self._sample(pool.get_hall(hall))
-            best = self._choose_in_hall(need, service, sample, planned, candidates, now_s)
+            best = self._choose_in_hall(demand, service, sample, planned, candidates, now_s)
             if best is not None:
                 return Choice(best, max(planned), candidates)
         return Choice(None, max(planned), candidates)
@@ -142,11 +142,11 @@
     def _sample(self, hall_replicas: Sequence[replicas.Replica]) -> Sequence[replicas.Replica]:
         if len(hall_replicas) <= SAMPLE_SIZE:
             return hall_replicas
-        return self._random.sample(hall_replicas, SAMPLE_SIZE)
+        return self._rng.sample(hall_replicas, SAMPLE_SIZE)
 
     def _choose_in_hall(
         self,
-        need: Need,
+        demand: Demand,
         service: rows.ServiceRow,
         sample: Sequence[replicas.Replica],
         planned: lengths.Profile,
@@ -157,11 +157,11 @@
         best_candidate: Candidate | None = None
         best_key = (0.0, 0.0)
         for replica in sample:
-            candidate = self._judge(need, service, replica, planned, now_s)
+            candidate = self._evaluate(demand, service, replica, planned, now_s)
             candidates.append(candidate)
             if candidate.lost_because:
                 continue
-            key = (round(candidate.fill, 2), self._random.random())
+            key = (round(candidate.fill, 2), self._rng.random())
             if best_candidate is None or key < best_key:
                 if best_candidate is not None:
                     best_candidate.lost_because = "fuller"
@@ -170,9 +170,9 @@
                 candidate.lost_because = "fuller"
         return best
 
-    def _judge(
+    def _evaluate(
         self,
-        need: Need,
+        demand: Demand,
         service: rows.ServiceRow,
         replica: replicas.Replica,
         planned: lengths.Profile,
@@ -180,44 +180,48 @@
     ) -> Candidate:
         """Tell how full a replica would be, and what speaks against it, if anything."""
         own = len(replica.running)
-        if replica.name in need.excluded:
+        if replica.name in demand.excluded:
             return Candidate(replica.name, 0.0, "failed for this request")
         if replica.health.is_ejected(now_s):
             return Candidate(replica.name, 0.0, "ejected")
-        share = replica.health.get_share(now_s)
-        if own >= max(1, int(service.max_running_per_upstream * share)):
+        capacity_fraction = replica.health.get_capacity_fraction(now_s)
+        if own >= max(1, int(service.max_running_per_upstream * capacity_fraction)):
             return Candidate(replica.name, 1.0, "as many running as the service's row allows")
         if service.kind is rows.ServiceKind.PLAIN:
             reported = replica.report.running if replica.report else 0
             fill = max(own, reported) / service.max_running_per_upstream
             return Candidate(replica.name, fill, "")
-        return self._judge_engine(replica, planned, share, now_s)
+        return self._evaluate_engine(replica, planned, capacity_fraction, now_s)
 
-    def _judge_engine(
-        self, replica: replicas.Replica, planned: lengths.Profile, share: float, now_s: float
+    def _evaluate_engine(
+        self,
+        replica: replicas.Replica,
+        planned: lengths.Profile,
+        capacity_fraction: float,
+        now_s: float,
     ) -> Candidate:
         report = replica.report
         if report is None or not replica.has_fresh_report(now_s):
             # Nothing is known of its memory: one request at a time tells whether it serves.
             return Candidate(replica.name, 1.0, "no fresh report" if replica.running else "")
-        capacity = report.kv_capacity_tokens * replica.operating_point.limit * share
+        capacity = report.kv_capacity_tokens * replica.operating_point.limit * capacity_fraction
         if capacity <= 0:
             return Candidate(replica.name, float(len(replica.running)), "")
-        held = replica.get_profile(self._model, now_s)
+        held = replica.get_profile(self._length_model, now_s)
         peak = max(known + more for known, more in zip(held, planned, strict=True))
         fill = peak / capacity
         if not report.running and not replica.running:
             # An idle engine takes any request, even one that plans more than its memory.
             return Candidate(replica.name, fill, "")
         if report.waiting > self._get_allowed_queue(replica, report):
-            replica.held_back = True
+            replica.was_limited = True
             return Candidate(replica.name, fill, "requests wait inside it")
         if fill > 1:
-            replica.held_back = True
+            replica.was_limited = True
             return Candidate(replica.name, fill, "its memory would fill")
         room = capacity - (max(held) - replica.sent_tokens)
-        own_part = room / self.entry_count
-        if replica.sent_since_report and replica.sent_tokens + max(planned) > own_part:
+        own_room = room / self.entry_count
+        if replica.sent_since_report and replica.sent_tokens + max(planned) > own_room:
             reason = "this entry's part of its room is used until the next report"
             return Candidate(replica.name, fill, reason)
         return Candidate(replica.name, fill, "")
@@ -228,8 +232,8 @@
         # A request waits for the engine's next step in any case, so short answers in quick
         # succession always show some waiting. More than that means that the engine is full,
         # whatever its memory says.
-        sent = replica.sent_before_report * self.entry_count * SENT_PART
-        return max(MIN_QUEUE, report.running * QUEUE_PART, sent)
+        sent = replica.sent_before_report * self.entry_count * SENT_FRACTION
+        return max(MIN_QUEUE, report.running * QUEUE_FRACTION, sent)
 
 
 class Pool:
--- a/src/spoolhead/_internal/policy/replicas.py
+++ b/src/spoolhead/_internal/policy/replicas.py
@@ -9,10 +9,10 @@
 REPORT_STALE_S = 5.0
 NEVER_S = float("-inf")
 
-OTHERS = ""
+OTHER_ENTRIES = ""
 """Workspace under which what other entries send is foreseen: it has no answers of its own."""
 
-OTHERS_LIMIT_TOKENS = 1_000_000
+OTHER_ENTRIES_LIMIT_TOKENS = 1_000_000
 
 
 class RunningRequest:
@@ -45,14 +45,14 @@
     :ivar sent_tokens: planned size of what was sent since the last report.
     :ivar sent_since_report: requests sent since the last report.
     :ivar sent_before_report: requests sent between the last two reports.
-    :ivar held_back: the planning limit kept work from it since the last report.
+    :ivar was_limited: the planning limit kept work from it since the last report.
     """
 
     __slots__ = (
         "_profile",
         "_profile_at_s",
         "health",
-        "held_back",
+        "was_limited",
         "is_evacuated",
         "name",
         "operating_point",
@@ -76,7 +76,7 @@
         self.sent_tokens = 0.0
         self.sent_before_report = 0
         self.sent_since_report = 0
-        self.held_back = False
+        self.was_limited = False
         self.is_evacuated = False
         self.own_at_report_tokens = 0
         self.own_running_at_report = 0
@@ -91,13 +91,13 @@
     @property
     def own_tokens(self) -> int:
         """Tokens that this entry's work holds there."""
-        return sum(work.prompt_tokens + work.generated_tokens for work in self.running)
+        return sum(request.prompt_tokens + request.generated_tokens for request in self.running)
 
     def handle_report(self, report: load_report.LoadReport) -> None:
         """Take a load report."""
         self.operating_point.handle_report(
             preemptions=report.preemptions,
-            was_binding=self.held_back,
+            was_limiting=self.was_limited,
             now_s=report.received_s,
         )
         self.report = report
@@ -105,7 +105,7 @@
         self.sent_tokens = 0.0
         self.sent_before_report = self.sent_since_report
         self.sent_since_report = 0
-        self.held_back = False
+        self.was_limited = False
         self.own_at_report_tokens = self.own_tokens
         self.own_running_at_report = len(self.running)
 
@@ -113,16 +113,16 @@
         """Whether its load report can be planned with."""
         return self.report is not None and now_s - self.report.received_s < REPORT_STALE_S
 
-    def start(self, work: RunningRequest, planned_tokens: float) -> None:
+    def start(self, request: RunningRequest, planned_tokens: float) -> None:
         """Note that work was sent there."""
-        self.running.add(work)
+        self.running.add(request)
         self.sent_tokens += planned_tokens
         self.sent_since_report += 1
         self._profile_at_s = NEVER_S
 
-    def finish(self, work: RunningRequest) -> None:
+    def finish(self, request: RunningRequest) -> None:
         """Note that work has ended there."""
-        self.running.discard(work)
+        self.running.discard(request)
         self._profile_at_s = NEVER_S
 
     def get_profile(self, model: lengths.LengthModel, now_s: float) -> lengths.Profile:
@@ -135,20 +135,20 @@
             return self._profile
         self._profile_at_s = now_s
         total = [0.0] * len(lengths.HORIZONS_TOKENS)
-        for work in self.running:
+        for request in self.running:
             profile = model.get_profile(
-                work.workspace,
+                request.workspace,
                 self.row.service,
-                prompt_tokens=work.prompt_tokens,
-                generated_tokens=work.generated_tokens,
-                limit_tokens=work.limit_tokens,
+                prompt_tokens=request.prompt_tokens,
+                generated_tokens=request.generated_tokens,
+                limit_tokens=request.limit_tokens,
             )
             total = [known + more for known, more in zip(total, profile, strict=True)]
-        others = self._get_others_profile(model)
+        others = self._get_other_entries_profile(model)
         self._profile = [own + more for own, more in zip(total, others, strict=True)]
         return self._profile
 
-    def _get_others_profile(self, model: lengths.LengthModel) -> lengths.Profile:
+    def _get_other_entries_profile(self, model: lengths.LengthModel) -> lengths.Profile:
         report = self.report
         count = report.running - self.own_running_at_report if report is not None else 0
         if report is None or count <= 0:
@@ -157,10 +157,10 @@
         # Seen at any moment, an answer is half done on average.
         generated = min(held / count, model.get_mean_tokens(self.row.service) / 2)
         profile = model.get_profile(
-            OTHERS,
+            OTHER_ENTRIES,
             self.row.service,
             prompt_tokens=held / count - generated,
             generated_tokens=int(generated),
-            limit_tokens=OTHERS_LIMIT_TOKENS,
+            limit_tokens=OTHER_ENTRIES_LIMIT_TOKENS,
         )
         return [count * value for value in profile]
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -5,7 +5,7 @@
 from spoolhead._internal.models import codes
 
 BUDGET_PER_REQUEST = 0.1
-LARGEST_BUDGET = 20.0
+MAX_BUDGET = 20.0
 
 
 class NextStep(enum.Enum):
@@ -60,11 +60,11 @@
     __slots__ = ("tokens",)
 
     def __init__(self) -> None:
-        self.tokens = LARGEST_BUDGET / 2
+        self.tokens = MAX_BUDGET / 2
 
     def record_request(self) -> None:
         """Earn a part of a retry with a new request."""
-        self.tokens = min(LARGEST_BUDGET, self.tokens + BUDGET_PER_REQUEST)
+        self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
     def try_acquire(self) -> bool:
         """Spend one retry; False if there is none left."""
--- a/src/spoolhead/_internal/table/checking.py
+++ b/src/spoolhead/_internal/table/checking.py
@@ -11,7 +11,7 @@
 
     def __init__(self) -> None:
         self._parsed: dict[versioned_table.RowKey, _ParsedRow] = {}
-        self._right: dict[versioned_table.RowKey, object] = {}
+        self._accepted_values: dict[versioned_table.RowKey, object] = {}
 
     def __call__(self, values: versioned_table.RowValues) -> Sequence[fault.Fault]:
         """Return every fault of a table; none means that it may be accepted."""
@@ -29,12 +29,12 @@
             return faults
         faults = rows.check_references(parsed, self._get_changed(values))
         if not faults:
-            self._right = dict(values)
+            self._accepted_values = dict(values)
         return faults
 
     def _get_changed(self, values: versioned_table.RowValues) -> list[tuple[rows.Sheet, str]]:
         """Return the rows whose references are to be looked at."""
-        right = self._right
+        right = self._accepted_values
         changed = [key for key, value in values.items() if right.get(key) is not value]
         gone = [key for key in right if key not in values]
         if any(key.sheet == rows.Sheet.SERVICES for key in (*changed, *gone)):
--- a/src/spoolhead/_internal/table/view.py
+++ b/src/spoolhead/_internal/table/view.py
@@ -56,7 +56,7 @@
         sheet = rows.Sheet(key.sheet)
         old = self._sheets[sheet].pop(key.name, None)
         if isinstance(old, rows.WorkspaceRow):
-            self._forget_keys(key.name, old)
+            self._remove_keys(key.name, old)
         if value is None:
             return
         parsed = rows.parse_row(sheet, key.name, value)
@@ -89,7 +89,7 @@
         matches = [hmac.compare_digest(digest, known) for known in row.key_sha256]
         return owner if any(matches) else None
 
-    def _forget_keys(self, name: str, row: rows.WorkspaceRow) -> None:
+    def _remove_keys(self, name: str, row: rows.WorkspaceRow) -> None:
         for digest in row.key_sha256:
             if self._owners.get(digest) == name:
                 del self._owners[digest]
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -116,11 +116,11 @@
         self.results = []
         self.charged = 0
 
-    def choose_again(self, running, excluded):
+    def choose_upstream(self, running, excluded):
         left = [item for item in self.replicas if item.name not in excluded]
         return placement.Choice(left[0] if left else None, 10.0, ())
 
-    def wait_again(self, running, code):
+    def requeue(self, running, code):
         running.start(placement.Choice(self.replicas[0], 10.0, ()))
         return True
 
@@ -130,7 +130,7 @@
     def charge(self, running, tokens):
         self.charged += tokens
 
-    def end(self, running, result):
+    def handle_flow_end(self, running, result):
         self.results.append(result)
 
 
@@ -147,7 +147,7 @@
     def is_suspect(self, content_id):
         return content_id in self.suspects
 
-    def get_life_id(self, upstream):
+    def get_incarnation_id(self, upstream):
         return f"{upstream}@entry.0"
 
     def record_lost(self, replica, incarnation_id, content_id, sent_s):
@@ -196,11 +196,11 @@
         self.caller = FakeCaller()
         self.host = FakeHost()
         self.contents = FakeContents()
-        context = flow_context.Context(
+        context = flow_context.FlowContext(
             calls=self.calls,
             host=self.host,
             contents=self.contents,
-            gathered=metrics.Metrics(),
+            collector=metrics.Metrics(),
             clock=lambda: self.now_s,
             shared_key=SHARED_KEY,
             attempts=attempts,
--- a/tests/unit/test_flow.py
+++ b/tests/unit/test_flow.py
@@ -119,7 +119,7 @@
     @stateful.rule(passed_s=strategies.sampled_from([0.2, 0.2, 2.0, 2.0, 40.0]))
     def pass_time(self, passed_s):
         self.setting.now_s += passed_s
-        self.setting.flow.tick()
+        self.setting.flow.check_timeouts()
 
     @stateful.rule(really=strategies.sampled_from([False, False, False, True]))
     def leave(self, really):
@@ -214,7 +214,7 @@
     @stateful.rule(passed_s=strategies.sampled_from([1.0, 35.0, 200.0]))
     def pass_time(self, passed_s):
         self.setting.now_s += passed_s
-        self.setting.flow.tick()
+        self.setting.flow.check_timeouts()
 
     @stateful.invariant()
     def at_most_one_attempt_arrives(self):
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -26,13 +26,13 @@
             self.calls,
             gateway_setting.FakeTimers(),
             probe_path="/load",
-            tell=lambda records: None,
+            send_records=lambda records: None,
             on_held=lambda content_id: None,
             folder=folder,
         )
 
     def abandon(self):
-        incarnation_id = self.contents.get_life_id("u1")
+        incarnation_id = self.contents.get_incarnation_id("u1")
         self.contents.record_abandoned(self.replica, incarnation_id, CONTENT, 0.0)
 
 
@@ -100,7 +100,7 @@
             self.calls,
             self.timers,
             probe_path="/load",
-            tell=lambda records: None,
+            send_records=lambda records: None,
             on_held=lambda content_id: self.dispatcher.reject_held(content_id),
             folder=None,
         )
@@ -118,15 +118,15 @@
         table.workspaces["w"] = rows.WorkspaceRow(key_sha256=[], services=["m"])
         table.services["m"] = rows.ServiceRow(kind=rows.ServiceKind.PLAIN)
         table.upstreams["u1"] = rows.UpstreamRow(address="10.0.0.1:80", hall="h", service="m")
-        gathered = metrics.Metrics()
+        collector = metrics.Metrics()
         self.dispatcher = dispatcher.Dispatcher(
             loops.Loop(lambda: None),
             config,
             table,
             self.calls,
-            gathered,
+            collector,
             policy_set.PolicySet(),
-            decision_history.DecisionHistory(config, gathered, clocks.get_s),
+            decision_history.DecisionHistory(config, collector, clocks.get_s),
             self.contents,
         )
         self.dispatcher.update_upstreams()
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -24,7 +24,7 @@
 
 
 def _make_waiting(number, workspace="a", *, now_s=0.0, deadline_s=1e9, service="m"):
-    return admission.Waiting(
+    return admission.WaitingRequest(
         request_id=str(number),
         workspace=workspace,
         service=service,
@@ -266,42 +266,45 @@
 
 def test_planning_limit_falls_on_preemption_and_rises_only_when_it_binds():
     point = operating_point.OperatingPoint()
-    point.handle_report(preemptions=0, was_binding=False, now_s=0.0)
-    point.handle_report(preemptions=0, was_binding=False, now_s=5.0)
-    assert point.limit == operating_point.FIRST_LIMIT
-    point.handle_report(preemptions=3, was_binding=True, now_s=6.0)
+    point.handle_report(preemptions=0, was_limiting=False, now_s=0.0)
+    point.handle_report(preemptions=0, was_limiting=False, now_s=5.0)
+    assert point.limit == operating_point.INITIAL_LIMIT
+    point.handle_report(preemptions=3, was_limiting=True, now_s=6.0)
     fallen = point.limit
-    assert fallen < operating_point.FIRST_LIMIT
-    point.handle_report(preemptions=4, was_binding=True, now_s=6.2)
+    assert fallen < operating_point.INITIAL_LIMIT
+    point.handle_report(preemptions=4, was_limiting=True, now_s=6.2)
     assert point.limit == fallen, "one overload counts once"
     for step in range(400):
-        point.handle_report(preemptions=4, was_binding=True, now_s=7.0 + step)
-    assert point.limit == operating_point.HIGHEST_LIMIT
-    point.handle_report(preemptions=0, was_binding=False, now_s=500.0)
-    assert point.limit == operating_point.HIGHEST_LIMIT, "a restarted engine counts anew"
+        point.handle_report(preemptions=4, was_limiting=True, now_s=7.0 + step)
+    assert point.limit == operating_point.MAX_LIMIT
+    point.handle_report(preemptions=0, was_limiting=False, now_s=500.0)
+    assert point.limit == operating_point.MAX_LIMIT, "a restarted engine counts anew"
 
 
 def test_ejection_grows_and_return_is_gradual():
     state = health.Health(0.0, is_new=False)
-    assert state.get_share(0.0) == 1.0
+    assert state.get_capacity_fraction(0.0) == 1.0
     for _ in range(health.FAILURES_BEFORE_EJECTION):
         state.record_failure(1.0)
     assert state.is_ejected(1.5)
     assert not state.is_ejected(2.5)
-    assert state.get_share(2.5) == health.FIRST_SHARE
-    assert health.FIRST_SHARE < state.get_share(6.0) < 1.0
+    assert state.get_capacity_fraction(2.5) == health.INITIAL_CAPACITY_FRACTION
+    assert health.INITIAL_CAPACITY_FRACTION < state.get_capacity_fraction(6.0) < 1.0
     for _ in range(health.FAILURES_BEFORE_EJECTION):
         state.record_failure(3.0)
     assert state.is_ejected(4.5), "the second ejection is longer"
 
 
 def test_a_new_upstream_starts_slowly():
-    assert health.Health(10.0, is_new=True).get_share(10.0) == health.FIRST_SHARE
+    assert (
+        health.Health(10.0, is_new=True).get_capacity_fraction(10.0)
+        == health.INITIAL_CAPACITY_FRACTION
+    )
 
 
-def _make_need(**values):
+def _make_demand(**values):
     known = {"workspace": "a", "service": "m", "prompt_tokens": 100, "limit_tokens": 1_000}
-    return placement.Need(**{**known, **values})
+    return placement.Demand(**{**known, **values})
 
 
 SERVICE = rows.ServiceRow(kind=rows.ServiceKind.MODEL)
@@ -324,7 +327,7 @@
     idle = _make_replica("idle")
     queued = _make_replica("queued", report=_make_report(running=1, waiting=3))
     choice = _make_placement().choose(
-        _make_need(), SERVICE, _make_pool(full, busy, idle, queued), 0.1
+        _make_demand(), SERVICE, _make_pool(full, busy, idle, queued), 0.1
     )
     assert choice.replica is idle
     reasons = {item.name: item.lost_because for item in choice.candidates}
@@ -334,30 +337,30 @@
         "idle": "",
         "queued": "requests wait inside it",
     }
-    assert full.held_back
+    assert full.was_limited
 
 
 def test_work_waits_rather_than_fill_an_engine():
     full = _make_replica("full", report=_make_report(kv_used_tokens=9_500, running=5))
-    assert _make_placement().choose(_make_need(), SERVICE, _make_pool(full), 0.1).replica is None
+    assert _make_placement().choose(_make_demand(), SERVICE, _make_pool(full), 0.1).replica is None
 
 
 def test_own_hall_first_and_another_when_it_is_full_or_gone():
     near = _make_replica("near")
     far = _make_replica("far", hall="other")
     chooser = _make_placement()
-    assert chooser.choose(_make_need(), SERVICE, _make_pool(near, far), 0.1).replica is near
+    assert chooser.choose(_make_demand(), SERVICE, _make_pool(near, far), 0.1).replica is near
     near.handle_report(_make_report(kv_used_tokens=9_990, running=3))
-    assert chooser.choose(_make_need(), SERVICE, _make_pool(near, far), 0.1).replica is far
-    assert chooser.choose(_make_need(), SERVICE, _make_pool(far), 0.1).replica is far
+    assert chooser.choose(_make_demand(), SERVICE, _make_pool(near, far), 0.1).replica is far
+    assert chooser.choose(_make_demand(), SERVICE, _make_pool(far), 0.1).replica is far
 
 
 def test_failed_and_ejected_upstreams_are_passed_over():
     first, second = _make_replica("first"), _make_replica("second")
     for _ in range(health.FAILURES_BEFORE_EJECTION):
         second.health.record_failure(0.05)
-    need = _make_need(excluded=frozenset({"first"}))
-    choice = _make_placement().choose(need, SERVICE, _make_pool(first, second), 0.1)
+    demand = _make_demand(excluded=frozenset({"first"}))
+    choice = _make_placement().choose(demand, SERVICE, _make_pool(first, second), 0.1)
     assert choice.replica is None
     assert {item.lost_because for item in choice.candidates} == {
         "failed for this request",
@@ -372,7 +375,7 @@
         replica = _make_replica("engine", report=_make_report(running=1, kv_used_tokens=100))
         chooser = _make_placement(entry)
         chooser.entry_count = 8
-        while (choice := chooser.choose(_make_need(), SERVICE, _make_pool(replica), 0.1)).replica:
+        while (choice := chooser.choose(_make_demand(), SERVICE, _make_pool(replica), 0.1)).replica:
             work = replicas.RunningRequest("a", 100, 1_000)
             replica.start(work, choice.planned_tokens)
             sent += choice.planned_tokens
@@ -381,7 +384,7 @@
 
 def test_cost_does_not_grow_with_the_fleet():
     pool = _make_pool(*(_make_replica(f"r{n}", hall=f"h{n % 15}") for n in range(1_600)))
-    choice = _make_placement().choose(_make_need(), SERVICE, pool, 0.1)
+    choice = _make_placement().choose(_make_demand(), SERVICE, pool, 0.1)
     assert choice.replica is not None
     assert len(choice.candidates) <= placement.SAMPLE_SIZE
 
@@ -431,7 +434,7 @@
     spent = 0
     while budget.try_acquire():
         spent += 1
-    assert spent <= retry.LARGEST_BUDGET
+    assert spent <= retry.MAX_BUDGET
     assert retry.decide(retry.FailedAttempt(**FAILED), budget) is retry.NextStep.GIVE_UP
 
 
