--- a/src/spoolhead/_internal/entry/__init__.py
+++ b/src/spoolhead/_internal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program: callers on one side, upstreams on the other."""
+"""The entry program: accepts callers' requests and runs them on upstreams."""
--- a/src/spoolhead/_internal/entry/answers.py
+++ b/src/spoolhead/_internal/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers that the entry itself gives: errors in the published API's shape, and JSON."""
+"""Answers that the entry produces itself: errors in the OpenAI API's format, and plain JSON."""
 
 import json
 import math
@@ -13,14 +13,17 @@
 _TYPES = {1: "invalid_request_error", 2: "overloaded_error", 3: "upstream_error"}
 
 
-def make_error_body(item: fault.Fault, ran: codes.Ran, request_id: str) -> bytes:
-    """Return an error in the shape of the OpenAI API, with our fields beside it."""
+def make_error_body(cause: fault.Fault, ran: codes.Ran, request_id: str) -> bytes:
+    """Return the JSON body of an error in the OpenAI API's format.
+
+    The fields ``result_code``, ``ran`` and ``request_id`` are added to it.
+    """
     error = {
-        "message": item.text,
-        "type": _TYPES.get(int(item.code) // 1000, "server_error"),
-        "param": item.path or None,
-        "code": item.code.name.lower(),
-        "result_code": int(item.code),
+        "message": cause.text,
+        "type": _TYPES.get(int(cause.code) // 1000, "server_error"),
+        "param": cause.path or None,
+        "code": cause.code.name.lower(),
+        "result_code": int(cause.code),
         "ran": ran.value,
         "request_id": request_id,
     }
@@ -29,33 +32,35 @@
 
 def send_error(
     caller: caller_front.Caller,
-    item: fault.Fault,
+    cause: fault.Fault,
     *,
     ran: codes.Ran,
     request_id: str,
     retry_after_ms: int | None = None,
 ) -> None:
-    """Answer a request with an error, or end a stream that has begun with one.
+    """Answer a request with an error, or end an already started stream with one.
 
-    :param caller: who gets it.
+    :param caller: connection that receives the error.
+    :param cause: the error.
     :param ran: whether the request ran.
-    :param retry_after_ms: when to come back, where that makes sense.
+    :param retry_after_ms: value of ``Retry-After`` in milliseconds, rounded up to whole seconds;
+        None omits the header.
     """
-    body = make_error_body(item, ran, request_id)
+    body = make_error_body(cause, ran, request_id)
     if caller.is_started:
-        # The stream ends without its done mark, so no client can take it for complete.
+        # The stream ends without [DONE], so no client can mistake it for complete.
         caller.send_part(b"data: " + body + b"\n\n")
         caller.end_stream()
         return
     headers = [
         ("Content-Type", "application/json"),
-        (CODE_HEADER, str(int(item.code))),
+        (CODE_HEADER, str(int(cause.code))),
         (RAN_HEADER, ran.value),
         (REQUEST_ID_HEADER, request_id),
     ]
     if retry_after_ms is not None:
         headers.append(("Retry-After", str(math.ceil(retry_after_ms / 1000))))
-    caller.send_whole(codes.get_status(item.code), headers, body)
+    caller.send_whole(codes.get_status(cause.code), headers, body)
 
 
 def send_json(caller: caller_front.Caller, status: int, value: object) -> None:
--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -1,7 +1,7 @@
-"""The callers' interface: paths, headers and bodies, checked; no I/O and no clock.
+"""Parses and validates callers' HTTP requests: paths, headers and bodies.
 
-Model engines are reached through the published OpenAI HTTP interface, plain services by path
-under their name.
+Models are served through the OpenAI HTTP API, plain services under ``/NAME/``. Performs no I/O;
+the current time is passed in.
 """
 
 import json
@@ -59,11 +59,11 @@
 
 
 class ParseContext:
-    """What the entry adds to a request when it arrives.
+    """Values that the entry supplies for parsing one request.
 
-    :ivar request_id: id of the request.
-    :ivar now_s: monotonic time in seconds.
-    :ivar shared_key: the fleet's secret, for tokens.
+    :ivar request_id: id assigned to the request.
+    :ivar now_s: monotonic time of arrival, in seconds.
+    :ivar shared_key: the fleet's secret, which signs stream tokens.
     """
 
     __slots__ = ("now_s", "request_id", "shared_key")
@@ -75,16 +75,16 @@
 
 
 def get_path(wire: request_reader.WireRequest) -> str:
-    """Return the path of a request without its query."""
+    """Return the path of a request without its query string."""
     return wire.target.partition("?")[0]
 
 
 def get_workspace(
     wire: request_reader.WireRequest, table: view.TableView
 ) -> expression.Result[str, fault.Fault]:
-    """Tell whose request it is, by its API key.
+    """Return the workspace that owns the request's API key.
 
-    :returns: the workspace, or ``KEY_MISSING`` or ``KEY_UNKNOWN``.
+    :returns: the workspace, or a fault with ``KEY_MISSING`` or ``KEY_UNKNOWN``.
     """
     header = wire.get_header("authorization")
     scheme, _, api_key = (header or "").partition(" ")
@@ -100,9 +100,9 @@
 def parse(
     wire: request_reader.WireRequest, workspace: str, table: view.TableView, context: ParseContext
 ) -> Parsed:
-    """Check a request of a known workspace.
+    """Parse and validate a request of an authenticated workspace.
 
-    :returns: the request, or the first thing that is wrong with it.
+    :returns: the request, or a fault for the first problem found.
     """
     path = get_path(wire)
     if path in (CHAT_PATH, COMPLETIONS_PATH):
@@ -129,9 +129,9 @@
         return _refuse(codes.ResultCode.MALFORMED_JSON, f"the body is not JSON: {error}")
     if not isinstance(body, dict):
         return _refuse(codes.ResultCode.MALFORMED_JSON, "the body is not a JSON object")
-    wrong = _check_body(path, body)
-    if wrong is not None:
-        return expression.Error(wrong)
+    problem = _check_body(path, body)
+    if problem is not None:
+        return expression.Error(problem)
     service = _get_service(table, workspace, body["model"], rows.ServiceKind.MODEL)
     if service.is_error():
         return expression.Error(service.error)
@@ -166,7 +166,8 @@
     if wire.method != "GET":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{STREAMS_PATH} takes GET")
     token = stream_token.parse_token(context.shared_key, path.removeprefix(STREAMS_PATH))
-    # Somebody else's token reads exactly like one that was never made.
+    # A token of another workspace gets the same answer as an invalid one, so that callers
+    # cannot probe for the streams of others.
     if token is None or token.workspace != workspace or token.service not in table.services:
         return _refuse(codes.ResultCode.UNKNOWN_PATH, "no such stream")
     match = _LAST_EVENT.match(wire.get_header(LAST_EVENT_HEADER) or "")
@@ -290,7 +291,7 @@
 
 
 def _apply_output_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
-    """Bound the length of the answer by the workspace's row; return the bound."""
+    """Cap the body's output limit at the workspace's maximum and return the limit in tokens."""
     names = [name for name in _LIMIT_NAMES if isinstance(body.get(name), int)]
     limit = min([row.max_output_tokens, *(body[name] for name in names)])
     for name in names or _LIMIT_NAMES[:1]:
@@ -317,10 +318,10 @@
 def _get_once_flag(
     wire: request_reader.WireRequest, service: rows.ServiceRow
 ) -> expression.Result[bool, fault.Fault]:
-    """Tell whether a request must not be repeated.
+    """Return whether a request must run at most once.
 
-    The mark in a request can only add to the table's default: an operator who says that a
-    method is not to be repeated must not be overruled by a caller.
+    The request's header can only add to the table's default: a caller must not override an
+    operator's setting that a method is not repeatable.
     """
     word = (wire.get_header(ONCE_HEADER) or "no").lower()
     if word not in _TRUE_WORDS | _FALSE_WORDS:
@@ -329,8 +330,8 @@
 
 
 def _may_forward(wire: request_reader.WireRequest, name: str) -> bool:
-    named = (wire.get_header("connection") or "").lower()
-    return name not in _HOP_HEADERS and name not in {part.strip() for part in named.split(",")}
+    listed = (wire.get_header("connection") or "").lower()
+    return name not in _HOP_HEADERS and name not in {part.strip() for part in listed.split(",")}
 
 
 def _refuse(
--- a/src/spoolhead/_internal/entry/control.py
+++ b/src/spoolhead/_internal/entry/control.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators and its neighbours in the hall."""
+"""The entry's control service, for operators and for the other entries of the hall."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 
 
 class ControlService:
-    """Handles operators' messages; implements :class:`peer_server.PeerService`.
+    """Answers operators and serves neighbours; implements :class:`peer_server.PeerService`.
 
-    :param decisions: what was decided on each request.
-    :param neighbours: the other entries of the hall, which connect here too.
+    :param decisions: history of decisions on requests.
+    :param neighbours: the other entries of the hall, which connect to the same port.
     :param get_status: returns the entry's status.
     """
 
@@ -28,16 +28,19 @@
         self._get_status = get_status
 
     def on_opened(self, session: peer_server.PeerSession) -> None:
-        """Send reports to a neighbour; operators ask."""
+        """Register a neighbour to receive load reports; operators send requests themselves."""
         if session.role == entry_neighbours.ROLE:
             self._neighbours.add_session(session)
 
     def on_closed(self, session: peer_server.PeerSession) -> None:
-        """Send nothing more to a neighbour."""
+        """Stop sending load reports to a neighbour."""
         self._neighbours.remove_session(session)
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
-        """Answer a question."""
+        """Answer a request for the status or for decisions.
+
+        :raises messages.MessageError: if the message is of another type.
+        """
         match message:
             case messages.GetStatus():
                 answer = messages.StatusAnswer(request=message.request, status=self._get_status())
--- a/src/spoolhead/_internal/entry/decision_history.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -1,4 +1,4 @@
-"""Remembers and logs what was decided on each request."""
+"""Logs the decisions on each request and keeps the most recent ones in memory."""
 
 import collections
 import logging
@@ -12,10 +12,12 @@
 
 
 class DecisionHistory:
-    """Decisions on the newest requests, for operators who ask.
+    """Decisions on the most recent requests, for operators' queries.
+
+    Keeps at most ``remembered_decisions`` requests; the oldest request is removed first.
 
     :param config: the entry's settings.
-    :param collector: metrics.
+    :param collector: receives the count of decisions.
     :param clock: returns the monotonic time in seconds.
     """
 
@@ -33,7 +35,7 @@
         )
 
     def get(self, request_id: str) -> list[decision.Decision]:
-        """Return what was decided on a request, oldest first."""
+        """Return the decisions on a request, oldest first."""
         return list(self._decisions.get(request_id, ()))
 
     def record(
@@ -45,9 +47,9 @@
         choice: placement.Choice | None = None,
         text: str = "",
     ) -> None:
-        """Take note of a decision.
+        """Record a decision.
 
-        :param choice: upstreams that it was taken among.
+        :param choice: the placement that led to it, with all candidates.
         """
         chosen = choice.replica if choice is not None else None
         self._append(
@@ -65,28 +67,28 @@
         )
 
     def record_refusal(
-        self, request_id: str, workspace: str, item: fault.Fault, arrived_s: float
+        self, request_id: str, workspace: str, cause: fault.Fault, arrived_s: float
     ) -> None:
-        """Take note of a refusal before there was anything to choose from."""
+        """Record a refusal that was made before a service and upstreams were known."""
         self._append(
             decision.Decision(
                 request_id=request_id,
                 workspace=workspace,
                 service="",
                 action="refuse",
-                code=item.code,
+                code=cause.code,
                 wait_ms=self._get_age_ms(arrived_s),
-                text=item.text,
+                text=cause.text,
             )
         )
 
     def _get_age_ms(self, arrived_s: float) -> int:
         return int((self._clock() - arrived_s) * 1000)
 
-    def _append(self, item: decision.Decision) -> None:
-        self._metrics.count(metrics.Metric.DECISIONS, kind=str(int(item.code)))
-        self._decisions.setdefault(item.request_id, []).append(item)
+    def _append(self, entry: decision.Decision) -> None:
+        self._metrics.count(metrics.Metric.DECISIONS, kind=str(int(entry.code)))
+        self._decisions.setdefault(entry.request_id, []).append(entry)
         while len(self._decisions) > self._config.remembered_decisions:
             self._decisions.popitem(last=False)
         if logger.isEnabledFor(logging.INFO):
-            logger.info(item.action, extra={"fields": item.get_fields()})
+            logger.info(entry.action, extra={"fields": entry.get_fields()})
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings requests and upstreams together: queue, placement, running flows."""
+"""Assigns requests to upstreams: queueing, placement and the flows in progress."""
 
 import itertools
 import random
@@ -28,14 +28,14 @@
 
 CHECK_INTERVAL_S = 0.1
 MAX_WORKSPACES_TRIED = 4
-"""Workspaces whose next request is existing_flow when the one before fits nowhere."""
+"""Workspaces whose next request is tried when no upstream has room for the one before it."""
 
 NO_UPSTREAM_TIMEOUT_S = 3.0
-"""Time without any upstream after which what waits for one is refused."""
+"""Time without an available upstream after which a service's waiting requests are refused."""
 
 
 class _Job:
-    """A request that waits, with its caller, and its flow if it has been existing_flow before."""
+    """A waiting request with its caller, and its flow if an earlier attempt was made."""
 
     __slots__ = ("caller", "request", "existing_flow")
 
@@ -51,7 +51,7 @@
 
     @property
     def ran(self) -> codes.Ran:
-        """Whether the request may have run, now that it waits."""
+        """Whether an earlier attempt of the waiting request ran."""
         return (
             self.existing_flow.get_ran_while_waiting()
             if self.existing_flow is not None
@@ -60,16 +60,16 @@
 
 
 class Dispatcher:
-    """Decides for each request whether it runs, waits or is refused, and where.
+    """Decides for each request whether it runs, waits or is refused, and on which upstream.
 
-    :param loop: root of the program.
+    :param loop: the program's event loop.
     :param config: the entry's settings.
-    :param table: the table.
-    :param calls: makes requests to upstreams.
-    :param collector: metrics.
-    :param policies: what decides.
-    :param decisions: remembers what was decided.
-    :param contents: what is known of requests that may end upstreams.
+    :param table: typed view of the table.
+    :param calls: sends requests to upstreams.
+    :param collector: receives metrics.
+    :param policies: admission, placement and retry policies.
+    :param decisions: records every decision.
+    :param contents: request contents that may crash upstreams.
     """
 
     def __init__(
@@ -113,29 +113,29 @@
 
     @property
     def request_count(self) -> int:
-        """Requests waiting and running."""
+        """Number of requests that wait or run."""
         return len(self._flows) + self._admission.waiting_count
 
     @property
     def running_count(self) -> int:
-        """Requests running."""
+        """Number of requests that run."""
         return len(self._flows)
 
     @property
     def upstreams(self) -> list[replicas.Replica]:
-        """Upstreams in the table, those leaving included."""
+        """All upstreams in the table, including those that are leaving."""
         return self._pools.get_all()
 
     def get_upstream(self, name: str) -> replicas.Replica | None:
-        """Return an upstream of the table, or None."""
+        """Return the upstream with the given name, or None."""
         return self._pools.get(name)
 
     def set_entry_count(self, count: int) -> None:
-        """Say how many entries share the upstreams."""
+        """Set the number of entries that share the upstreams."""
         self._placement.entry_count = max(1, count)
 
     def update_upstreams(self) -> None:
-        """Take over the table's upstreams; one that leaves is in no pool from here on."""
+        """Apply the table's current upstreams; one that is leaving receives no new requests."""
         now_s = clocks.get_s()
         is_new = now_s - self._started_s > replicas.REPORT_STALE_S
         self._pools.update(self._table.upstreams, self._table.halls, now_s, is_new=is_new)
@@ -147,9 +147,9 @@
         caller: caller_front.Caller,
         on_end: Callable[[flow_context.FlowResult], None] | None = None,
     ) -> None:
-        """Take a request: run it, let it wait, or refuse it.
+        """Run a request, queue it or refuse it.
 
-        :param on_end: called with the result once it has run, or could not be run.
+        :param on_end: called with the result once the request has ended or was refused.
         """
         if on_end is not None:
             self._on_end[request.request_id] = on_end
@@ -168,7 +168,7 @@
                 self._admit(request, caller, now_s)
 
     def _claim_trial(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
-        """Run a held request once more, by itself, if no other entry does."""
+        """Run a held request as a single trial, unless another entry runs the trial."""
 
         def _on_settled(is_own: bool) -> None:
             if is_own and not caller.is_gone:
@@ -180,7 +180,7 @@
         self._contents.claim_trial(request.content_id, _on_settled)
 
     def reject_held(self, content_id: bytes) -> None:
-        """End what runs of a content that is held from now on."""
+        """Abort running requests with a content that is now held, except its trial."""
         for running in list(self._flows):
             request = running.request
             if request.content_id == content_id and not request.is_trial:
@@ -198,7 +198,7 @@
         self._start_waiting_of(request.service_name)
 
     def choose_upstream(self, running: flow.Flow, excluded: frozenset[str]) -> placement.Choice:
-        """Choose an upstream for another attempt of a flow."""
+        """Choose an upstream for a flow's next attempt."""
         return self._choose(running.request, excluded)
 
     def record_attempt(
@@ -208,13 +208,13 @@
         choice: placement.Choice,
         code: codes.ResultCode,
     ) -> None:
-        """Log another attempt of a flow."""
+        """Record a flow's next attempt."""
         self._decisions.record(running.request, action, code, choice=choice)
 
     def requeue(self, running: flow.Flow, code: codes.ResultCode) -> bool:
-        """Put a flow whose attempt failed back to the head of its queue.
+        """Put a flow whose attempt failed back at the head of its queue.
 
-        :returns: False if no upstream is left that could make room.
+        :returns: False if the service has no available upstream.
         """
         request = running.request
         pool = self._pools.get_pool(request.service_name)
@@ -231,12 +231,12 @@
         return True
 
     def charge(self, running: flow.Flow, tokens: int) -> None:
-        """Charge tokens to a flow's workspace."""
+        """Charge generated tokens to a flow's workspace."""
         self._metrics.count(metrics.Metric.TOKENS, tokens)
         self._admission.charge(running.request.workspace, tokens, clocks.get_s())
 
     def handle_flow_end(self, running: flow.Flow, result: flow_context.FlowResult) -> None:
-        """Take a flow that is over out of the books."""
+        """Remove a flow that has ended, and record its length, stall time and result."""
         request = running.request
         self._flows.discard(running)
         self._admission.finish(request.workspace)
@@ -294,9 +294,9 @@
         point = request.resume
         replica = self._pools.get(point.upstream)
         if replica is None:
-            item = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
-            self._decisions.record(request, "refuse", item.code, text=item.text)
-            answers.send_error(caller, item, ran=codes.Ran.YES, request_id=request.request_id)
+            cause = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
+            self._decisions.record(request, "refuse", cause.code, text=cause.text)
+            answers.send_error(caller, cause, ran=codes.Ran.YES, request_id=request.request_id)
             return
         self._admission.start_unqueued(request.workspace, request.arrived_s)
         running = flow.Flow(request, caller, self._context)
@@ -307,7 +307,7 @@
         running.resume(replica, point.generation)
 
     def handle_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
-        """Take an upstream's load report, and start what it makes room for."""
+        """Apply an upstream's load report and start waiting requests that now fit."""
         replica.handle_report(report)
         if self._admission.waiting_count:
             self._start_waiting_of(replica.row.service)
@@ -321,7 +321,7 @@
             pass
 
     def _start_next(self, service: str) -> bool:
-        """Start the next request of a service; False where none can start."""
+        """Start the next request of a service; return False if none can start."""
         now_s = clocks.get_s()
         for waiting in itertools.islice(
             self._admission.iterate(service, now_s), MAX_WORKSPACES_TRIED
@@ -378,14 +378,14 @@
         for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
             text = "the deadline passed while the request was waiting"
-            item = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
+            cause = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
             retry_after_ms = self._admission.get_retry_after_ms(waiting.service, now_s)
-            self._refuse(job, admission.Refusal(item, retry_after_ms))
+            self._refuse(job, admission.Refusal(cause, retry_after_ms))
         self._refuse_without_upstream(now_s)
         self._start_waiting()
 
     def _refuse_without_upstream(self, now_s: float) -> None:
-        """Refuse what waits for a service whose upstreams have all been gone for a while."""
+        """Refuse requests for services that have had no available upstream for too long."""
         for service in self._admission.waiting_services:
             pool = self._pools.get_pool(service)
             if pool is not None and pool.has_available(now_s):
@@ -424,7 +424,7 @@
 
 
 def _make_held_refusal() -> admission.Refusal:
-    """Return a refusal that does not say when to come back: the next run would end an upstream."""
+    """Return a refusal without ``Retry-After``: another run would crash another upstream."""
     return admission.Refusal(fault.make_held_fault(), None)
 
 
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -1,8 +1,9 @@
-"""One request from its start at an upstream to the end of its answer.
+"""Runs one request, from its first attempt at an upstream to the end of its answer.
 
-The flow makes attempts, relays what they bring, and decides with
-:mod:`~spoolhead._internal.policy.retry` what follows a failed one. Sockets and the clock are
-behind what it is given, so tests drive it with fakes.
+A flow makes attempts, relays their answers to the caller, and asks
+:mod:`~spoolhead._internal.policy.retry` what to do after a failed one. It reaches sockets and the
+clock only through :class:`~spoolhead._internal.entry.flow_context.FlowContext`, so that tests can
+replace them with fakes.
 """
 
 import logging
@@ -17,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 1_000
-"""When to come back after upstreams failed before they could act."""
+"""``Retry-After`` of a request that upstreams failed before they could act on it."""
 
 _OK = 200
 _SERVER_ERRORS = range(500, 600)
@@ -25,14 +26,14 @@
 
 
 class Flow:
-    """One request that runs.
+    """A running request.
 
     :param request: the request.
-    :param caller: who gets the answer.
-    :param context: what all flows share.
-    :ivar work: what the request holds on its upstream.
-    :ivar replica: the upstream of the present attempt, or None.
-    :ivar is_over: the flow has ended.
+    :param caller: connection that receives the answer.
+    :param context: collaborators and limits shared by all flows.
+    :ivar running_request: the request's load on its upstream.
+    :ivar replica: the upstream of the current attempt, or None.
+    :ivar is_over: whether the flow has ended.
     """
 
     def __init__(
@@ -62,16 +63,16 @@
 
     @property
     def replica(self) -> replicas.Replica | None:
-        """Upstream of the present attempt."""
+        """Upstream of the current attempt, or None."""
         return self._attempt.replica if self._attempt is not None else None
 
     @property
     def stalled_s(self) -> float:
-        """Time that the stream stood still, in seconds."""
+        """Time for which the stream has stalled, in seconds."""
         return self._pace.stalled_s
 
     def start(self, choice: placement.Choice) -> None:
-        """Make an attempt at the chosen upstream, from the beginning of the answer."""
+        """Start a new generation at the chosen upstream."""
         assert choice.replica is not None
         self.caller.on_gone = self._on_caller_gone
         self._attempts_made += 1
@@ -83,7 +84,7 @@
         self._open(attempt, request.method, request.target, headers, request.body)
 
     def resume(self, replica: replicas.Replica, generation: str) -> None:
-        """Go on with a generation that runs at an upstream."""
+        """Reconnect to a generation that already runs at an upstream."""
         self._attempts_made += 1
         attempt = self._begin(replica, generation, 0.0)
         self._relay.begin_connection()
@@ -94,7 +95,7 @@
         self._open(attempt, "GET", f"{api.STREAMS_PATH}{generation}", headers, b"")
 
     def check_timeouts(self) -> None:
-        """Look at the clock: deadline, silence, stall."""
+        """End the flow or its attempt on a missed deadline, a silent upstream or a stall."""
         if self.is_over:
             return
         now_s = self._context.clock()
@@ -107,22 +108,22 @@
             self._fail_attempt(codes.ResultCode.UPSTREAM_SILENT, "the stream has stalled")
 
     def reject_held(self) -> None:
-        """Give the request up, since it ends what runs it, unless a part was delivered."""
+        """Abort the request because its content crashes upstreams, unless a part was delivered."""
         if self.is_over or self._relay.order.has_delivered or self.request.resume is not None:
             return
         held, ran = fault.make_held_fault(), self._get_ran_now()
-        # Only what has not run may be told so by the status of a held request.
+        # REQUEST_HELD states that the request did not run, so it must not be sent otherwise.
         code = held.code if ran is codes.Ran.NO else codes.ResultCode.UPSTREAM_LOST
         self._give_up(code, held.text, ran, may_retry=False)
 
     def get_ran_while_waiting(self) -> codes.Ran:
-        """Tell whether the request ran, while no attempt is being made."""
+        """Return whether the request ran, while no attempt is in progress."""
         return codes.Ran.UNKNOWN if self._may_have_run else codes.Ran.NO
 
     def handle_head(
         self, attempt: flow_attempt.Attempt, status: int, headers: upstream_calls.Headers
     ) -> None:
-        """Take the head of an attempt's answer."""
+        """Handle the status and headers of an attempt's answer."""
         if attempt is not self._attempt:
             return
         self._pace.last_s = self._context.clock()
@@ -143,7 +144,7 @@
             self._fail_attempt(codes.ResultCode.UPSTREAM_LOST, text)
 
     def _record_rest(self, attempt: flow_attempt.Attempt) -> None:
-        """Send nothing more for a time to an upstream that asks for that."""
+        """Stop sending to an upstream for the time that its ``Retry-After`` asks for."""
         text = dict(attempt.headers).get("retry-after", "")
         rest_s = decimals.parse(text)
         if rest_s is None:
@@ -153,7 +154,7 @@
         logger.info("upstream asked for rest", extra={"fields": fields})
 
     def handle_body(self, attempt: flow_attempt.Attempt, data: bytes) -> None:
-        """Take a part of an attempt's answer."""
+        """Handle a part of the body of an attempt's answer."""
         if attempt is not self._attempt:
             return
         if self.request.wants_stream and attempt.status == _OK:
@@ -167,7 +168,7 @@
             self._give_up(codes.ResultCode.ANSWER_TOO_LARGE, text, codes.Ran.YES)
 
     def handle_end(self, attempt: flow_attempt.Attempt) -> None:
-        """Take the end of an attempt's answer."""
+        """Handle the end of an attempt's answer."""
         if attempt is not self._attempt:
             return
         if self.request.wants_stream and attempt.status == _OK:
@@ -176,7 +177,10 @@
         self._finish_whole(attempt)
 
     def handle_loss(self, attempt: flow_attempt.Attempt, reason: str) -> None:
-        """Take the loss of an attempt's connection."""
+        """Handle the loss of an attempt's connection.
+
+        :param reason: why the connection was lost.
+        """
         if attempt is not self._attempt:
             return
         code = codes.ResultCode.UPSTREAM_LOST
@@ -189,7 +193,7 @@
                 attempt.replica, attempt.incarnation_id, self.request.content_id, attempt.sent_s
             )
         if attempt is not self._attempt:
-            # The loss was what has its content held.
+            # Recording the loss got the content held, and that aborted this attempt.
             return
         self._fail_attempt(code, f"upstream {attempt.replica.name}: {reason}")
 
@@ -240,7 +244,7 @@
             self._finish_stream(attempt)
 
     def _send(self, attempt: flow_attempt.Attempt, data: bytes) -> bool:
-        """Send bytes to the caller; False where that ended the flow."""
+        """Send bytes to the caller; return False if that ended the flow."""
         if not self.caller.is_started:
             headers = relayed_answers.make_stream_headers(
                 self.request,
@@ -273,7 +277,8 @@
         self._context.host.charge(self, count)
 
     def _is_silent(self, now_s: float) -> bool:
-        # A model's whole answer comes after its last token; until then silence says nothing.
+        # An engine sends an unstreamed answer only after its last token, so silence before that
+        # is normal.
         if self.request.is_model and not self.request.wants_stream:
             return False
         return now_s - self._pace.last_s > self.request.service.silence_ms / 1000
@@ -287,15 +292,15 @@
         )
 
     def _record_whole_answer(self, status: int) -> None:
-        """Take note of an upstream's whole answer."""
+        """Mark the content as harmless if the status of a complete answer shows it."""
         if quarantine.shows_harmless(status, is_trial=self.request.is_trial):
             self._context.contents.record_harmless(self.request.content_id)
 
     def _finish_stream(self, attempt: flow_attempt.Attempt) -> None:
         self._record_whole_answer(attempt.status)
         self.caller.end_stream()
-        # The done mark comes a little before the end of the message; a connection closed in
-        # between could not be used again.
+        # [DONE] comes shortly before the end of the HTTP message. Let the call finish in the
+        # background: a connection closed in between could not be reused.
         self._attempt = None
         attempt.replica.finish(self.running_request)
         self._context.calls.finish_in_background(attempt.call)
@@ -340,8 +345,9 @@
         order = self._relay.order
         has_begun = order.has_delivered or self.request.resume is not None
         if not arrived:
-            # It cost no upstream anything, so it does not count as one of the attempts; but a
-            # generation can be resumed at one upstream only, which may be gone for good.
+            # An attempt that did not reach an upstream cost it nothing, so it is not counted.
+            # Attempts to resume are counted: a generation can be resumed at one upstream only,
+            # which may be gone for good.
             self._attempts_made -= 0 if has_begun else 1
             attempt.replica.health.record_unreachable(now_s)
         elif not refused:
@@ -365,7 +371,7 @@
 
     def _get_attempts_left(self) -> int:
         if self._context.contents.is_suspect(self.request.content_id):
-            # The next upstream may end as well.
+            # The next upstream may crash as well.
             return 0
         return self._context.attempts - self._attempts_made
 
@@ -383,8 +389,8 @@
         excluded = frozenset(self._failed_upstreams)
         choice = self._context.host.choose_upstream(self, excluded)
         if choice.replica is None:
-            # An upstream that lost one connection may be well, and if it is not it is ejected
-            # by now; so after a wait it may be asked again.
+            # An upstream that lost one connection may be healthy, and an unhealthy one has been
+            # ejected by now. So all of them may be tried again after a wait.
             self._failed_upstreams.clear()
             return self._context.host.requeue(self, code)
         self._context.host.record_attempt(self, "retry", choice, code)
@@ -402,10 +408,10 @@
         self, code: codes.ResultCode, text: str, ran: codes.Ran, *, may_retry: bool = True
     ) -> None:
         self._release_attempt(cancel=True)
-        item = fault.Fault(code, text)
+        cause = fault.Fault(code, text)
         answers.send_error(
             self.caller,
-            item,
+            cause,
             ran=ran,
             request_id=self.request.request_id,
             retry_after_ms=RETRY_AFTER_MS if ran is codes.Ran.NO and may_retry else None,
@@ -416,7 +422,7 @@
         if self.is_over:
             return
         ran = self._get_ran_now()
-        # A once-only request goes on without its caller: its outcome is what a resend gets.
+        # A request with an idempotency key goes on without its caller: a resend gets its outcome.
         if self.request.once_key and ran is not codes.Ran.NO:
             return
         self._release_attempt(cancel=True)
@@ -443,8 +449,8 @@
             self._cancel_generation(attempt)
 
     def _cancel_generation(self, attempt: flow_attempt.Attempt) -> None:
-        # Closing the connection is not enough: an engine that can resume keeps a generation
-        # for a while after that, and a generation nobody reads takes memory from others.
+        # Closing the connection is not enough: an engine that supports resuming keeps a
+        # generation for some time after that, and it would take memory from others unread.
         address = attempt.replica.row.address
         target = f"{api.STREAMS_PATH}{attempt.generation}/cancel"
         request = upstream_calls.make_request("POST", target, address, [], b"")
--- a/src/spoolhead/_internal/entry/flow_attempt.py
+++ b/src/spoolhead/_internal/entry/flow_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a flow at one upstream."""
+"""One attempt to run a request at one upstream."""
 
 from typing import Protocol
 
@@ -7,32 +7,34 @@
 
 
 class AttemptOwner(Protocol):
-    """The flow that made an attempt."""
+    """The flow that made an attempt and handles its events."""
 
     def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
-        """Take the head of its answer."""
+        """Handle the status and headers of the answer."""
 
     def handle_body(self, attempt: "Attempt", data: bytes) -> None:
-        """Take a part of its answer."""
+        """Handle a part of the answer's body."""
 
     def handle_end(self, attempt: "Attempt") -> None:
-        """Take the end of its answer."""
+        """Handle the end of the answer."""
 
     def handle_loss(self, attempt: "Attempt", reason: str) -> None:
-        """Take the loss of its connection."""
+        """Handle the loss of the connection."""
 
 
 class Attempt:
-    """One call to one upstream; its answer counts only while it is the flow's present one.
+    """One call to one upstream, whose events are passed on to the flow.
 
-    :ivar flow: the flow that made it.
+    The flow ignores events of an attempt that is no longer its current one.
+
+    :ivar flow: the flow that made the attempt.
     :ivar replica: the upstream.
-    :ivar generation: id of the generation there.
-    :ivar incarnation_id: which run of the upstream it went to.
-    :ivar sent_s: when it was sent.
+    :ivar generation: id of the generation at the upstream.
+    :ivar incarnation_id: incarnation of the upstream that the request was sent to.
+    :ivar sent_s: monotonic time at which the request was sent, in seconds.
     :ivar call: the call; None until it is made.
-    :ivar status: status of its answer; 0 before it.
-    :ivar headers: headers of its answer.
+    :ivar status: HTTP status of the answer; 0 before it arrives.
+    :ivar headers: headers of the answer.
     """
 
     __slots__ = (
@@ -65,17 +67,17 @@
         self.headers: upstream_calls.Headers = ()
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
-        """Pass on the head."""
+        """Pass the status and headers on to the flow."""
         self.flow.handle_head(self, status, headers)
 
     def on_answer_body(self, data: bytes) -> None:
-        """Pass on a part of the body."""
+        """Pass a part of the body on to the flow."""
         self.flow.handle_body(self, data)
 
     def on_answer_end(self) -> None:
-        """Pass on the end."""
+        """Pass the end of the answer on to the flow."""
         self.flow.handle_end(self)
 
     def on_call_lost(self, reason: str) -> None:
-        """Pass on the loss."""
+        """Pass the loss of the connection on to the flow."""
         self.flow.handle_loss(self, reason)
--- a/src/spoolhead/_internal/entry/flow_context.py
+++ b/src/spoolhead/_internal/entry/flow_context.py
@@ -1,4 +1,4 @@
-"""What a flow is given, and what it gives back."""
+"""Interfaces and limits that flows are given, and the result that a flow returns."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Protocol
@@ -13,15 +13,16 @@
 
 
 class FlowResult:
-    """How a flow ended.
+    """Outcome of a flow.
 
     :ivar code: result code.
     :ivar ran: whether the request ran.
-    :ivar tokens: tokens that were produced for it.
-    :ivar is_natural_end: the engine ended the answer by itself, so its length says something.
-    :ivar status: HTTP status of a whole answer; 0 where there is none.
-    :ivar content_type: its Content-Type.
-    :ivar body: its body.
+    :ivar tokens: tokens that were generated for the request.
+    :ivar is_natural_end: whether the engine ended the answer by itself; only then is its length
+        an observation for the length model.
+    :ivar status: HTTP status of an unstreamed answer; 0 if there is none.
+    :ivar content_type: ``Content-Type`` of that answer.
+    :ivar body: body of that answer.
     """
 
     __slots__ = ("body", "code", "content_type", "is_natural_end", "ran", "status", "tokens")
@@ -37,7 +38,7 @@
 
 
 class FlowCalls(Protocol):
-    """What a flow needs of :class:`upstream_calls.UpstreamCalls`."""
+    """The part of :class:`upstream_calls.UpstreamCalls` that flows use."""
 
     def open(
         self,
@@ -48,76 +49,87 @@
         fresh: bool = False,
         is_head: bool = False,
     ) -> upstream_calls.UpstreamCall:
-        """Begin a request."""
+        """Send a request.
+
+        :param user: receives the answer.
+        :param fresh: use a new connection.
+        :param is_head: the method is HEAD, so the answer has no body.
+        """
 
     def finish_in_background(self, call: upstream_calls.UpstreamCall) -> None:
-        """Let a call end whose answer is no longer needed."""
+        """Read the rest of a call's answer and discard it."""
 
 
 class FlowContents(Protocol):
-    """What a flow needs of :class:`spoolhead._internal.entry.held_contents.HeldContents`."""
+    """The part of :class:`~spoolhead._internal.entry.held_contents.HeldContents` that flows use."""
 
     def is_suspect(self, content_id: bytes) -> bool:
-        """Tell whether a content was at an upstream that ended, and has not ended well since."""
+        """Return whether an upstream crashed with the content and no run succeeded since."""
 
     def get_incarnation_id(self, upstream: str) -> str:
-        """Name the present run of an upstream."""
+        """Return the id of an upstream's current incarnation."""
 
     def record_lost(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
-        """Take note of a request that an upstream took and lost."""
+        """Record a request that an upstream received and lost."""
 
     def record_abandoned(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
-        """Take note of a request that an upstream took and this entry has abandoned."""
+        """Record a request that an upstream received and this entry abandoned."""
 
     def record_unreachable(self, replica: replicas.Replica) -> None:
-        """Ask an upstream that refuses connections, if a request was abandoned there just now."""
+        """Query an upstream that refuses connections if a request was abandoned there recently."""
 
     def record_harmless(self, content_id: bytes) -> None:
-        """Take note of a request that has ended well."""
+        """Record that a request with the content was answered."""
 
 
 class FlowHost(Protocol):
-    """What a flow asks of the dispatcher that owns it."""
+    """The part of the dispatcher that flows use."""
 
     def choose_upstream(self, flow: "flow.Flow", excluded: frozenset[str]) -> placement.Choice:
-        """Choose an upstream for another attempt."""
+        """Choose an upstream for the next attempt.
+
+        :param excluded: names of upstreams that failed for this request.
+        """
 
     def record_attempt(
         self, flow: "flow.Flow", action: str, choice: placement.Choice, code: codes.ResultCode
     ) -> None:
-        """Log that another attempt is made because the last one ended with a code."""
+        """Record the next attempt.
+
+        :param code: result code of the failed attempt.
+        """
 
     def requeue(self, flow: "flow.Flow", code: codes.ResultCode) -> bool:
-        """Put a flow back into the queue, because no upstream has room for another attempt.
+        """Put a flow back into the queue because no upstream has room for the next attempt.
 
-        :returns: False if no upstream is left that could make room.
+        :returns: False if the service has no available upstream.
         """
 
     def charge(self, flow: "flow.Flow", tokens: int) -> None:
-        """Charge tokens to the workspace."""
+        """Charge generated tokens to the workspace."""
 
     def handle_flow_end(self, flow: "flow.Flow", result: FlowResult) -> None:
-        """The flow is over."""
+        """Handle the end of a flow."""
 
 
 class FlowContext:
-    """What all flows of an entry share.
+    """Collaborators and limits shared by all flows of an entry.
 
-    :ivar calls: makes requests to upstreams.
+    :ivar calls: sends requests to upstreams.
     :ivar host: the dispatcher.
-    :ivar contents: what is known of requests that may end upstreams.
-    :ivar budget: bounds retries.
-    :ivar collector: metrics.
+    :ivar contents: request contents that may crash upstreams.
+    :ivar budget: retry budget of the entry.
+    :ivar collector: receives metrics.
     :ivar clock: returns the monotonic time in seconds.
-    :ivar shared_key: the fleet's secret.
-    :ivar attempts: attempts for one request, the first included.
-    :ivar answer_bytes: largest answer held whole.
-    :ivar unread_bytes: bytes kept for a caller that reads slowly.
-    :ivar policies: what decides.
+    :ivar shared_key: the fleet's secret, which signs stream tokens.
+    :ivar attempts: maximum attempts for one request, including the first.
+    :ivar answer_bytes: maximum size of an unstreamed answer.
+    :ivar unread_bytes: maximum bytes buffered for a slow caller.
+    :ivar policies: retry and pace policies.
     """
 
     __slots__ = (
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -1,8 +1,9 @@
-"""Requests that end the upstreams which run them, for the product's own interface.
+"""Quarantines request contents that crash the upstreams which run them, for the OpenAI interface.
 
-The decisions are those of :mod:`spoolhead._internal.policy.quarantine`. What an entry finds goes to
-the keeper, which passes it on to all others and tells all it knows to each that connects. An entry
-that has a disk can serve by its saved table while no keeper answers, so it keeps this there, too.
+:mod:`spoolhead._internal.policy.quarantine` makes the decisions. An entry sends its records to the
+keeper, which relays them to all other entries and sends all its records to each entry that
+connects. An entry with a data folder can serve from its saved table while no keeper answers, so it
+saves the records there as well.
 """
 
 import pathlib
@@ -18,15 +19,16 @@
 
 
 class HeldContents:
-    """What one entry knows of contents that may end upstreams.
+    """Contents that may crash upstreams, as known to one entry.
 
     :param name: the entry's name.
-    :param calls: makes requests to upstreams.
-    :param timers: calls back.
-    :param probe_path: what an upstream that lost a request is asked for.
-    :param send_records: called with records that the keeper is to pass on.
-    :param on_held: called with the name of a content that is held from now on.
-    :param folder: the entry's data folder; None for none.
+    :param calls: sends requests to upstreams.
+    :param timers: the program's scheduler.
+    :param probe_path: path requested from an upstream that lost a request, to learn whether it
+        crashed.
+    :param send_records: called with records that the keeper should relay.
+    :param on_held: called with the id of a content that has become held.
+    :param folder: the entry's data folder; None if it has none.
     """
 
     def __init__(
@@ -64,7 +66,7 @@
 
     @property
     def held_count(self) -> int:
-        """Contents that are held."""
+        """Number of held contents."""
         return self._watch.held_count
 
     def get_all(self) -> Records:
@@ -72,26 +74,29 @@
         return self._watch.get_all()
 
     def merge_records(self, peer: str, records: Records) -> None:
-        """Take records that another process tells."""
+        """Merge records received from another process.
+
+        :param peer: name or address of that process.
+        """
         self._watch.merge_records(peer, records)
         self._save()
 
     def evaluate(self, content_id: bytes) -> quarantine.Verdict:
-        """Decide on a request that has just come."""
+        """Return the verdict on a new request's content."""
         return self._watch.evaluate(content_id)
 
     def is_held(self, content_id: bytes) -> bool:
-        """Tell whether a content is held."""
+        """Return whether a content is held."""
         return self._watch.is_held(content_id)
 
     def is_suspect(self, content_id: bytes) -> bool:
-        """Tell whether a content was at an upstream that ended, and has not ended well since."""
+        """Return whether an upstream crashed with the content and no run succeeded since."""
         return self._watch.is_suspect(content_id)
 
     def claim_trial(self, content_id: bytes, on_settled: Callable[[bool], None]) -> None:
-        """Claim the one run that a held content is given.
+        """Claim the trial of a held content.
 
-        :param on_settled: called with whether this entry got it.
+        :param on_settled: called with True if this entry may run the trial, else with False.
         """
         self._watch.claim_trial(content_id)
         self._timers.call_later(
@@ -99,18 +104,18 @@
         )
 
     def get_incarnation_id(self, upstream: str) -> str:
-        """Name the present run of an upstream, as far as this entry tells its runs apart."""
+        """Return the id of an upstream's current incarnation, as counted by this entry."""
         return f"{upstream}@{self._name}.{self._restart_counts.get(upstream, 0)}"
 
     def record_abandoned(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
-        """Take note of a request that an upstream took and this entry has abandoned."""
+        """Record a request that an upstream received and this entry abandoned."""
         if replica.row.state is not rows.UpstreamState.LEAVING:
             self._watch.record_abandoned(incarnation_id, content_id, sent_s)
 
     def record_unreachable(self, replica: replicas.Replica) -> None:
-        """Ask an upstream that refuses connections, if a request was abandoned there just now."""
+        """Query an upstream that refuses connections if a request was abandoned there recently."""
         incarnation_id = self.get_incarnation_id(replica.name)
         if replica.row.state is rows.UpstreamState.LEAVING or not self._watch.has_abandoned(
             incarnation_id
@@ -121,23 +126,23 @@
     def record_lost(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
     ) -> None:
-        """Take note of a request that an upstream took and lost, and ask the upstream."""
+        """Record a request that an upstream received and lost, and query the upstream."""
         if replica.row.state is rows.UpstreamState.LEAVING:
             return
         self._watch.record_lost(incarnation_id, content_id, sent_s)
         self._query_end(replica, incarnation_id)
 
     def _query_end(self, replica: replicas.Replica, incarnation_id: str) -> None:
-        asked = end_watch.EndQuery(
+        query = end_watch.EndQuery(
             incarnation_id,
             instance_id="",
             address=replica.row.address,
             path=self._probe_path,
         )
-        self._end_watch.query(asked)
+        self._end_watch.query(query)
 
     def record_harmless(self, content_id: bytes) -> None:
-        """Take note of a request that has ended well."""
+        """Record that a request with the content was answered."""
         self._watch.record_harmless(content_id)
 
     def _send_changed(self) -> None:
