--- a/src/spoolhead/_internal/discovery/__init__.py
+++ b/src/spoolhead/_internal/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Finding the upstream instances of each service."""
+"""Discovery of the upstream instances of each service."""
--- a/src/spoolhead/_internal/discovery/list_reader.py
+++ b/src/spoolhead/_internal/discovery/list_reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of upstream instances, page by page."""
+"""Reads the platform's list of upstream instances, page by page, over HTTP."""
 
 import logging
 from collections.abc import Callable
@@ -11,21 +11,21 @@
 logger = logging.getLogger(__name__)
 
 READ_TIMEOUT_S = 1.5
-"""Time for a whole reading; a page takes some milliseconds, so a longer one is lost."""
+"""Time limit for all pages of a read; a page takes some milliseconds, so a longer read is stuck."""
 MAX_PAGES = 200
-"""Bound on the pages of a reading: 1,600 instances at 50 a page are 32 pages."""
+"""Maximum pages of a read; 1,600 instances at 50 a page are 32 pages."""
 
 _OK = 200
 
 
 class ListReader:
-    """Makes one reading at a time.
+    """Reads the whole list on demand, one read at a time.
 
-    :param loop: root of the program.
-    :param calls: makes the HTTP requests.
-    :param config: where the list is.
-    :param dialect: how the list is written.
-    :param on_list: gets each whole reading.
+    :param loop: the program's event loop.
+    :param calls: sends the HTTP requests.
+    :param config: settings with the list's address.
+    :param dialect: decodes the pages of the list.
+    :param on_list: called with the instances of each complete read.
     """
 
     def __init__(
@@ -44,16 +44,19 @@
         self._call: upstream_calls.UpstreamCall | None = None
         self._started_s = 0.0
         self._page_count = 0
-        self._listed: list[instances.Instance] = []
+        self._instances: list[instances.Instance] = []
         self._status = 0
         self._body: list[bytes] = []
-        self._has_failed = False
+        self._is_failing = False
         self._previous: dict[str, instances.Instance] = {}
         self._faults: list[fault.Fault] = []
-        self._last_fault = ""
+        self._last_logged_fault = ""
 
     def read(self) -> None:
-        """Begin a reading, unless one is under way."""
+        """Start a read, unless one is in progress.
+
+        A read that has exceeded :data:`READ_TIMEOUT_S` is cancelled first.
+        """
         now_s = clocks.get_s()
         if self._call is not None:
             if now_s - self._started_s < READ_TIMEOUT_S:
@@ -62,21 +65,21 @@
             self._fail("the reading took too long")
         self._started_s = now_s
         self._page_count = 0
-        self._listed = []
+        self._instances = []
         self._faults = []
         self._request_page(self._dialect.list_target)
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
-        """Take the head of a page."""
+        """Handle the status of a page's answer."""
         del headers
         self._status = status
 
     def on_answer_body(self, data: bytes) -> None:
-        """Take a part of a page."""
+        """Handle a part of a page."""
         self._body.append(data)
 
     def on_answer_end(self) -> None:
-        """Take the end of a page."""
+        """Handle the end of a page: request the next one, or complete the read."""
         self._call = None
         if self._status != _OK:
             self._fail(f"status {self._status}")
@@ -86,33 +89,33 @@
             self._fail(str(page.error))
             return
         self._faults.extend(page.ok.faults)
-        self._listed.extend(page.ok.instances)
+        self._instances.extend(page.ok.instances)
         if page.ok.next_target and self._page_count < MAX_PAGES:
             self._request_page(page.ok.next_target)
             return
-        if self._has_failed:
-            self._has_failed = False
+        if self._is_failing:
+            self._is_failing = False
             logger.info("instance list is readable again")
         self._log_faults()
-        listed = instances.remove_duplicates(self._listed, self._previous)
-        if len(listed) < len(self._listed):
-            fields = {"entries": len(self._listed), "ids": len(listed)}
+        listed = instances.remove_duplicates(self._instances, self._previous)
+        if len(listed) < len(self._instances):
+            fields = {"entries": len(self._instances), "ids": len(listed)}
             logger.warning("instance list names ids more than once", extra={"fields": fields})
         self._previous = {item.instance_id: item for item in listed}
         self._on_list(listed)
 
     def on_call_lost(self, reason: str) -> None:
-        """Take the loss of a page."""
+        """Handle a lost connection, which fails the read."""
         self._call = None
         self._fail(reason)
 
     def _log_faults(self) -> None:
-        """Write which entry could not be read first, once as long as it is the same."""
+        """Log the first entry that could not be decoded, unless it was logged by the last read."""
         first = self._faults[0].text if self._faults else ""
-        if first and first != self._last_fault:
+        if first and first != self._last_logged_fault:
             fields = {"entries": len(self._faults), "first": first}
             logger.warning("entries of the instance list are passed over", extra={"fields": fields})
-        self._last_fault = first
+        self._last_logged_fault = first
 
     def _request_page(self, target: str) -> None:
         self._page_count += 1
@@ -124,7 +127,7 @@
 
     def _fail(self, reason: str) -> None:
         self._call = None
-        if not self._has_failed:
+        if not self._is_failing:
             fields = {"address": self._config.address, "reason": reason}
             logger.warning("instance list is not readable", extra={"fields": fields})
-        self._has_failed = True
+        self._is_failing = True
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -181,10 +181,10 @@
 
     def reject_held(self, content_id: bytes) -> None:
         """Abort running requests with a content that is now held, except its trial."""
-        for running in list(self._flows):
-            request = running.request
+        for running_flow in list(self._flows):
+            request = running_flow.request
             if request.content_id == content_id and not request.is_trial:
-                running.reject_held()
+                running_flow.reject_held()
 
     def _admit(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
@@ -197,53 +197,55 @@
             return
         self._start_waiting_of(request.service_name)
 
-    def choose_upstream(self, running: flow.Flow, excluded: frozenset[str]) -> placement.Choice:
+    def choose_upstream(
+        self, running_flow: flow.Flow, excluded: frozenset[str]
+    ) -> placement.Choice:
         """Choose an upstream for a flow's next attempt."""
-        return self._choose(running.request, excluded)
+        return self._choose(running_flow.request, excluded)
 
     def record_attempt(
         self,
-        running: flow.Flow,
+        running_flow: flow.Flow,
         action: str,
         choice: placement.Choice,
         code: codes.ResultCode,
     ) -> None:
         """Record a flow's next attempt."""
-        self._decisions.record(running.request, action, code, choice=choice)
+        self._decisions.record(running_flow.request, action, code, choice=choice)
 
-    def requeue(self, running: flow.Flow, code: codes.ResultCode) -> bool:
+    def requeue(self, running_flow: flow.Flow, code: codes.ResultCode) -> bool:
         """Put a flow whose attempt failed back at the head of its queue.
 
         :returns: False if the service has no available upstream.
         """
-        request = running.request
+        request = running_flow.request
         pool = self._pools.get_pool(request.service_name)
         if pool is None or not pool.has_available(clocks.get_s()):
             return False
-        self._flows.discard(running)
+        self._flows.discard(running_flow)
         self._admission.finish(request.workspace)
         self._decisions.record(
             request, "wait", code, text="no upstream has room for another attempt"
         )
-        waiting = self._make_waiting(_Job(request, running.caller, running))
+        waiting = self._make_waiting(_Job(request, running_flow.caller, running_flow))
         self._admission.put_back(waiting, clocks.get_s())
-        running.caller.on_gone = lambda: self._withdraw(waiting)
+        running_flow.caller.on_gone = lambda: self._withdraw(waiting)
         return True
 
-    def charge(self, running: flow.Flow, tokens: int) -> None:
+    def charge(self, running_flow: flow.Flow, tokens: int) -> None:
         """Charge generated tokens to a flow's workspace."""
         self._metrics.count(metrics.Metric.TOKENS, tokens)
-        self._admission.charge(running.request.workspace, tokens, clocks.get_s())
+        self._admission.charge(running_flow.request.workspace, tokens, clocks.get_s())
 
-    def handle_flow_end(self, running: flow.Flow, result: flow_context.FlowResult) -> None:
+    def handle_flow_end(self, running_flow: flow.Flow, result: flow_context.FlowResult) -> None:
         """Remove a flow that has ended, and record its length, stall time and result."""
-        request = running.request
-        self._flows.discard(running)
+        request = running_flow.request
+        self._flows.discard(running_flow)
         self._admission.finish(request.workspace)
         if result.is_natural_end and 0 < result.tokens < request.limit_tokens:
             self._lengths.observe(request.workspace, request.service_name, result.tokens)
         if request.wants_stream:
-            self._metrics.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
+            self._metrics.time(metrics.Metric.STALL_MS, running_flow.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
         self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
@@ -299,12 +301,12 @@
             answers.send_error(caller, cause, ran=codes.Ran.YES, request_id=request.request_id)
             return
         self._admission.start_unqueued(request.workspace, request.arrived_s)
-        running = flow.Flow(request, caller, self._context)
-        self._flows.add(running)
+        running_flow = flow.Flow(request, caller, self._context)
+        self._flows.add(running_flow)
         self._decisions.record(
             request, "resume", codes.ResultCode.OK, choice=_make_forced_choice(replica)
         )
-        running.resume(replica, point.generation)
+        running_flow.resume(replica, point.generation)
 
     def handle_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
         """Apply an upstream's load report and start waiting requests that now fit."""
@@ -350,9 +352,9 @@
         wait_ms = (now_s - request.arrived_s) * 1000
         self._metrics.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
         self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
-        running = job.existing_flow or flow.Flow(request, job.caller, self._context)
-        self._flows.add(running)
-        running.start(choice)
+        running_flow = job.existing_flow or flow.Flow(request, job.caller, self._context)
+        self._flows.add(running_flow)
+        running_flow.start(choice)
 
     def _choose(
         self, request: requests.CallerRequest, excluded: frozenset[str]
@@ -372,8 +374,8 @@
         return self._placement.choose(demand, service, pool, now_s)
 
     def _check_timeouts(self) -> None:
-        for running in list(self._flows):
-            running.check_timeouts()
+        for running_flow in list(self._flows):
+            running_flow.check_timeouts()
         now_s = clocks.get_s()
         for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -198,7 +198,7 @@
         self._fail_attempt(code, f"upstream {attempt.replica.name}: {reason}")
 
     def _begin(
-        self, replica: replicas.Replica, generation: str, planned: float
+        self, replica: replicas.Replica, generation: str, planned_tokens: float
     ) -> flow_attempt.Attempt:
         attempt = flow_attempt.Attempt(
             self,
@@ -211,7 +211,7 @@
         self._body = []
         self._body_bytes = 0
         self._pace.last_s = self._context.clock()
-        replica.start(self.running_request, planned)
+        replica.start(self.running_request, planned_tokens)
         return attempt
 
     def _open(
--- a/src/spoolhead/_internal/entry/flow_context.py
+++ b/src/spoolhead/_internal/entry/flow_context.py
@@ -52,7 +52,7 @@
         """Send a request.
 
         :param user: receives the answer.
-        :param fresh: use a new connection.
+        :param fresh: use a new connection and close it afterwards.
         :param is_head: the method is HEAD, so the answer has no body.
         """
 
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -1,4 +1,4 @@
-"""The entry's stream to a keeper: follows the table and claims keys that may run once."""
+"""The entry's connection to a keeper: follows the table and claims idempotency keys."""
 
 import itertools
 import logging
@@ -23,10 +23,10 @@
 
 
 class ClaimResult:
-    """Answer to a claim.
+    """Result of a claim.
 
-    :ivar state: what became of it; None where no keeper answered in time.
-    :ivar outcome: the first run's answer, where it is known.
+    :ivar state: state of the key; None if no keeper answered in time.
+    :ivar outcome: answer of the first run, if it is known.
     """
 
     __slots__ = ("outcome", "state")
@@ -41,19 +41,19 @@
 
 
 class TableListener(Protocol):
-    """Who is told of the table."""
+    """Callbacks of :class:`KeeperLink`."""
 
     def on_table(self) -> None:
-        """Another version is in force."""
+        """Handle a new version of the table that is in force."""
 
     def on_keeper_ready(self) -> None:
-        """A keeper can be told things."""
+        """Handle a new connection to a keeper, to which messages can be sent now."""
 
     def on_contents(self, records: held_contents.Records) -> None:
-        """A keeper passes on records of contents that may end upstreams."""
+        """Handle records of contents that may crash upstreams, relayed by a keeper."""
 
     def on_members(self, members: Sequence[neighbours.Member]) -> None:
-        """Other entries follow the table than before."""
+        """Handle a change in the set of entries that follow the table."""
 
 
 class _PendingClaim:
@@ -66,14 +66,14 @@
 
 
 class KeeperLink:
-    """Keeps the entry's table current.
+    """Keeps the entry's table current and exchanges messages with a keeper.
 
-    :param loop: root of the program.
+    :param loop: the program's event loop.
     :param outgoing: the program's outgoing connections.
     :param config: the entry's settings.
-    :param table: filled from here.
-    :param user: is told of the table.
-    :param control_address: ``IP:PORT`` at which the entry's neighbours reach it.
+    :param table: view that is updated with each version.
+    :param user: receives the callbacks.
+    :param control_address: ``IP:PORT`` at which other entries of the hall reach this one.
     """
 
     def __init__(
@@ -112,30 +112,32 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether a keeper confirms the table just now."""
+        """Whether a keeper is connected and confirms the table."""
         return self._client.is_ready
 
     @property
     def keeper_address(self) -> str:
-        """``IP:PORT`` of the keeper it talks to, or last tried."""
+        """``IP:PORT`` of the connected keeper, or of the last one tried."""
         return self._client.address
 
     @property
     def unconfirmed_ms(self) -> int:
-        """Time since a keeper last confirmed the table; 0 while one does."""
+        """Milliseconds since a keeper last confirmed the table; 0 while one does."""
         if self._unconfirmed_since_s is None:
             return 0
         return int((clocks.get_s() - self._unconfirmed_since_s) * 1000)
 
     @property
     def unconfirmed_count(self) -> int:
-        """Ends of claimed requests that no keeper has confirmed yet."""
+        """Number of finished claims that no keeper has confirmed yet."""
         return len(self._unconfirmed)
 
     def claim(self, key: str, fingerprint: bytes, on_answer: Callable[[ClaimResult], None]) -> None:
-        """Claim a key that may run only once.
+        """Claim a key whose request may run only once.
 
-        :param on_answer: called exactly once, never from within this call.
+        :param key: the key to claim.
+        :param fingerprint: digest of the request.
+        :param on_answer: called exactly once, never before this method returns.
         """
         number = next(self._numbers)
         pending = _PendingClaim(key, on_answer)
@@ -148,7 +150,11 @@
         )
 
     def finish(self, key: str, ran: codes.Ran, outcome: once_journal.Outcome | None) -> None:
-        """Report the end of a claimed request; repeated until a keeper has it on its disk."""
+        """Report the end of a claimed request; resent until a keeper has stored it on disk.
+
+        :param outcome: the answer; its body is not sent if it exceeds
+            :data:`MAX_STORED_BODY_BYTES`.
+        """
         is_stored = outcome is not None and len(outcome.body) <= MAX_STORED_BODY_BYTES
         message = messages.FinishOnce(
             key=key,
@@ -161,13 +167,16 @@
         self._client.send(message)
 
     def send_contents(self, records: held_contents.Records) -> None:
-        """Have the keeper pass records of contents on; a keeper that is met later is told all."""
+        """Send records of contents for the keeper to relay.
+
+        Nothing is queued without a keeper: on connecting, all records are sent anyway.
+        """
         if records:
             self._client.send(messages.Contents(items=content_record.pack(records)))
 
     def on_peer_ready(self) -> None:
-        """Ask for what was missed, and report what was not confirmed."""
-        logger.info("keeper at %s follows", self._client.address)
+        """Introduce this entry, request newer versions and resend unconfirmed ends of claims."""
+        logger.info("connected to keeper at %s", self._client.address)
         self._client.send(messages.Introduce(hall=self._hall, address=self._control_address))
         self._client.send(
             messages.Follow(log_id=self._followed.log_id, version=self._followed.version)
@@ -177,14 +186,14 @@
         self._user.on_keeper_ready()
 
     def on_peer_lost(self) -> None:
-        """Go on with the table as it is."""
+        """Continue with the last known table."""
         self._unconfirmed_since_s = clocks.get_s()
         logger.warning(
             "no keeper confirms the table", extra={"fields": {"version": self._table.version}}
         )
 
     def on_peer_message(self, message: messages.Message) -> None:
-        """Handle a keeper's message."""
+        """Handle a message from a keeper."""
         match message:
             case messages.Snapshot():
                 self._handle_snapshot(message)
@@ -217,7 +226,7 @@
         if self._saved_copy.load(self._followed):
             self._table.replace((key, row.value) for key, row in self._followed.rows.items())
             self._table.version = self._followed.version
-            logger.info("table of version %d read from the disk", self._followed.version)
+            logger.info("loaded table version %d from disk", self._followed.version)
 
     def _handle_snapshot(self, message: messages.Snapshot) -> None:
         rows = packing.unpack_rows(message.rows)
@@ -244,7 +253,7 @@
 
     def _reject_table(self, reason: following.FollowFault, version: int) -> None:
         logger.error(
-            "a keeper's table is not taken: %s",
+            "rejected a keeper's table: %s",
             reason.value,
             extra={"fields": {"offered": version, "in_force": self._followed.version}},
         )
@@ -255,7 +264,7 @@
         self._user.on_table()
         logger.info("table in force", extra={"fields": {"version": self._table.version}})
         if self._saved_copy is not None and not self._save_scheduled:
-            # Changes come in bursts; one write serves all that arrive in the same turn.
+            # Changes arrive in bursts; one write covers all that arrive in the same loop iteration.
             self._save_scheduled = True
             self._scheduler.call_later(0, self._save)
 
@@ -287,7 +296,7 @@
         if pending is None:
             return
         if is_sent:
-            # The claim may have been granted although its answer did not come. Nothing was
-            # run under it, so it is given back.
+            # The claim may have been granted although its answer was lost. Nothing was run under
+            # it, so release it.
             self.finish(pending.key, codes.Ran.NO, None)
         pending.on_answer(ClaimResult(None))
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -1,7 +1,7 @@
-"""Fetches the load reports of upstreams: Prometheus text, in the names that vLLM publishes.
+"""Fetches load reports of upstreams: Prometheus text with vLLM's metric names.
 
-An entry fetches its part of the reports and gets the others from its neighbours in the hall; see
-:mod:`~spoolhead._internal.policy.reporting`.
+An entry fetches a share of the reports and receives the others from its neighbours, the other
+entries of its hall; see :mod:`~spoolhead._internal.policy.reporting`.
 """
 
 import logging
@@ -24,10 +24,10 @@
 FETCH_TIMEOUT_INTERVALS = 8
 
 OTHER_HALL_INTERVAL_TURNS = 4
-"""Turns between two fetches from an upstream of another hall."""
+"""Intervals between two fetches from an upstream of another hall."""
 
 MAX_MISSED_TURNS = 3
-"""Turns without a neighbour's report after which an entry fetches it itself."""
+"""Intervals without a neighbour's report after which an entry fetches it itself."""
 
 _RUNNING = "vllm:num_requests_running"
 _WAITING = "vllm:num_requests_waiting"
@@ -37,12 +37,12 @@
 
 
 def parse_report(text: str, received_s: float) -> load_report.LoadReport:
-    """Read a load report.
+    """Parse a load report.
 
-    :param text: the report's text; what it does not name counts as 0.
-    :param received_s: monotonic time of its arrival.
-    :raises ValueError: if it is not in the format.
-    :raises OverflowError: if a number in it has no bound.
+    :param text: the report's text; missing metrics count as 0.
+    :param received_s: monotonic time of its arrival, in seconds.
+    :raises ValueError: if the text is malformed or a value is NaN.
+    :raises OverflowError: if a value is infinite.
     """
     values: dict[str, float] = {}
     capacity = 0
@@ -64,7 +64,7 @@
 
 
 class _Fetch:
-    """One fetch under way."""
+    """A fetch in progress."""
 
     def __init__(self, owner: "LoadReports", replica: replicas.Replica, now_s: float) -> None:
         self._owner = owner
@@ -94,15 +94,16 @@
 
 
 class LoadReports:
-    """Fetches the report of each upstream again and again.
+    """Fetches the upstreams' load reports at a fixed interval.
 
-    :param loop: root of the program.
-    :param config: interval of the fetches.
-    :param calls: makes requests to upstreams.
-    :param owner: knows the upstreams.
+    :param loop: the program's event loop.
+    :param config: settings with the interval between fetches.
+    :param calls: sends requests to upstreams.
+    :param dispatcher: lists the upstreams and receives their reports.
     :param neighbours: the other entries of the hall.
-    :param collector: metrics.
-    :param hall: hall of the entry; upstreams of other halls are asked less often.
+    :param collector: receives metrics.
+    :param hall: hall of the entry; upstreams of other halls are fetched less often.
+    :ivar fetched_counts: reports fetched by this entry, by upstream.
     """
 
     def __init__(
@@ -110,7 +111,7 @@
         loop: loops.Loop,
         config: settings.UpstreamSettings,
         calls: upstream_calls.UpstreamCalls,
-        owner: dispatchers.Dispatcher,
+        dispatcher: dispatchers.Dispatcher,
         neighbours: entry_neighbours.Neighbours,
         collector: metrics.Metrics,
         hall: str,
@@ -122,18 +123,18 @@
         self.fetched_counts: dict[str, int] = {}
         self._interval_s = config.report_interval_ms / 1000
         self._calls = calls
-        self._owner = owner
+        self._dispatcher = dispatcher
         self._metrics = collector
         self._fetches: dict[str, _Fetch] = {}
         loop.scheduler.call_every(self._interval_s, self._fetch_all)
 
     def handle_answer(self, replica: replicas.Replica, body: bytes) -> None:
-        """Take a report that has come."""
+        """Handle a fetched report."""
         self._fetches.pop(replica.name, None)
         try:
             report = parse_report(body.decode("utf-8"), clocks.get_s())
         except (ValueError, OverflowError) as error:
-            logger.warning("report of %s cannot be read: %s", replica.name, error)
+            logger.warning("cannot parse load report of %s: %s", replica.name, error)
             return
         count = self.fetched_counts.get(replica.name, 0)
         self.fetched_counts[replica.name] = count + 1
@@ -142,21 +143,21 @@
             amount = report.preemptions - known.preemptions
             self._metrics.count(metrics.Metric.PREEMPTIONS, amount)
         self._fetched.append(entry_neighbours.NamedReport(replica.name, report))
-        self._owner.handle_report(replica, report)
+        self._dispatcher.handle_report(replica, report)
 
     def handle_neighbour_report(self, reports: Sequence[entry_neighbours.NamedReport]) -> None:
-        """Take reports that a neighbour has fetched, those newer than what is known."""
+        """Apply reports fetched by a neighbour that are newer than the known ones."""
         for item in reports:
-            replica = self._owner.get_upstream(item.upstream)
+            replica = self._dispatcher.get_upstream(item.upstream)
             if replica is None:
                 continue
             if replica.report is None or item.report.received_s > replica.report.received_s:
-                self._owner.handle_report(replica, item.report)
+                self._dispatcher.handle_report(replica, item.report)
 
     def handle_failure(self, replica: replicas.Replica, reason: str) -> None:
-        """Note a fetch that failed; the last report grows old."""
+        """Handle a failed fetch; the last report stays in use and ages."""
         self._fetches.pop(replica.name, None)
-        logger.debug("report of %s not fetched: %s", replica.name, reason)
+        logger.debug("cannot fetch load report of %s: %s", replica.name, reason)
 
     def _fetch_all(self) -> None:
         now_s = clocks.get_s()
@@ -165,12 +166,12 @@
         self._fetched = []
         self._turn += 1
         live_entries = self._neighbours.get_live_entries(now_s)
-        for replica in self._owner.upstreams:
+        for replica in self._dispatcher.upstreams:
             if replica.name not in self._fetches and self._is_due(replica, live_entries, now_s):
                 self._fetch(replica, now_s)
 
     def _is_due(self, replica: replicas.Replica, live_entries: Sequence[str], now_s: float) -> bool:
-        """Whether this entry is to fetch a report in this turn."""
+        """Return whether this entry fetches the upstream's report in this interval."""
         is_near = replica.row.hall == self._hall
         interval = 1 if is_near else OTHER_HALL_INTERVAL_TURNS
         if reporting.get_fetcher(replica.name, live_entries) == live_entries[0]:
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -1,4 +1,4 @@
-"""The other entries of the hall: load reports are sent to them and taken from them."""
+"""Exchanges load reports with the other entries of the hall, called neighbours."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,10 +12,10 @@
 
 
 class NamedReport:
-    """A load report and whose it is.
+    """A load report with the name of its upstream.
 
     :ivar upstream: name of the upstream.
-    :ivar report: its report.
+    :ivar report: the upstream's report.
     """
 
     __slots__ = ("report", "upstream")
@@ -30,7 +30,7 @@
 
     :ivar name: its name.
     :ivar hall: its hall.
-    :ivar address: ``IP:PORT`` at which its neighbours reach it.
+    :ivar address: ``IP:PORT`` of its control port.
     """
 
     __slots__ = ("address", "hall", "name")
@@ -42,7 +42,7 @@
 
 
 class _Neighbour:
-    """A stream from another entry of the hall."""
+    """Connection that receives reports from another entry of the hall."""
 
     def __init__(self, owner: "Neighbours", member: Member) -> None:
         self._owner = owner
@@ -50,21 +50,21 @@
         self.client = owner.make_client(member, self)
 
     def on_peer_ready(self) -> None:
-        """Do nothing: the other side sends by itself."""
+        """Do nothing: the peer sends reports without being asked."""
 
     def on_peer_lost(self) -> None:
-        """Do nothing: silence counts, not the stream."""
+        """Do nothing: a neighbour is judged by the time of its last message."""
 
     def on_peer_message(self, message: messages.Message) -> None:
-        """Take reports."""
+        """Handle a message with reports."""
         if isinstance(message, messages.Reports):
             self._owner.handle_reports(message)
 
 
 class Neighbours:
-    """Streams to and from the other entries of the hall.
+    """Connections to and from the other entries of the hall.
 
-    :param loop: root of the program.
+    :param loop: the program's event loop.
     :param outgoing: the program's outgoing connections.
     :param config: the entry's settings.
     :param on_reports: called with reports that a neighbour has fetched.
@@ -85,7 +85,7 @@
         self._sessions: set[peer_server.PeerSession] = set()
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Connect to those of the hall, and drop streams to those that are gone."""
+        """Connect to the entries of this hall and close connections to those that have left."""
         wanted = {
             item.name: item
             for item in members
@@ -100,7 +100,7 @@
                 self._neighbours[name] = _Neighbour(self, member)
 
     def make_client(self, member: Member, user: _Neighbour) -> peer_client.PeerClient:
-        """Make the stream from a neighbour."""
+        """Connect to a neighbour."""
         return peer_client.PeerClient(
             self._loop,
             self._outgoing,
@@ -112,7 +112,7 @@
         )
 
     def get_live_entries(self, now_s: float) -> list[str]:
-        """Return the names of this entry and of the neighbours heard of lately."""
+        """Return the names of this entry, first, and of all neighbours that are not silent."""
         live_names = [
             name
             for name, item in self._neighbours.items()
@@ -121,15 +121,15 @@
         return [self._config.name, *live_names]
 
     def add_session(self, session: peer_server.PeerSession) -> None:
-        """Send reports to a neighbour from now on."""
+        """Start sending reports to a neighbour."""
         self._sessions.add(session)
 
     def remove_session(self, session: peer_server.PeerSession) -> None:
-        """Send nothing more to a neighbour."""
+        """Stop sending reports to a neighbour."""
         self._sessions.discard(session)
 
     def broadcast_reports(self, reports: Sequence[NamedReport]) -> None:
-        """Send reports that this entry has fetched to its neighbours."""
+        """Send reports that this entry has fetched to all neighbours."""
         if not reports or not self._sessions:
             return
         now_s = clocks.get_s()
@@ -140,13 +140,16 @@
             session.send_encoded(data)
 
     def handle_reports(self, message: messages.Reports) -> None:
-        """Take reports that a neighbour has fetched."""
+        """Handle reports that a neighbour has fetched."""
         now_s = clocks.get_s()
         self._on_reports([unpack(item, now_s=now_s) for item in message.items])
 
 
 def pack(item: NamedReport, *, now_s: float) -> list[object]:
-    """Return a report for a message, with its age instead of a time of this machine's clock."""
+    """Encode a report for a message.
+
+    The age is sent instead of the time of arrival, since machines have different monotonic clocks.
+    """
     report = item.report
     return [
         item.upstream,
@@ -160,15 +163,15 @@
 
 
 def unpack(item: object, *, now_s: float) -> NamedReport:
-    """Make a report from what :func:`pack` returned on another machine.
+    """Decode a report that :func:`pack` encoded on another machine.
 
-    :raises messages.MessageError: if it is none.
+    :raises messages.MessageError: if the item is malformed.
     """
     if not isinstance(item, list) or len(item) != 7:
-        raise messages.MessageError("not a report")
+        raise messages.MessageError("malformed load report")
     upstream, *numbers = item
     if not isinstance(upstream, str) or not all(isinstance(number, int) for number in numbers):
-        raise messages.MessageError("not a report")
+        raise messages.MessageError("malformed load report")
     running, waiting, used, capacity, preemptions, age_ms = numbers
     report = load_report.LoadReport(
         running=running,
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -1,8 +1,8 @@
-"""Requests with a key under which they may run only once, across all entries.
+"""Requests with an idempotency key, which run at most once across all entries.
 
-The key is claimed from a keeper before anything is sent, and the claim is on the keeper's disk
-before it is granted. So a resend through another entry, at any time, finds the claim: it gets
-the first answer, or is told that the outcome is not known; it never runs again.
+An entry claims the key from a keeper before it sends the request, and the keeper stores the claim
+on disk before granting it. A resend through any entry finds the claim: it gets the first answer or
+an error that the outcome is unknown, and never runs again.
 """
 
 import hashlib
@@ -27,11 +27,12 @@
 
 
 class OnceRequests:
-    """Runs requests under claims.
+    """Runs requests whose keys were claimed successfully.
 
-    :param dispatcher: runs what was granted.
-    :param decisions: remembers what was refused.
-    :param keeper: grants claims.
+    :param dispatcher: runs the requests.
+    :param decisions: records refusals.
+    :param keeper: connection to the keeper that grants claims.
+    :ivar claiming_count: claims that wait for an answer.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         self.claiming_count = 0
 
     def submit(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
-        """Claim the request's key and run the request if that is granted."""
+        """Claim the request's key and run the request if the claim is granted."""
         key = make_claim_key(request)
         self.claiming_count += 1
 
@@ -112,9 +113,9 @@
             code, ran = _REFUSALS[state], codes.Ran.UNKNOWN
         if code is codes.ResultCode.ONCE_KEY_REUSED:
             ran = codes.Ran.NO
-        item = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
+        cause = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
         self._decisions.record_refusal(
-            request.request_id, request.workspace, item, request.arrived_s
+            request.request_id, request.workspace, cause, request.arrived_s
         )
         may_retry = code in (
             codes.ResultCode.ONCE_CLAIM_UNAVAILABLE,
@@ -122,7 +123,7 @@
         )
         answers.send_error(
             caller,
-            item,
+            cause,
             ran=ran,
             request_id=request.request_id,
             retry_after_ms=CLAIM_RETRY_AFTER_MS if may_retry else None,
@@ -130,12 +131,12 @@
 
 
 def make_claim_key(request: requests.CallerRequest) -> str:
-    """Return the key that is claimed: unique to workspace, service and the sender's key."""
+    """Return the key to claim, which combines workspace, service and the caller's key."""
     return "\n".join((request.workspace, request.service_name, request.once_key))
 
 
 def make_fingerprint(request: requests.CallerRequest) -> bytes:
-    """Return a digest that tells a resend from another request under the same key."""
+    """Return a digest that distinguishes a resend from another request with the same key."""
     digest = hashlib.sha256()
     for part in (request.method.encode(), request.target.encode("latin-1"), request.body):
         digest.update(len(part).to_bytes(8, "big"))
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry program: puts its parts together and runs them."""
+"""The entry program: creates its components, connects them and runs them."""
 
 import logging
 import pathlib
@@ -33,18 +33,18 @@
 
 STOP_RETRY_AFTER_MS = 1_000
 UNCONFIRMED_RETRY_AFTER_MS = 1_000
-"""When a caller should come back to an entry that no keeper confirms: a keeper that runs is found
-within the longest pause between two tries, two seconds."""
+"""``Retry-After`` while no keeper confirms the table; a running keeper is found within the maximum
+reconnect delay of two seconds."""
 STOP_CHECK_S = 0.05
 STOP_CONFIRM_S = 2.0
-"""Longest wait, once all requests have ended, for a keeper to confirm their ends."""
+"""Maximum wait, after all requests have ended, for a keeper to confirm finished claims."""
 
 
 class Entry:
-    """One entry instance's program.
+    """The components of one entry process.
 
-    :param config: its settings.
-    :param policies: what decides.
+    :param config: the entry's settings.
+    :param policies: admission, placement, pace and retry policies.
     """
 
     def __init__(self, config: settings.EntrySettings, policies: policy_set.PolicySet) -> None:
@@ -114,7 +114,7 @@
             self._send_metrics(config.statsd)
 
     def run(self) -> None:
-        """Serve until told to stop and all that is in flight has ended."""
+        """Serve until a stop is requested and all requests in flight have ended."""
         fields = {
             "callers": self._front.address,
             "control": self._control.address,
@@ -124,24 +124,24 @@
         self._loop.run()
 
     def on_table(self) -> None:
-        """Take over another version of the table."""
+        """Apply a new version of the table."""
         self._dispatcher.update_upstreams()
 
     def on_members(self, members: Sequence[neighbours.Member]) -> None:
-        """Take over which entries share the upstreams."""
+        """Apply the set of entries that share the upstreams."""
         self._dispatcher.set_entry_count(len(members))
         self._neighbours.set_members(members)
 
     def on_keeper_ready(self) -> None:
-        """Tell a keeper what is known of contents that may end upstreams; it may be new."""
+        """Send all records of suspect contents to a newly connected keeper, which may lack them."""
         self._keeper.send_contents(self._contents.get_all())
 
     def on_contents(self, records: held_contents.Records) -> None:
-        """Take over what a keeper passes on of contents that may end upstreams."""
+        """Merge records of contents that may crash upstreams, relayed by a keeper."""
         self._contents.merge_records(self._keeper.keeper_address, records)
 
     def get_status(self) -> control.Status:
-        """Return the entry's status, for operators and readiness."""
+        """Return the entry's status, for operators."""
         now_s = clocks.get_s()
         upstreams = [
             {
@@ -195,17 +195,17 @@
             self._answer_probe(caller, path, request_id)
             return
         self._metrics.count(metrics.Metric.REQUESTS)
-        item = self._get_availability_fault()
-        if item is not None:
-            self._refuse(caller, request_id, "", item, now_s, STOP_RETRY_AFTER_MS)
+        cause = self._get_availability_fault()
+        if cause is not None:
+            self._refuse(caller, request_id, "", cause, now_s, STOP_RETRY_AFTER_MS)
             return
-        owner = api.get_workspace(caller.request, self._table)
-        if owner.is_error():
-            self._refuse_by_table(caller, request_id, "", owner.error, now_s)
+        workspace = api.get_workspace(caller.request, self._table)
+        if workspace.is_error():
+            self._refuse_by_table(caller, request_id, "", workspace.error, now_s)
         elif path == api.MODELS_PATH or path.startswith(f"{api.MODELS_PATH}/"):
-            self._answer_models(caller, owner.ok, path, request_id, now_s)
+            self._answer_models(caller, workspace.ok, path, request_id, now_s)
         else:
-            self._handle_service_request(caller, owner.ok, request_id, now_s)
+            self._handle_service_request(caller, workspace.ok, request_id, now_s)
 
     def _handle_service_request(
         self, caller: caller_front.Caller, workspace: str, request_id: str, now_s: float
@@ -230,8 +230,8 @@
 
     def _answer_probe(self, caller: caller_front.Caller, path: str, request_id: str) -> None:
         if caller.request.method not in ("GET", "HEAD"):
-            item = fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes GET")
-            answers.send_error(caller, item, ran=codes.Ran.NO, request_id=request_id)
+            cause = fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes GET")
+            answers.send_error(caller, cause, ran=codes.Ran.NO, request_id=request_id)
         elif path == api.LIVE_PATH:
             answers.send_json(caller, 200, {"live": True})
         else:
@@ -253,8 +253,8 @@
         now_s: float,
     ) -> None:
         if caller.request.method not in ("GET", "HEAD"):
-            item = fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes GET")
-            answers.send_error(caller, item, ran=codes.Ran.NO, request_id=request_id)
+            cause = fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes GET")
+            answers.send_error(caller, cause, ran=codes.Ran.NO, request_id=request_id)
             return
         names = self._table.workspaces[workspace].models
         models = [
@@ -266,55 +266,56 @@
         elif wanted in names:
             answers.send_json(caller, 200, models[names.index(wanted)])
         else:
-            item = fault.Fault(codes.ResultCode.UNKNOWN_MODEL, f"no model is named {wanted}")
-            self._refuse_by_table(caller, request_id, workspace, item, now_s)
+            cause = fault.Fault(codes.ResultCode.UNKNOWN_MODEL, f"no model is named {wanted}")
+            self._refuse_by_table(caller, request_id, workspace, cause, now_s)
 
     def _refuse_by_table(
         self,
         caller: caller_front.Caller,
         request_id: str,
         workspace: str,
-        item: fault.Fault,
+        cause: fault.Fault,
         now_s: float,
     ) -> None:
-        """Refuse what is wrong with a request, some of it by the table.
+        """Refuse a request for a cause that may depend on the table.
 
-        Callers take that as final. While no keeper confirms the table, as after a start from the
-        saved copy, the key or the model may be new, and they are told to come back instead.
+        Callers treat such a refusal as final. While no keeper confirms the table, for example after
+        a start from the saved copy, the key or model may exist in a newer version, so the caller
+        is asked to retry instead.
         """
-        if item.code in codes.TABLE_REFUSALS and self._keeper.unconfirmed_ms:
-            unconfirmed = fault.make_unconfirmed_fault(item)
+        if cause.code in codes.TABLE_REFUSALS and self._keeper.unconfirmed_ms:
+            unconfirmed = fault.make_unconfirmed_fault(cause)
             after_ms = UNCONFIRMED_RETRY_AFTER_MS
             self._refuse(caller, request_id, workspace, unconfirmed, now_s, after_ms)
         else:
-            self._refuse(caller, request_id, workspace, item, now_s)
+            self._refuse(caller, request_id, workspace, cause, now_s)
 
     def _refuse(
         self,
         caller: caller_front.Caller,
         request_id: str,
         workspace: str,
-        item: fault.Fault,
+        cause: fault.Fault,
         now_s: float,
         retry_after_ms: int | None = None,
     ) -> None:
-        self._decisions.record_refusal(request_id, workspace, item, now_s)
+        self._decisions.record_refusal(request_id, workspace, cause, now_s)
         answers.send_error(
             caller,
-            item,
+            cause,
             ran=codes.Ran.NO,
             request_id=request_id,
             retry_after_ms=retry_after_ms,
         )
 
-    def _refuse_malformed(self, caller: caller_front.Caller, item: fault.Fault) -> None:
+    def _refuse_malformed(self, caller: caller_front.Caller, cause: fault.Fault) -> None:
         request_id = f"{self._config.name}-{secrets.token_hex(8)}"
-        self._refuse(caller, request_id, "", item, clocks.get_s())
+        self._refuse(caller, request_id, "", cause, clocks.get_s())
 
     def _begin_stop(self) -> None:
         self._is_stopping = True
         self._idle_since_s = clocks.get_s()
-        logger.info("stopping; %d requests are in flight", self._dispatcher.request_count)
+        logger.info("stopping with %d requests in flight", self._dispatcher.request_count)
         self._loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
@@ -346,9 +347,9 @@
 
 
 def run(config: settings.EntrySettings) -> None:
-    """Run an entry until it is told to stop.
+    """Run an entry until a stop is requested.
 
-    :param config: its settings.
-    :raises exceptions.SpoolheadError: if it cannot start.
+    :param config: the entry's settings.
+    :raises exceptions.SpoolheadError: if the entry cannot start.
     """
     Entry(config, policy_set.PolicySet()).run()
--- a/src/spoolhead/_internal/entry/relayed_answers.py
+++ b/src/spoolhead/_internal/entry/relayed_answers.py
@@ -1,4 +1,7 @@
-"""What a caller gets around an upstream's answer, and what the answer tells; no I/O."""
+"""Headers for answers relayed from upstreams, and the token usage that answers report.
+
+Performs no I/O.
+"""
 
 import json
 
@@ -26,7 +29,7 @@
 def make_stream_headers(
     request: requests.CallerRequest, shared_key: str, *, upstream: str, generation: str
 ) -> requests.Headers:
-    """Return the headers of a streamed answer, with the token to go on with it elsewhere.
+    """Return the headers of a streamed answer, with a token to resume it through any entry.
 
     :param shared_key: the fleet's secret.
     :param upstream: name of the upstream that runs the generation.
@@ -50,13 +53,13 @@
 
 
 def make_whole_headers(headers: requests.Headers, request_id: str) -> requests.Headers:
-    """Return the headers of an answer that was held until it was whole."""
-    passed = [item for item in headers if item[0] not in _DROPPED_HEADERS]
-    return [*passed, (api.REQUEST_ID_HEADER, request_id)]
+    """Return the headers of an answer that was buffered until it was complete."""
+    forwarded = [item for item in headers if item[0] not in _DROPPED_HEADERS]
+    return [*forwarded, (api.REQUEST_ID_HEADER, request_id)]
 
 
 def get_usage_tokens(body: bytes) -> int:
-    """Return the tokens that an engine says it has generated; 0 where it does not say."""
+    """Return the generated tokens that an engine's answer reports; 0 if it reports none."""
     try:
         tokens = json.loads(body)["usage"]["completion_tokens"]
     except (ValueError, KeyError, TypeError):
--- a/src/spoolhead/_internal/entry/stream_token.py
+++ b/src/spoolhead/_internal/entry/stream_token.py
@@ -1,7 +1,7 @@
-"""Tokens by which a caller goes on with its own generation through any entry.
+"""Signed tokens with which a caller resumes its own generation through any entry.
 
-A token names the workspace, the service, the upstream and the generation, and is signed with
-the fleet's shared key. So no entry needs to remember it, and nobody else's token will do.
+A token contains the workspace, service, upstream and generation, and is signed with the fleet's
+shared key. Entries therefore store no tokens, and callers cannot forge them.
 """
 
 import base64
@@ -17,10 +17,10 @@
 class StreamToken:
     """Content of a token.
 
-    :ivar workspace: workspace whose answer it is.
-    :ivar service: model.
-    :ivar upstream: upstream that runs the generation.
-    :ivar generation: id of the generation there.
+    :ivar workspace: workspace that owns the answer.
+    :ivar service: name of the model.
+    :ivar upstream: name of the upstream that runs the generation.
+    :ivar generation: id of the generation at the upstream.
     """
 
     __slots__ = ("generation", "service", "upstream", "workspace")
@@ -33,7 +33,7 @@
 
 
 def make_token(shared_key: str, content: StreamToken) -> str:
-    """Return a token as text that fits a path."""
+    """Return a signed token as text that is safe in a URL path."""
     fields = [content.workspace, content.service, content.upstream, content.generation]
     payload = msgpack.packb(fields)
     data = _sign(shared_key, payload) + payload
@@ -41,7 +41,7 @@
 
 
 def parse_token(shared_key: str, text: str) -> StreamToken | None:
-    """Return a token's content, or None for one that this fleet has not made."""
+    """Return a token's content, or None if it was not signed with this fleet's key."""
     try:
         data = base64.b64decode(text + "=" * (-len(text) % 4), altchars=b"-_", validate=True)
     except (binascii.Error, ValueError):
--- a/src/spoolhead/_internal/entry/upstream_pools.py
+++ b/src/spoolhead/_internal/entry/upstream_pools.py
@@ -1,4 +1,4 @@
-"""The table's upstreams as an entry uses them: what it knows of each, and a pool a service."""
+"""State of the table's upstreams at an entry, and a pool of usable upstreams for each service."""
 
 from collections.abc import Callable, Mapping
 
@@ -7,9 +7,9 @@
 
 
 class UpstreamPools:
-    """Upstreams by name, and by service those that may get work.
+    """All upstreams by name, and for each service the upstreams that may receive requests.
 
-    :param on_address_unused: called with an address to which no connection need be kept.
+    :param on_address_unused: called with an address whose idle connections can be closed.
     """
 
     def __init__(self, on_address_unused: Callable[[str], None]) -> None:
@@ -18,15 +18,15 @@
         self._replicas: dict[str, replicas.Replica] = {}
 
     def get_all(self) -> list[replicas.Replica]:
-        """Return all upstreams, those leaving included."""
+        """Return all upstreams, including those that are leaving."""
         return list(self._replicas.values())
 
     def get(self, name: str) -> replicas.Replica | None:
-        """Return an upstream, or None."""
+        """Return the upstream with the given name, or None."""
         return self._replicas.get(name)
 
     def get_pool(self, service: str) -> placement.Pool | None:
-        """Return the upstreams of a service that may get work; None if it never had any."""
+        """Return the usable upstreams of a service; None if it never had any."""
         return self._pools.get(service)
 
     def update(
@@ -37,12 +37,15 @@
         *,
         is_new: bool,
     ) -> None:
-        """Take over the table's upstreams.
+        """Apply the table's upstreams.
 
-        One that leaves or whose hall is evacuated is in no pool from here on.
+        An upstream that is leaving or whose hall is evacuated is removed from its pool.
 
+        :param table_rows: the table's upstreams.
         :param halls: the table's halls.
-        :param is_new: an upstream that is not known yet has just come, so it starts slowly.
+        :param now_s: monotonic time in seconds.
+        :param is_new: whether upstreams seen for the first time have just been added to the table,
+            so that they start slowly.
         """
         for name in list(self._replicas):
             if name not in table_rows:
--- a/src/spoolhead/_internal/policy/admission.py
+++ b/src/spoolhead/_internal/policy/admission.py
@@ -1,9 +1,10 @@
-"""Which waiting request goes next, and which is refused; no clock, no I/O.
+"""Admission and queueing: which requests wait, which is next and which are refused.
 
-Each service has its own queue, so that a full engine holds up nobody who asks for another.
-Within a service the order is by priority, raised by waiting so that nobody starves, and then
-by what each workspace has consumed relative to its weight. Consumption is counted in tokens
-really produced, because the length of an answer is not known when it starts.
+Each service has its own queue, so that a full engine does not delay requests for other services.
+Within a service, requests are ordered by priority, which rises with waiting time so that no request
+starves, and then by the tokens that their workspace has consumed relative to its weight.
+Consumption is charged as tokens are generated, because the length of an answer is not known when
+it starts. Performs no I/O; the current time is passed in.
 """
 
 import collections
@@ -14,35 +15,36 @@
 from spoolhead._internal.models import codes, fault, rows
 
 AGING_MS_PER_PRIORITY = 4_000
-"""Waiting that counts as much as one step of priority."""
+"""Waiting time that raises a request by one priority level."""
 
 START_CHARGE_TOKENS = 16.0
-"""Charged when a request starts, so that a burst of starts is not free until tokens come."""
+"""Tokens charged when a request starts, so that a burst of starts is not free until the first
+tokens are generated."""
 
 RATE_SMOOTHING = 0.95
-"""Weight of the past in the rate of starts."""
+"""Weight of the previous average in the moving average of the gap between starts."""
 
 IDLE_GAP_FRACTION = 1 / 4
-"""Part of a pause in the starts that counts as their rate, before the next start ends it."""
+"""Fraction of the time since the last start that the estimated gap between starts is at least."""
 
 MAX_BYPASS_S = 1.0
-"""Time for which smaller requests may pass one that fits nowhere."""
+"""Time for which other requests may bypass the next one while no upstream has room for it."""
 
 MIN_RETRY_AFTER_MS = 500
 MAX_RETRY_AFTER_MS = 60_000
 
 
 class WaitingRequest:
-    """One request on its way to an upstream.
+    """A request that waits for an upstream.
 
-    :ivar request_id: its id.
-    :ivar workspace: who asked.
-    :ivar service: for what.
+    :ivar request_id: id of the request.
+    :ivar workspace: workspace that sent it.
+    :ivar service: requested service.
     :ivar arrived_s: monotonic time of its arrival, in seconds.
-    :ivar deadline_s: monotonic time by which its answer must be complete.
-    :ivar owner: what the user of this module keeps with it.
-    :ivar bypassed_since_s: monotonic time since when it was next and fitted nowhere; None where
-        that is not so.
+    :ivar deadline_s: monotonic time by which its answer must be complete, in seconds.
+    :ivar owner: the dispatcher's object for the request; not used here.
+    :ivar bypassed_since_s: monotonic time at which it was first next in order while no upstream
+        had room, in seconds; None if that has not happened.
     """
 
     __slots__ = (
@@ -74,10 +76,10 @@
         self.bypassed_since_s: float | None = None
 
     def may_be_bypassed(self, now_s: float) -> bool:
-        """Tell whether others may go first, now that this one is next and fits nowhere.
+        """Return whether other requests may go first while no upstream has room for this one.
 
-        Keeping everybody else waiting for it would leave room unused; letting them pass for
-        ever would starve it, as there is always something smaller.
+        Blocking all others would leave capacity unused. Letting them bypass it without limit would
+        starve it, as there is always a smaller request.
         """
         if self.bypassed_since_s is None:
             self.bypassed_since_s = now_s
@@ -85,10 +87,10 @@
 
 
 class Refusal:
-    """A refusal.
+    """Refusal of a request.
 
-    :ivar fault: why.
-    :ivar retry_after_ms: when to come back; None to say nothing of it.
+    :ivar fault: the reason.
+    :ivar retry_after_ms: value of ``Retry-After`` in milliseconds; None omits the header.
     """
 
     __slots__ = ("fault", "retry_after_ms")
@@ -99,7 +101,7 @@
 
 
 class _Account:
-    """What one workspace does at this entry."""
+    """Requests and consumption of one workspace at this entry."""
 
     __slots__ = ("balance_tokens", "consumed", "refilled_s", "running", "waiting")
 
@@ -112,7 +114,7 @@
 
 
 class _Queue:
-    """Waiting requests of one service, by workspace, and how fast they start."""
+    """Waiting requests of one service, by workspace, and the average gap between their starts."""
 
     __slots__ = ("by_workspace", "last_start_s", "start_gap_s", "total")
 
@@ -124,10 +126,10 @@
 
 
 class Admission:
-    """Queues and limits of one entry.
+    """Queues requests and enforces the limits of workspaces at one entry.
 
-    :param table_rows: rows of the workspaces by name; the live mapping, so that an edit counts
-        for what already waits.
+    :param table_rows: workspace rows by name; the live mapping of the table, so that edits apply
+        to requests that already wait.
     """
 
     def __init__(self, table_rows: Mapping[str, rows.WorkspaceRow]) -> None:
@@ -137,28 +139,29 @@
 
     @property
     def waiting_count(self) -> int:
-        """Requests waiting in all queues."""
+        """Number of requests that wait in all queues."""
         return sum(queue.total for queue in self._queues.values())
 
     @property
     def waiting_services(self) -> list[str]:
-        """Services that have requests waiting."""
+        """Services that have waiting requests."""
         return [name for name, queue in self._queues.items() if queue.total]
 
     def get_running(self, workspace: str) -> int:
-        """Requests of a workspace that run."""
+        """Return the number of running requests of a workspace."""
         account = self._accounts.get(workspace)
         return account.running if account else 0
 
     def offer(self, waiting: WaitingRequest, now_s: float) -> expression.Result[None, Refusal]:
-        """Take a request into its queue, or refuse it at once.
+        """Queue a request, or refuse it at once.
 
-        :returns: nothing, or the refusal: the queue is full, or the wait would be too long.
+        :returns: None, or a refusal if the queue is full or the expected wait exceeds the deadline.
         """
         row = self._rows[waiting.workspace]
         account = self._get_account(waiting.workspace, now_s)
         queue = self._queues.setdefault(waiting.service, _Queue())
-        # One that could start at once is not waiting, so a row may allow no waiting at all.
+        # A request that could start at once does not count as waiting, so that a row with
+        # max_waiting = 0 still admits requests.
         allowed = row.max_waiting + max(0, row.max_running - account.running)
         if account.waiting >= allowed:
             text = f"workspace {waiting.workspace} has {account.waiting} requests waiting"
@@ -171,7 +174,7 @@
         return expression.Ok(None)
 
     def put_back(self, waiting: WaitingRequest, now_s: float) -> None:
-        """Take a request that could not run after all back to the head of its queue."""
+        """Put a request whose attempt failed back at the head of its queue."""
         account = self._get_account(waiting.workspace, now_s)
         queue = self._queues.setdefault(waiting.service, _Queue())
         own = queue.by_workspace.setdefault(waiting.workspace, collections.deque())
@@ -180,9 +183,9 @@
         account.waiting += 1
 
     def iterate(self, service: str, now_s: float) -> Iterator[WaitingRequest]:
-        """Yield the requests that may start, the next one first, one for each workspace.
+        """Yield the first request of each workspace that may start one, in order of rank.
 
-        Stop iterating after :meth:`start`: what follows was computed before.
+        Stop iterating after a call of :meth:`start`: the order is not computed again.
         """
         queue = self._queues.get(service)
         if queue is None:
@@ -197,24 +200,24 @@
             yield item
 
     def start(self, waiting: WaitingRequest, now_s: float) -> None:
-        """Move a request from its queue to those that run."""
+        """Remove a request from its queue and count it as running."""
         self._remove(waiting)
         self.start_unqueued(waiting.workspace, now_s)
         queue = self._queues[waiting.service]
         if queue.last_start_s is not None:
             gap_s = now_s - queue.last_start_s
-            known_s = queue.start_gap_s if queue.start_gap_s is not None else gap_s
-            queue.start_gap_s = RATE_SMOOTHING * known_s + (1 - RATE_SMOOTHING) * gap_s
+            average_s = queue.start_gap_s if queue.start_gap_s is not None else gap_s
+            queue.start_gap_s = RATE_SMOOTHING * average_s + (1 - RATE_SMOOTHING) * gap_s
         queue.last_start_s = now_s if queue.total else None
 
     def start_unqueued(self, workspace: str, now_s: float) -> None:
-        """Count a request as running that did not wait here."""
+        """Count a request as running that was not queued."""
         account = self._get_account(workspace, now_s)
         account.running += 1
         self.charge(workspace, START_CHARGE_TOKENS, now_s)
 
     def charge(self, workspace: str, tokens: float, now_s: float) -> None:
-        """Charge tokens really produced."""
+        """Charge generated tokens to a workspace."""
         account = self._get_account(workspace, now_s)
         row = self._rows.get(workspace)
         account.consumed += tokens / (row.weight if row else 1.0)
@@ -227,13 +230,14 @@
         self._remove_if_idle(workspace)
 
     def withdraw(self, waiting: WaitingRequest) -> None:
-        """Take a request out of its queue, because its caller left."""
+        """Remove a request from its queue because its caller left."""
         self._remove(waiting)
         self._remove_if_idle(waiting.workspace)
 
     def pop_overdue(self, now_s: float) -> list[WaitingRequest]:
-        """Take out every request that can no longer be served: past its deadline, or its
-        workspace was removed from the table.
+        """Remove and return all requests that can no longer be served.
+
+        These are past their deadline, or their workspace was removed from the table.
         """
         overdue = [
             item
@@ -247,7 +251,7 @@
         return overdue
 
     def pop_all(self, service: str) -> list[WaitingRequest]:
-        """Take out everything that waits for a service."""
+        """Remove and return all waiting requests of a service."""
         queue = self._queues.get(service)
         if queue is None:
             return []
@@ -257,7 +261,7 @@
         return waiting
 
     def get_retry_after_ms(self, service: str, now_s: float) -> int:
-        """Return when a caller should come back: about when the queue has moved on."""
+        """Return a ``Retry-After`` value: about the time until the current queue has started."""
         queue = self._queues.get(service)
         gap_s = self._get_gap_s(queue, now_s) if queue is not None else None
         if queue is None or gap_s is None:
@@ -298,8 +302,8 @@
         if gap_s is None or not queue.total:
             return 0.0
         own = queue.by_workspace.get(waiting.workspace, ())
-        # Turns are shared, so a request waits for its own workspace's queue times the number
-        # of workspaces that take turns with it, or for everybody if that is less.
+        # Workspaces take turns, so a request waits for its own workspace's queue times the number
+        # of waiting workspaces, or for the whole queue if that is shorter.
         ahead = min(queue.total, (len(own) + 1) * max(1, len(queue.by_workspace)))
         return gap_s * ahead
 
@@ -317,8 +321,8 @@
         account.waiting += 1
 
     def _level_consumption(self, account: _Account) -> None:
-        # A workspace that was away must not claim the turns it did not use, or it would hold
-        # everybody else up for as long as it was away.
+        # An idle workspace must not accumulate unused turns, or it would delay all others for as
+        # long as it was idle.
         active = [
             other.consumed
             for other in self._accounts.values()
@@ -344,8 +348,8 @@
 
     def _remove_if_idle(self, workspace: str) -> None:
         account = self._accounts[workspace]
-        gone = workspace not in self._rows
-        if gone and not account.running and not account.waiting:
+        is_removed = workspace not in self._rows
+        if is_removed and not account.running and not account.waiting:
             del self._accounts[workspace]
 
 
--- a/src/spoolhead/_internal/policy/lengths.py
+++ b/src/spoolhead/_internal/policy/lengths.py
@@ -1,26 +1,27 @@
-"""How much longer an answer will get, learned from answers that have ended.
+"""Predicts the remaining length of answers from the lengths of completed ones.
 
-Lengths are heavy-tailed, so a mean says little. What counts for an engine's memory is how much
-is expected to be held some tokens from now: an answer that goes on needs more by then, one that
-ends needs nothing. Each workspace has a distribution for each model, which leans on the model's
-distribution while it has few answers of its own.
+Lengths are heavy-tailed, so a mean is a poor predictor. Planning an engine's memory needs the
+expected memory some tokens from now: an answer that continues needs more by then, one that has
+ended needs none. Each workspace has a length distribution for each model, with the model's overall
+distribution as its prior while it has few answers of its own.
 """
 
 import bisect
 from collections.abc import Sequence
 
 HORIZONS_TOKENS = (0, 16, 64, 128, 256, 512, 1024)
-"""Tokens from now for which the memory is foreseen; everything on an engine keeps one pace."""
+"""Numbers of tokens from now for which memory is predicted; all requests on an engine generate at
+the same pace."""
 
 Profile = Sequence[float]
 """Expected memory in tokens at each of :data:`HORIZONS_TOKENS`."""
 
 DEFAULT_LENGTH_TOKENS = 256
 PRIOR_ANSWERS = 8.0
-"""Answers that the distribution leaned on counts for."""
+"""Number of answers that the prior distribution counts as."""
 
 HALF_LIFE_ANSWERS = 512
-"""Answers after which an older one counts half."""
+"""Number of newer answers after which an older one counts half."""
 
 _CLASS_GROWTH = 1.25
 _MAX_LENGTH_TOKENS = 131_072
@@ -34,32 +35,32 @@
 
 
 _BOUNDS = _make_bounds()
-"""Shortest length of each class, ascending."""
+"""Lower bound of each length class, ascending."""
 
 
 class _Distribution:
-    """Counts by class of length, and the expected rest for each class."""
+    """Histogram of lengths with exponentially decaying counts, and its survival function."""
 
-    __slots__ = ("_parent", "_stale", "_tails", "answers", "counts")
+    __slots__ = ("_parent", "_is_stale", "_tails", "answers", "counts")
 
     def __init__(self, parent: "_Distribution | None") -> None:
         self.counts = [0.0] * len(_BOUNDS)
         self.answers = 0.0
         self._parent = parent
         self._tails: list[float] = []
-        self._stale = True
+        self._is_stale = True
 
     def observe(self, length: int) -> None:
-        keep = 0.5 ** (1 / HALF_LIFE_ANSWERS)
-        self.answers = self.answers * keep + 1
+        decay = 0.5 ** (1 / HALF_LIFE_ANSWERS)
+        self.answers = self.answers * decay + 1
         index = _get_class(length)
         for position in range(len(self.counts)):
-            self.counts[position] *= keep
+            self.counts[position] *= decay
         self.counts[index] += 1
-        self._stale = True
+        self._is_stale = True
 
     def get_probability(self, index: int) -> float:
-        """Probability of a class, leaning on the parent."""
+        """Return the probability of a class, with the parent distribution as the prior."""
         parent_probability = (
             self._parent.get_probability(index) if self._parent else _DEFAULT_PROBABILITIES[index]
         )
@@ -68,16 +69,16 @@
         )
 
     def get_tail(self, length: float) -> float:
-        """Probability that an answer gets longer than a length."""
-        if self._stale:
+        """Return the probability that an answer becomes longer than a length."""
+        if self._is_stale:
             self._tails = _get_tails([self.get_probability(index) for index in range(len(_BOUNDS))])
-            self._stale = False
+            self._is_stale = False
         index = _get_class(max(1, int(length)))
         if index + 1 >= len(_BOUNDS):
             return self._tails[-1]
         begin, end = _BOUNDS[index], _BOUNDS[index + 1]
-        part = max(0.0, length + 1 - begin) / (end - begin)
-        return self._tails[index] * (1 - part) + self._tails[index + 1] * part
+        fraction = max(0.0, length + 1 - begin) / (end - begin)
+        return self._tails[index] * (1 - fraction) + self._tails[index + 1] * fraction
 
     def get_mean(self) -> float:
         probabilities = [self.get_probability(index) for index in range(len(_BOUNDS))]
@@ -87,16 +88,16 @@
 
 
 class LengthModel:
-    """Distributions of all workspaces and models that this entry has seen."""
+    """Length distributions of all workspaces and models at this entry."""
 
     def __init__(self) -> None:
         self._services: dict[str, _Distribution] = {}
         self._workspaces: dict[str, dict[str, _Distribution]] = {}
 
     def observe(self, workspace: str, service: str, length_tokens: int) -> None:
-        """Learn from an answer that has ended by itself.
+        """Add the length of an answer that the engine ended by itself.
 
-        :param length_tokens: its output tokens.
+        :param length_tokens: output tokens of the answer.
         """
         if length_tokens <= 0:
             return
@@ -112,23 +113,25 @@
         generated_tokens: int,
         limit_tokens: int,
     ) -> Profile:
-        """Return the memory that an answer is expected to hold at each horizon.
+        """Return the expected memory of an answer at each horizon, in tokens.
 
-        :param prompt_tokens: its prompt.
-        :param generated_tokens: tokens it already has.
-        :param limit_tokens: longest that it may become.
+        :param prompt_tokens: length of its prompt.
+        :param generated_tokens: tokens generated so far.
+        :param limit_tokens: maximum length of the answer.
         """
-        known = self._get(workspace, service)
-        held = prompt_tokens + generated_tokens
-        alive = known.get_tail(generated_tokens)
+        distribution = self._get(workspace, service)
+        held_tokens = prompt_tokens + generated_tokens
+        reach_probability = distribution.get_tail(generated_tokens)
         profile = []
         for ahead in HORIZONS_TOKENS:
             length = generated_tokens + ahead
             if length >= limit_tokens and ahead:
                 profile.append(0.0)
                 continue
-            survival = known.get_tail(length) / alive if alive > 0 else 0.0
-            profile.append(survival * (held + ahead))
+            survival = (
+                distribution.get_tail(length) / reach_probability if reach_probability > 0 else 0.0
+            )
+            profile.append(survival * (held_tokens + ahead))
         return profile
 
     def get_mean_tokens(self, service: str) -> float:
@@ -157,7 +160,7 @@
 
 
 def _get_tails(probabilities: list[float]) -> list[float]:
-    """For each class the probability of a length in it or above."""
+    """Return for each class the probability of a length in it or in a higher class."""
     tails = [0.0] * len(probabilities)
     mass = 0.0
     for index in range(len(probabilities) - 1, -1, -1):
@@ -167,12 +170,14 @@
 
 
 def _make_default_probabilities() -> list[float]:
-    """Geometric lengths: with nothing known, the rest does not depend on the past."""
+    """Return a geometric distribution: without observations, the remaining length is memoryless."""
     probabilities = []
     for index, bound in enumerate(_BOUNDS):
         upper = _BOUNDS[index + 1] if index + 1 < len(_BOUNDS) else bound * 2
-        stay = 1 - 1 / DEFAULT_LENGTH_TOKENS
-        probabilities.append(stay ** (bound - 1) - stay ** (upper - 1))
+        continue_probability = 1 - 1 / DEFAULT_LENGTH_TOKENS
+        probabilities.append(
+            continue_probability ** (bound - 1) - continue_probability ** (upper - 1)
+        )
     return probabilities
 
 
--- a/src/spoolhead/_internal/policy/operating_point.py
+++ b/src/spoolhead/_internal/policy/operating_point.py
@@ -1,9 +1,9 @@
-"""How full an engine's memory may be planned, found from its preemptions.
+"""Adapts the planned memory use of an engine to its preemptions.
 
-The limit is a multiple of the engine's memory that what is foreseen on it may reach at any
-horizon. It falls by a factor when the engine preempts, and rises slowly while it held work
-back and the engine did not preempt. No constant is tied to an engine: what is expected is
-wrong by a factor that differs between engines and workloads, and the limit absorbs it.
+The limit is the maximum predicted memory use at any horizon, as a multiple of the engine's memory.
+It decreases by a factor when the engine preempts, and increases slowly while it blocks requests and
+the engine does not preempt. No constant depends on the engine: predictions are off by a factor that
+differs between engines and workloads, and the limit compensates for it.
 """
 
 INITIAL_LIMIT = 0.75
@@ -12,12 +12,13 @@
 DECREASE_FACTOR = 0.85
 INCREASE_PER_S = 0.005
 DECREASE_INTERVAL_S = 1.0
+"""Minimum time between two decreases."""
 
 
 class OperatingPoint:
-    """Planning limit for one engine.
+    """Planning limit of one engine.
 
-    :ivar limit: largest foreseen size of all work, as a multiple of the engine's memory.
+    :ivar limit: maximum predicted memory use, as a multiple of the engine's memory.
     """
 
     __slots__ = ("_decreased_s", "_last_s", "_preemptions", "limit")
@@ -29,24 +30,24 @@
         self._decreased_s = 0.0
 
     def handle_report(self, *, preemptions: int, was_limiting: bool, now_s: float) -> None:
-        """Learn from a load report.
+        """Adjust the limit to a load report.
 
-        :param preemptions: the engine's count since its start.
-        :param was_limiting: the limit held work back since the last report.
+        :param preemptions: preemptions since the engine started.
+        :param was_limiting: whether the limit blocked requests since the last report.
         :param now_s: monotonic time in seconds.
         """
-        known, self._preemptions = self._preemptions, preemptions
+        previous, self._preemptions = self._preemptions, preemptions
         last_s, self._last_s = self._last_s, now_s
-        if known is None or last_s is None or preemptions < known:
+        if previous is None or last_s is None or preemptions < previous:
             return
-        if preemptions > known:
+        if preemptions > previous:
             self._decrease(now_s)
         elif was_limiting:
-            rise = INCREASE_PER_S * min(1.0, now_s - last_s)
-            self.limit = min(MAX_LIMIT, self.limit + rise)
+            increase = INCREASE_PER_S * min(1.0, now_s - last_s)
+            self.limit = min(MAX_LIMIT, self.limit + increase)
 
     def _decrease(self, now_s: float) -> None:
-        # One overload shows in several reports; a fall for each would empty the engine.
+        # One overload appears in several reports; a decrease for each would empty the engine.
         if now_s - self._decreased_s < DECREASE_INTERVAL_S:
             return
         self._decreased_s = now_s
--- a/src/spoolhead/_internal/policy/placement.py
+++ b/src/spoolhead/_internal/policy/placement.py
@@ -1,8 +1,8 @@
-"""Where a request goes: the choice among the upstreams of its service.
+"""Chooses an upstream of the requested service for each request.
 
-Load reports lag, and several entries choose from the same ones without asking each other. So
-an entry looks at a random sample, counts what it has sent itself since a report, and takes for
-itself only its part of the room that a report shows.
+Load reports lag, and several entries choose from the same reports without coordination. An entry
+therefore evaluates a random sample, counts the requests that it has sent since a report, and uses
+only its share of the free memory that a report shows.
 """
 
 import random
@@ -12,26 +12,28 @@
 from spoolhead._internal.policy import lengths, replicas
 
 SAMPLE_SIZE = 8
-"""Upstreams of one hall looked at for one request; the cost does not grow with the fleet."""
+"""Upstreams of one hall evaluated for one request, so that the cost is independent of the fleet's
+size."""
 
 QUEUE_FRACTION = 1 / 8
-"""Part of an engine's running requests that may wait inside it for its next step."""
+"""Requests that may wait inside an engine for its next step, as a fraction of its running ones."""
 
 MIN_QUEUE = 2
-"""Requests that may wait inside an engine however few run."""
+"""Requests that may always wait inside an engine, even if few run."""
 
 SENT_FRACTION = 1 / 2
-"""Part of what was sent during the last report that may wait inside the engine."""
+"""Requests that may wait inside an engine, as a fraction of those sent between the last two
+reports."""
 
 
 class Demand:
-    """What a request needs.
+    """A request's demand on an upstream.
 
-    :ivar workspace: who asks.
-    :ivar service: for what.
-    :ivar prompt_tokens: its prompt, estimated.
-    :ivar limit_tokens: longest that its answer may become.
-    :ivar excluded: upstreams that have failed for it.
+    :ivar workspace: workspace that sent the request.
+    :ivar service: requested service.
+    :ivar prompt_tokens: estimated length of the prompt.
+    :ivar limit_tokens: maximum length of the answer.
+    :ivar excluded: names of upstreams that failed for this request.
     """
 
     __slots__ = (
@@ -59,11 +61,11 @@
 
 
 class Candidate:
-    """An upstream that was looked at.
+    """An upstream that was evaluated.
 
-    :ivar name: its name.
-    :ivar fill: planned use as a part of what it may be planned to; lower is better.
-    :ivar lost_because: why it was not chosen; empty for the chosen one.
+    :ivar name: name of the upstream.
+    :ivar fill: planned use as a fraction of its planning limit; lower is better.
+    :ivar lost_because: why it was not chosen; empty for the chosen upstream.
     """
 
     __slots__ = ("fill", "lost_because", "name")
@@ -75,11 +77,11 @@
 
 
 class Choice:
-    """The outcome.
+    """Result of a placement.
 
-    :ivar replica: the chosen upstream, or None where the request has to wait.
-    :ivar planned_tokens: memory that the request is expected to need in the end.
-    :ivar candidates: all that were looked at.
+    :ivar replica: the chosen upstream, or None if the request has to wait.
+    :ivar planned_tokens: maximum expected memory of the request over all horizons.
+    :ivar candidates: all upstreams that were evaluated.
     """
 
     __slots__ = ("candidates", "planned_tokens", "replica")
@@ -98,10 +100,10 @@
 class Placement:
     """Chooses upstreams for one entry.
 
-    :param hall: hall of the entry; its upstreams come first.
-    :param length_model: learned lengths.
-    :param rng: random numbers.
-    :ivar entry_count: entries that share the upstreams, this one included.
+    :param hall: hall of the entry; its upstreams are preferred.
+    :param length_model: predicts the memory of answers.
+    :param rng: random generator for samples and ties.
+    :ivar entry_count: number of entries that share the upstreams, including this one.
     """
 
     def __init__(self, hall: str, length_model: lengths.LengthModel, rng: random.Random) -> None:
@@ -119,12 +121,12 @@
     ) -> Choice:
         """Choose an upstream for a request.
 
-        :param demand: the request.
-        :param service: row of its service.
+        :param demand: the request's demand.
+        :param service: row of the requested service.
         :param pool: upstreams of the service.
         :param now_s: monotonic time in seconds.
         """
-        planned = self._length_model.get_profile(
+        planned_profile = self._length_model.get_profile(
             demand.workspace,
             demand.service,
             prompt_tokens=demand.prompt_tokens,
@@ -134,10 +136,10 @@
         candidates: list[Candidate] = []
         for hall in pool.get_halls(first=self._hall):
             sample = self._sample(pool.get_hall(hall))
-            best = self._choose_in_hall(demand, service, sample, planned, candidates, now_s)
+            best = self._choose_in_hall(demand, service, sample, planned_profile, candidates, now_s)
             if best is not None:
-                return Choice(best, max(planned), candidates)
-        return Choice(None, max(planned), candidates)
+                return Choice(best, max(planned_profile), candidates)
+        return Choice(None, max(planned_profile), candidates)
 
     def _sample(self, hall_replicas: Sequence[replicas.Replica]) -> Sequence[replicas.Replica]:
         if len(hall_replicas) <= SAMPLE_SIZE:
@@ -149,7 +151,7 @@
         demand: Demand,
         service: rows.ServiceRow,
         sample: Sequence[replicas.Replica],
-        planned: lengths.Profile,
+        planned_profile: lengths.Profile,
         candidates: list[Candidate],
         now_s: float,
     ) -> replicas.Replica | None:
@@ -157,7 +159,7 @@
         best_candidate: Candidate | None = None
         best_key = (0.0, 0.0)
         for replica in sample:
-            candidate = self._evaluate(demand, service, replica, planned, now_s)
+            candidate = self._evaluate(demand, service, replica, planned_profile, now_s)
             candidates.append(candidate)
             if candidate.lost_because:
                 continue
@@ -175,43 +177,45 @@
         demand: Demand,
         service: rows.ServiceRow,
         replica: replicas.Replica,
-        planned: lengths.Profile,
+        planned_profile: lengths.Profile,
         now_s: float,
     ) -> Candidate:
-        """Tell how full a replica would be, and what speaks against it, if anything."""
-        own = len(replica.running)
+        """Return how full a replica would be, and why it cannot be chosen, if it cannot."""
+        running_count = len(replica.running)
         if replica.name in demand.excluded:
             return Candidate(replica.name, 0.0, "failed for this request")
         if replica.health.is_ejected(now_s):
             return Candidate(replica.name, 0.0, "ejected")
         capacity_fraction = replica.health.get_capacity_fraction(now_s)
-        if own >= max(1, int(service.max_running_per_upstream * capacity_fraction)):
+        if running_count >= max(1, int(service.max_running_per_upstream * capacity_fraction)):
             return Candidate(replica.name, 1.0, "as many running as the service's row allows")
         if service.kind is rows.ServiceKind.PLAIN:
-            reported = replica.report.running if replica.report else 0
-            fill = max(own, reported) / service.max_running_per_upstream
+            reported_count = replica.report.running if replica.report else 0
+            fill = max(running_count, reported_count) / service.max_running_per_upstream
             return Candidate(replica.name, fill, "")
-        return self._evaluate_engine(replica, planned, capacity_fraction, now_s)
+        return self._evaluate_engine(replica, planned_profile, capacity_fraction, now_s)
 
     def _evaluate_engine(
         self,
         replica: replicas.Replica,
-        planned: lengths.Profile,
+        planned_profile: lengths.Profile,
         capacity_fraction: float,
         now_s: float,
     ) -> Candidate:
         report = replica.report
         if report is None or not replica.has_fresh_report(now_s):
-            # Nothing is known of its memory: one request at a time tells whether it serves.
+            # Its memory is unknown, so it gets one request at a time, to see whether it serves.
             return Candidate(replica.name, 1.0, "no fresh report" if replica.running else "")
         capacity = report.kv_capacity_tokens * replica.operating_point.limit * capacity_fraction
         if capacity <= 0:
             return Candidate(replica.name, float(len(replica.running)), "")
-        held = replica.get_profile(self._length_model, now_s)
-        peak = max(known + more for known, more in zip(held, planned, strict=True))
+        held_profile = replica.get_profile(self._length_model, now_s)
+        peak = max(
+            known + added for known, added in zip(held_profile, planned_profile, strict=True)
+        )
         fill = peak / capacity
         if not report.running and not replica.running:
-            # An idle engine takes any request, even one that plans more than its memory.
+            # An idle engine accepts any request, even one expected to exceed its memory.
             return Candidate(replica.name, fill, "")
         if report.waiting > self._get_allowed_queue(replica, report):
             replica.was_limited = True
@@ -219,9 +223,12 @@
         if fill > 1:
             replica.was_limited = True
             return Candidate(replica.name, fill, "its memory would fill")
-        room = capacity - (max(held) - replica.sent_tokens)
-        own_room = room / self.entry_count
-        if replica.sent_since_report and replica.sent_tokens + max(planned) > own_room:
+        free_tokens = capacity - (max(held_profile) - replica.sent_tokens)
+        own_free_tokens = free_tokens / self.entry_count
+        if (
+            replica.sent_since_report
+            and replica.sent_tokens + max(planned_profile) > own_free_tokens
+        ):
             reason = "this entry's part of its room is used until the next report"
             return Candidate(replica.name, fill, reason)
         return Candidate(replica.name, fill, "")
@@ -229,15 +236,15 @@
     def _get_allowed_queue(
         self, replica: replicas.Replica, report: load_report.LoadReport
     ) -> float:
-        # A request waits for the engine's next step in any case, so short answers in quick
-        # succession always show some waiting. More than that means that the engine is full,
-        # whatever its memory says.
-        sent = replica.sent_before_report * self.entry_count * SENT_FRACTION
-        return max(MIN_QUEUE, report.running * QUEUE_FRACTION, sent)
+        # Every request waits for the engine's next step, so short answers in quick succession
+        # always show some waiting requests. More than that means that the engine is full, even if
+        # its memory is not.
+        sent_count = replica.sent_before_report * self.entry_count * SENT_FRACTION
+        return max(MIN_QUEUE, report.running * QUEUE_FRACTION, sent_count)
 
 
 class Pool:
-    """Upstreams of one service by hall; those leaving are not in it."""
+    """Usable upstreams of one service, by hall."""
 
     __slots__ = ("_by_hall", "_by_name")
 
@@ -255,7 +262,7 @@
         self._by_hall.setdefault(replica.row.hall, []).append(replica)
 
     def remove(self, name: str) -> None:
-        """Remove an upstream, if it is there."""
+        """Remove an upstream if it is in the pool."""
         replica = self._by_name.pop(name, None)
         if replica is None:
             return
@@ -266,11 +273,14 @@
                     del self._by_hall[hall]
 
     def has_available(self, now_s: float) -> bool:
-        """Whether any upstream is not ejected."""
+        """Return whether any upstream is not ejected."""
         return any(not item.health.is_ejected(now_s) for item in self._by_name.values())
 
     def get_halls(self, *, first: str) -> list[str]:
-        """Return the halls that have upstreams, a given one first."""
+        """Return the halls that have upstreams.
+
+        :param first: hall that is put first if it has upstreams.
+        """
         others = [hall for hall in self._by_hall if hall != first]
         return [first, *others] if first in self._by_hall else others
 
--- a/src/spoolhead/_internal/policy/policy_set.py
+++ b/src/spoolhead/_internal/policy/policy_set.py
@@ -1,4 +1,4 @@
-"""The decisions of an entry, bundled, so that benches and tests can exchange one of them."""
+"""The policies of an entry as one object, so that benchmarks and tests can replace single ones."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -14,13 +14,13 @@
 
 
 class PolicySet:
-    """What decides.
+    """Factories of an entry's policies.
 
-    :ivar make_admission: makes the queues and limits.
-    :ivar make_lengths: makes the model of lengths.
-    :ivar make_placement: makes the chooser of upstreams.
-    :ivar make_pace: makes the judge of one stream's pace.
-    :ivar decide_retry: decides what follows a failed attempt.
+    :ivar make_admission: creates the request queues.
+    :ivar make_lengths: creates the length model.
+    :ivar make_placement: creates the placement of requests on upstreams.
+    :ivar make_pace: creates the stall detector of one stream.
+    :ivar decide_retry: decides what to do after a failed attempt.
     """
 
     __slots__ = ("decide_retry", "make_admission", "make_lengths", "make_pace", "make_placement")
--- a/src/spoolhead/_internal/policy/replicas.py
+++ b/src/spoolhead/_internal/policy/replicas.py
@@ -1,27 +1,28 @@
-"""What an entry knows of each upstream, and what it has sent there itself."""
+"""State of each upstream at an entry: its load report and the requests that the entry sent."""
 
 from spoolhead._internal.models import load_report, rows
 from spoolhead._internal.policy import health, lengths, operating_point
 
 PROFILE_REFRESH_S = 0.1
-"""Age at which what the running work will hold is worked out again."""
+"""Age at which the predicted memory profile is computed again."""
 
 REPORT_STALE_S = 5.0
 NEVER_S = float("-inf")
 
-OTHER_ENTRIES = ""
-"""Workspace under which what other entries send is foreseen: it has no answers of its own."""
+OTHER_ENTRIES_WORKSPACE = ""
+"""Workspace name used to predict requests of other entries; it has no answers of its own, so the
+model's overall length distribution applies."""
 
 OTHER_ENTRIES_LIMIT_TOKENS = 1_000_000
 
 
 class RunningRequest:
-    """A request that this entry has running on an upstream.
+    """A request of this entry that runs on an upstream.
 
-    :ivar workspace: whose it is.
-    :ivar prompt_tokens: its prompt, estimated.
-    :ivar generated_tokens: tokens so far.
-    :ivar limit_tokens: longest it may become.
+    :ivar workspace: workspace that sent the request.
+    :ivar prompt_tokens: estimated length of the prompt.
+    :ivar generated_tokens: tokens generated so far.
+    :ivar limit_tokens: maximum length of the answer.
     """
 
     __slots__ = ("generated_tokens", "limit_tokens", "prompt_tokens", "workspace")
@@ -36,16 +37,21 @@
 class Replica:
     """One upstream of a service.
 
-    :param name: name of its row.
-    :param row: its row.
-    :param now_s: monotonic time at which it was first seen.
-    :param is_new: it came after this entry had started.
-    :ivar report: its last load report, or None.
-    :ivar running: what this entry has running there.
-    :ivar sent_tokens: planned size of what was sent since the last report.
-    :ivar sent_since_report: requests sent since the last report.
-    :ivar sent_before_report: requests sent between the last two reports.
-    :ivar was_limited: the planning limit kept work from it since the last report.
+    :param name: name of the upstream's row.
+    :param row: the upstream's row.
+    :param now_s: monotonic time at which the upstream was first seen, in seconds.
+    :param is_new: whether it was added after this entry had started, so that it starts slowly.
+    :ivar health: ejection state and slow start.
+    :ivar operating_point: planning limit, adapted to the engine's preemptions.
+    :ivar report: the last load report, or None.
+    :ivar running: requests of this entry that run on the upstream.
+    :ivar sent_tokens: planned memory of the requests sent since the last report.
+    :ivar sent_since_report: number of requests sent since the last report.
+    :ivar sent_before_report: number of requests sent between the last two reports.
+    :ivar was_limited: whether the planning limit blocked a request since the last report.
+    :ivar is_evacuated: whether the upstream's hall is evacuated.
+    :ivar own_at_report_tokens: memory of this entry's requests at the last report.
+    :ivar own_running_at_report: number of this entry's running requests at the last report.
     """
 
     __slots__ = (
@@ -85,16 +91,16 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it must get nothing new."""
+        """Whether the upstream is leaving and must receive no new requests."""
         return self.row.state is rows.UpstreamState.LEAVING
 
     @property
     def own_tokens(self) -> int:
-        """Tokens that this entry's work holds there."""
+        """Memory of this entry's running requests on the upstream, in tokens."""
         return sum(request.prompt_tokens + request.generated_tokens for request in self.running)
 
     def handle_report(self, report: load_report.LoadReport) -> None:
-        """Take a load report."""
+        """Apply a load report."""
         self.operating_point.handle_report(
             preemptions=report.preemptions,
             was_limiting=self.was_limited,
@@ -110,26 +116,26 @@
         self.own_running_at_report = len(self.running)
 
     def has_fresh_report(self, now_s: float) -> bool:
-        """Whether its load report can be planned with."""
+        """Return whether the last load report is recent enough for planning."""
         return self.report is not None and now_s - self.report.received_s < REPORT_STALE_S
 
     def start(self, request: RunningRequest, planned_tokens: float) -> None:
-        """Note that work was sent there."""
+        """Record a request that was sent to the upstream."""
         self.running.add(request)
         self.sent_tokens += planned_tokens
         self.sent_since_report += 1
         self._profile_at_s = NEVER_S
 
     def finish(self, request: RunningRequest) -> None:
-        """Note that work has ended there."""
+        """Record the end of a request on the upstream."""
         self.running.discard(request)
         self._profile_at_s = NEVER_S
 
     def get_profile(self, model: lengths.LengthModel, now_s: float) -> lengths.Profile:
-        """Return the memory that everything on it is expected to hold at each horizon.
+        """Return the expected memory of all requests on the upstream at each horizon, in tokens.
 
-        What others have there is known from the last report, less this entry's part of it;
-        what this entry has there it knows itself.
+        This entry's own requests are known exactly. Requests of other entries are estimated from
+        the last report minus this entry's share of it.
         """
         if now_s - self._profile_at_s < PROFILE_REFRESH_S:
             return self._profile
@@ -143,9 +149,9 @@
                 generated_tokens=request.generated_tokens,
                 limit_tokens=request.limit_tokens,
             )
-            total = [known + more for known, more in zip(total, profile, strict=True)]
+            total = [known + added for known, added in zip(total, profile, strict=True)]
         others = self._get_other_entries_profile(model)
-        self._profile = [own + more for own, more in zip(total, others, strict=True)]
+        self._profile = [own + other for own, other in zip(total, others, strict=True)]
         return self._profile
 
     def _get_other_entries_profile(self, model: lengths.LengthModel) -> lengths.Profile:
@@ -154,10 +160,10 @@
         if report is None or count <= 0:
             return [0.0] * len(lengths.HORIZONS_TOKENS)
         held = max(0, report.kv_used_tokens - self.own_at_report_tokens)
-        # Seen at any moment, an answer is half done on average.
+        # At any given moment an answer is half complete on average.
         generated = min(held / count, model.get_mean_tokens(self.row.service) / 2)
         profile = model.get_profile(
-            OTHER_ENTRIES,
+            OTHER_ENTRIES_WORKSPACE,
             self.row.service,
             prompt_tokens=held / count - generated,
             generated_tokens=int(generated),
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -1,15 +1,17 @@
-"""What to do when an attempt fails: go on with the generation, try again, or give up."""
+"""Decides what to do after a failed attempt: resume the generation, retry or give up."""
 
 import enum
 
 from spoolhead._internal.models import codes
 
 BUDGET_PER_REQUEST = 0.1
+"""Retries that each new request adds to the budget."""
+
 MAX_BUDGET = 20.0
 
 
 class NextStep(enum.Enum):
-    """What follows a failed attempt."""
+    """Action after a failed attempt."""
 
     RESUME = "resume"
     RETRY = "retry"
@@ -17,14 +19,14 @@
 
 
 class FailedAttempt:
-    """What is known when an attempt has failed.
-
-    :ivar may_have_arrived: the upstream may have got bytes of the request.
-    :ivar refused: the upstream answered that it did not take the request.
-    :ivar has_delivered: the caller has got a part of the answer.
-    :ivar can_resume: the engine numbers the generation's events.
-    :ivar is_once: the request must not be repeated.
-    :ivar attempts_left: attempts that may still be made for this request.
+    """State of a request after a failed attempt.
+
+    :ivar may_have_arrived: whether an upstream may have received a part of the request.
+    :ivar refused: whether the upstream answered that it did not run the request.
+    :ivar has_delivered: whether the caller has received a part of the answer.
+    :ivar can_resume: whether the engine numbers the generation's events.
+    :ivar is_once: whether the request must not be repeated.
+    :ivar attempts_left: number of attempts that may still be made for this request.
     """
 
     __slots__ = (
@@ -55,7 +57,7 @@
 
 
 class RetryBudget:
-    """Bounds retries to a part of all requests, so that they never amplify an overload."""
+    """Limits retries to a fraction of all requests, so that they do not amplify an overload."""
 
     __slots__ = ("tokens",)
 
@@ -63,11 +65,11 @@
         self.tokens = MAX_BUDGET / 2
 
     def record_request(self) -> None:
-        """Earn a part of a retry with a new request."""
+        """Add a new request's fraction of a retry to the budget."""
         self.tokens = min(MAX_BUDGET, self.tokens + BUDGET_PER_REQUEST)
 
     def try_acquire(self) -> bool:
-        """Spend one retry; False if there is none left."""
+        """Spend one retry; return False if none is left."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -75,29 +77,29 @@
 
 
 def decide(failed: FailedAttempt, budget: RetryBudget) -> NextStep:
-    """Decide what follows a failed attempt.
+    """Decide what to do after a failed attempt.
 
-    A different generation is never joined to tokens already delivered, and a request that must
-    not be repeated is sent again only when no upstream can have seen it.
+    Tokens of a new generation are never appended to tokens already delivered, and a request that
+    must not be repeated is sent again only if no upstream can have received it.
 
-    :param budget: charged where the answer is to try again.
+    :param budget: charged for a retry of a request that may have reached an upstream.
     """
     if failed.attempts_left <= 0:
         return NextStep.GIVE_UP
     if failed.has_delivered:
         return NextStep.RESUME if failed.can_resume else NextStep.GIVE_UP
-    # Whoever answers "refused" has read the request; only its word says that it did not act.
+    # An upstream that refused has read the request; that it did not run is only its own claim.
     if failed.is_once and failed.may_have_arrived:
         return NextStep.GIVE_UP
-    # An attempt that never reached its upstream cost it nothing, so trying again amplifies
-    # nothing; the number of attempts bounds it.
+    # An attempt that did not reach its upstream cost it nothing, so a retry does not amplify an
+    # overload; the number of attempts limits such retries.
     if not failed.may_have_arrived:
         return NextStep.RETRY
     return NextStep.RETRY if budget.try_acquire() else NextStep.GIVE_UP
 
 
 def get_ran(failed: FailedAttempt) -> codes.Ran:
-    """Tell a caller whether its request ran, when no further attempt is made."""
+    """Return whether the request ran, for the caller, if no further attempt is made."""
     if failed.has_delivered:
         return codes.Ran.YES
     if not failed.may_have_arrived:
--- a/src/spoolhead/_internal/table/__init__.py
+++ b/src/spoolhead/_internal/table/__init__.py
@@ -1,1 +1,1 @@
-"""The table as the programs use it: checked rows, following, saved copies."""
+"""The table in the programs: validation, files, wire format, saved copies and typed views."""
--- a/src/spoolhead/_internal/table/checking.py
+++ b/src/spoolhead/_internal/table/checking.py
@@ -1,4 +1,4 @@
-"""The check that every edit of the table passes before it is accepted."""
+"""Validation of the table, which every edit must pass before it is accepted."""
 
 from collections.abc import Sequence
 
@@ -7,14 +7,14 @@
 
 
 class TableChecker:
-    """Checks whole tables, looking only at what is new since the last table it found right."""
+    """Validates whole tables incrementally: checks only rows changed since the last valid table."""
 
     def __init__(self) -> None:
         self._parsed: dict[versioned_table.RowKey, _ParsedRow] = {}
         self._accepted_values: dict[versioned_table.RowKey, object] = {}
 
     def __call__(self, values: versioned_table.RowValues) -> Sequence[fault.Fault]:
-        """Return every fault of a table; none means that it may be accepted."""
+        """Return all faults of a table; a table without faults may be accepted."""
         faults: list[fault.Fault] = []
         parsed: dict[str, dict[str, rows.Row]] = {sheet: {} for sheet in rows.Sheet}
         for key, value in values.items():
@@ -33,11 +33,14 @@
         return faults
 
     def _get_changed(self, values: versioned_table.RowValues) -> list[tuple[rows.Sheet, str]]:
-        """Return the rows whose references are to be looked at."""
-        right = self._accepted_values
-        changed = [key for key, value in values.items() if right.get(key) is not value]
-        gone = [key for key in right if key not in values]
-        if any(key.sheet == rows.Sheet.SERVICES for key in (*changed, *gone)):
+        """Return the rows whose references must be checked.
+
+        These are the changed rows, or all rows if a service was changed or removed.
+        """
+        accepted = self._accepted_values
+        changed = [key for key, value in values.items() if accepted.get(key) is not value]
+        removed = [key for key in accepted if key not in values]
+        if any(key.sheet == rows.Sheet.SERVICES for key in (*changed, *removed)):
             changed = list(values)
         return [(rows.Sheet(key.sheet), key.name) for key in changed]
 
--- a/src/spoolhead/_internal/table/documents.py
+++ b/src/spoolhead/_internal/table/documents.py
@@ -1,6 +1,6 @@
-"""A table as a file for operators, and the difference between two tables.
+"""Reads table files of operators and computes the differences between tables.
 
-The file is JSON with comments: an object of sheets, each an object of rows by name.
+A table file is JSON with comments: an object of sheets, each an object of rows by name.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 
 class DifferenceKind(enum.StrEnum):
-    """How a row differs."""
+    """Kind of difference between two versions of a row."""
 
     ADDED = "added"
     CHANGED = "changed"
@@ -27,12 +27,12 @@
 
 
 class Difference:
-    """One row that differs.
+    """A row that differs between two tables.
 
-    :ivar key: the row.
-    :ivar kind: how it differs.
-    :ivar old: its columns before; None for an added row.
-    :ivar new: its columns after; None for a removed row.
+    :ivar key: key of the row.
+    :ivar kind: whether the row was added, changed or removed.
+    :ivar old: columns in the old table; None for an added row.
+    :ivar new: columns in the new table; None for a removed row.
     """
 
     __slots__ = ("key", "kind", "new", "old")
@@ -60,9 +60,9 @@
 
 
 def parse_document(text: str) -> expression.Result[Document, list[fault.Fault]]:
-    """Check the text of a table file.
+    """Parse and validate the text of a table file.
 
-    :returns: its rows, or every fault found.
+    :returns: the rows, or all faults found.
     """
     parsed = jsonc.parse_with_comments(text)
     if parsed.is_error():
@@ -83,9 +83,9 @@
 
 
 def read_document(path: str) -> Document:
-    """Read a table file.
+    """Read and validate a table file.
 
-    :raises exceptions.SettingsError: with every fault, if the file cannot be used.
+    :raises exceptions.SettingsError: with all faults, if the file is unreadable or invalid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -99,14 +99,14 @@
 
 
 def get_differences(table_rows: packing.Rows, document: Document) -> list[Difference]:
-    """Return what applying a document to a table would change, in order of the rows' names.
+    """Return the changes that a document makes to a table, sorted by row key.
 
-    A hall that the document does not name stays as it is: a file that was written before a hall was
-    evacuated must not take that back.
+    Halls missing from the document stay unchanged: a file written before a hall was evacuated must
+    not undo the evacuation.
     """
     differences = []
-    named = [key for key in table_rows if key.sheet != rows.Sheet.HALLS]
-    for key in sorted({*named, *document}, key=str):
+    row_keys = [key for key in table_rows if key.sheet != rows.Sheet.HALLS]
+    for key in sorted({*row_keys, *document}, key=str):
         old = table_rows[key].value if key in table_rows else None
         new = document.get(key)
         if old != new:
@@ -117,7 +117,7 @@
 def make_edits(
     table_rows: packing.Rows, differences: list[Difference]
 ) -> list[versioned_table.RowEdit]:
-    """Return the edits that make the differences, expecting the rows as they are."""
+    """Return edits that apply the differences, each conditional on the row's current version."""
     edits = []
     for item in differences:
         known = table_rows.get(item.key)
@@ -127,7 +127,7 @@
 
 
 def make_document(table_rows: packing.Rows) -> dict[str, dict[str, object]]:
-    """Return a table as the content of a file."""
+    """Return a table as the content of a table file."""
     document: dict[str, dict[str, object]] = {sheet: {} for sheet in rows.Sheet}
     for key in sorted(table_rows, key=str):
         document.setdefault(key.sheet, {})[key.name] = table_rows[key].value
--- a/src/spoolhead/_internal/table/packing.py
+++ b/src/spoolhead/_internal/table/packing.py
@@ -1,4 +1,4 @@
-"""Rows of the table as plain lists, for messages and files."""
+"""Encodes table rows as plain lists for messages and files."""
 
 from collections.abc import Mapping, Sequence
 
@@ -8,16 +8,16 @@
 
 
 def pack_rows(table_rows: Rows) -> list[list[object]]:
-    """Return each row as sheet, name, version and value."""
+    """Encode each row as a list of sheet, name, version and value."""
     return [[key.sheet, key.name, row.version, row.value] for key, row in table_rows.items()]
 
 
 def unpack_rows(
     packed: Sequence[object],
 ) -> dict[versioned_table.RowKey, versioned_table.VersionedRow]:
-    """Make rows from what :func:`pack_rows` returned.
+    """Decode rows that :func:`pack_rows` encoded.
 
-    :raises ValueError: if the shape is wrong.
+    :raises ValueError: if the input is malformed.
     """
     unpacked = {}
     for item in packed:
--- a/src/spoolhead/_internal/table/saved_copy.py
+++ b/src/spoolhead/_internal/table/saved_copy.py
@@ -1,4 +1,4 @@
-"""An entry's last table on its own disk, for a restart while no keeper can be reached."""
+"""Saves an entry's latest table on disk, for a restart while no keeper is reachable."""
 
 import logging
 import pathlib
@@ -16,7 +16,7 @@
 
 
 class SavedCopy:
-    """A file with one record: log id, version and rows.
+    """A file with one checksummed record of the table's log id, version and rows.
 
     :param folder: the entry's data folder.
     """
@@ -26,9 +26,9 @@
         self._saved_version = 0
 
     def load(self, table: following.FollowedTable) -> bool:
-        """Put the saved table into an empty followed table.
+        """Load the saved table into an empty followed table.
 
-        :returns: False if there is none, or none that can be trusted.
+        :returns: False if there is no saved table, or if it is unreadable or damaged.
         """
         try:
             found = changelog.scan(self._path.read_bytes())
@@ -38,7 +38,7 @@
             logger.error("%s: %s", self._path, error.strerror)
             return False
         if found.damage is not None or len(found.payloads) != 1:
-            logger.error("%s is damaged and not used", self._path)
+            logger.error("ignoring %s: it is damaged", self._path)
             return False
         log_id, version, packed = msgpack.unpackb(found.payloads[0])
         table.take_snapshot(log_id, version, packing.unpack_rows(packed))
@@ -46,13 +46,13 @@
         return True
 
     def save(self, table: following.FollowedTable) -> None:
-        """Save a table that is newer than the saved one; a failing disk is logged only."""
+        """Save a table if it is newer than the saved one; a disk error is only logged."""
         if table.version <= self._saved_version:
             return
         payload = msgpack.packb([table.log_id, table.version, packing.pack_rows(table.rows)])
         try:
             files.replace_file(self._path, changelog.make_record(payload))
         except exceptions.DiskError as error:
-            logger.error("the table is not saved: %s", error)
+            logger.error("cannot save the table: %s", error)
             return
         self._saved_version = table.version
--- a/src/spoolhead/_internal/table/view.py
+++ b/src/spoolhead/_internal/table/view.py
@@ -1,4 +1,4 @@
-"""The table as an entry uses it: typed rows, and who an API key belongs to."""
+"""Typed view of the table for entries, with a lookup of workspaces by API key."""
 
 import hashlib
 import hmac
@@ -12,23 +12,23 @@
 
 
 def get_key_digest(api_key: str) -> str:
-    """Return the form in which the table holds an API key: SHA-256, hexadecimal.
+    """Return the hexadecimal SHA-256 digest under which the table stores an API key.
 
-    Keys are drawn at random with 256 bits, so neither salt nor a slow hash is needed.
+    Keys consist of 256 random bits, so neither a salt nor a slow hash is needed.
     """
     return hashlib.sha256(api_key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 class TableView:
-    """Typed rows at one version of the table.
+    """Typed rows of the current version of the table.
 
-    The mappings keep their identity, so that others may hold them.
+    The mappings are updated in place, so other objects may keep references to them.
 
-    :ivar version: version of the table; 0 before the first.
-    :ivar workspaces: rows by name.
-    :ivar services: rows by name.
-    :ivar upstreams: rows by name.
-    :ivar halls: rows by name.
+    :ivar version: version of the table; 0 before the first one.
+    :ivar workspaces: workspace rows by name.
+    :ivar services: service rows by name.
+    :ivar upstreams: upstream rows by name.
+    :ivar halls: hall rows by name.
     """
 
     def __init__(self) -> None:
@@ -48,10 +48,12 @@
     def set_row(self, key: versioned_table.RowKey, value: object | None) -> None:
         """Set or remove one row.
 
-        :param value: its columns, checked by a keeper already; None to remove it.
+        A row of an unknown sheet or an invalid row is logged and not stored.
+
+        :param value: columns of the row, already validated by a keeper; None removes the row.
         """
         if key.sheet not in self._sheets:
-            logger.error("row %s: this version knows no such sheet", key)
+            logger.error("ignoring row %s: unknown sheet", key)
             return
         sheet = rows.Sheet(key.sheet)
         old = self._sheets[sheet].pop(key.name, None)
@@ -61,7 +63,7 @@
             return
         parsed = rows.parse_row(sheet, key.name, value)
         if parsed.is_error():
-            logger.error("row %s cannot be used: %s", key, "; ".join(map(str, parsed.error)))
+            logger.error("ignoring row %s: %s", key, "; ".join(map(str, parsed.error)))
             return
         self._sheets[sheet][key.name] = parsed.ok
         if isinstance(parsed.ok, rows.WorkspaceRow):
@@ -69,18 +71,18 @@
                 self._owners[digest] = key.name
 
     def replace(self, table_rows: Iterable[tuple[versioned_table.RowKey, object]]) -> None:
-        """Set every row, and remove those not given."""
-        fresh = dict(table_rows)
+        """Replace the whole table."""
+        new_rows = dict(table_rows)
         for sheet, known in self._sheets.items():
             for name in list(known):
                 key = versioned_table.RowKey(sheet, name)
-                if key not in fresh:
+                if key not in new_rows:
                     self.set_row(key, None)
-        for key, value in fresh.items():
+        for key, value in new_rows.items():
             self.set_row(key, value)
 
     def get_workspace_of(self, api_key: str) -> str | None:
-        """Return the workspace that an API key belongs to, or None."""
+        """Return the workspace that owns an API key, or None."""
         digest = get_key_digest(api_key)
         owner = self._owners.get(digest)
         if owner is None:
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of a flow: calls to upstreams, the caller, the dispatcher."""
+"""Fakes for the interfaces of a flow: calls to upstreams, the caller and the dispatcher."""
 
 from spoolhead._internal.entry import flow, flow_context
 from spoolhead._internal.models import codes, requests, rows
@@ -9,7 +9,7 @@
 
 
 class FakeCall:
-    """A call that a test drives."""
+    """A call whose events a test triggers."""
 
     def __init__(self, request, user):
         self.head, _, self.body = request.partition(b"\r\n\r\n")
@@ -48,7 +48,7 @@
 
 
 class FakeCalls:
-    """Remembers every call."""
+    """Records every call."""
 
     def __init__(self):
         self.made = []
@@ -70,7 +70,7 @@
 
 
 class FakeCaller:
-    """Keeps what it was sent."""
+    """Records the answer that it is sent."""
 
     def __init__(self):
         self.on_gone = None
@@ -109,7 +109,7 @@
 
 
 class FakeHost:
-    """Offers two upstreams and notes the end."""
+    """Offers two upstreams and records the results of flows."""
 
     def __init__(self):
         self.replicas = [make_replica("u1"), make_replica("u2")]
@@ -135,13 +135,13 @@
 
 
 class FakeContents:
-    """Takes no request for a suspect until a test says so."""
+    """Records reported contents; none is suspect until a test adds it to ``suspects``."""
 
     def __init__(self):
         self.lost = []
         self.abandoned = []
         self.unreachable = []
-        self.sound = []
+        self.harmless = []
         self.suspects = set()
 
     def is_suspect(self, content_id):
@@ -160,7 +160,7 @@
         self.unreachable.append(replica.name)
 
     def record_harmless(self, content_id):
-        self.sound.append(content_id)
+        self.harmless.append(content_id)
 
 
 def make_replica(name):
@@ -187,8 +187,8 @@
     return request
 
 
-class Setting:
-    """A flow among fakes, with a clock that a test sets."""
+class FlowHarness:
+    """A flow with fake collaborators and a clock that a test sets."""
 
     def __init__(self, request, *, attempts=3):
         self.now_s = 0.0
@@ -221,7 +221,7 @@
 
 
 class FakeLink:
-    """An outgoing connection that stands at once."""
+    """An outgoing connection that is connected immediately."""
 
     def __init__(self, address, user):
         self.address = address
@@ -242,7 +242,7 @@
 
 
 class FakeLinks:
-    """Remembers every outgoing connection."""
+    """Records every outgoing connection."""
 
     def __init__(self):
         self.opened = []
--- a/tests/unit/test_checking.py
+++ b/tests/unit/test_checking.py
@@ -1,4 +1,4 @@
-"""The checker that looks only at what is new, against one that looks at everything."""
+"""Compares the incremental table check with a check of the whole table."""
 
 import hypothesis
 from hypothesis import strategies
@@ -38,14 +38,14 @@
 @hypothesis.given(EDITS)
 @hypothesis.settings(max_examples=300)
 def test_it_finds_what_a_check_of_everything_finds(edits):
-    quick = checking.TableChecker()
+    incremental = checking.TableChecker()
     table = {}
     for sheet, name, value in edits:
         proposed = dict(table)
         proposed.pop(_key(sheet, name), None)
         if value is not None:
             proposed[_key(sheet, name)] = dict(value)
-        found = quick(proposed)
+        found = incremental(proposed)
         expected = checking.TableChecker()(proposed)
         assert sorted(map(str, found)) == sorted(map(str, expected))
         if not found:
--- a/tests/unit/test_flow.py
+++ b/tests/unit/test_flow.py
@@ -1,4 +1,4 @@
-"""A request's way through attempts, among fakes, under every order of events."""
+"""Runs flows against fakes under every order of events of their attempts."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 class FlowMachine(stateful.RuleBasedStateMachine):
-    """Upstreams do anything with any attempt, old ones included."""
+    """Applies any event to any attempt, including attempts that the flow has given up."""
 
     is_once = False
     kind = "model"
@@ -27,25 +27,25 @@
     def __init__(self):
         super().__init__()
         request = fakes.make_request(once=self.is_once, kind=self.kind, deadline_s=500.0)
-        self.setting = fakes.Setting(request)
-        self.sent = {}
-        self.headed = set()
+        self.harness = fakes.FlowHarness(request)
+        self.next_index = {}
+        self.answered = set()
         self.refused = set()
-        self.dead = set()
+        self.ended = set()
 
-    def _live(self, call):
-        return call not in self.dead
+    def _is_live(self, call):
+        return call not in self.ended
 
-    def _draw(self, data):
-        """An attempt to act on: mostly the newest, now and then one given up before."""
-        calls = [call for call in self.setting.calls.attempts if self._live(call)]
+    def _draw_attempt(self, data):
+        """Return an attempt to act on: mostly the latest, sometimes an earlier one."""
+        calls = [call for call in self.harness.calls.attempts if self._is_live(call)]
         if not calls:
             return None
         return data.draw(strategies.sampled_from([*calls, *[calls[-1]] * 3]))
 
     @stateful.rule(data=strategies.data())
     def arrive(self, data):
-        call = self._draw(data)
+        call = self._draw_attempt(data)
         if call is not None and not call.is_over:
             call.may_have_arrived = True
 
@@ -53,18 +53,18 @@
         data=strategies.data(), status=strategies.sampled_from([200, 200, 429, 500, 404])
     )
     def head(self, data, status):
-        call = self._draw(data)
-        if call is None or call in self.headed:
+        call = self._draw_attempt(data)
+        if call is None or call in self.answered:
             return
-        # What a cancelled call still brings was on its way before; it changes nothing.
+        # A cancelled call may still deliver data that was in transit; it must have no effect.
         call.may_have_arrived = call.may_have_arrived or not call.is_over
-        self.headed.add(call)
+        self.answered.add(call)
         if status == 429:
             self.refused.add(call)
         if status == 200:
-            self.sent[call] = call.first_index
+            self.next_index[call] = call.first_index
         else:
-            self.dead.add(call)
+            self.ended.add(call)
         call.user.on_answer_head(status, EVENT_STREAM)
         if status != 200:
             call.user.on_answer_body(b'{"error": {}}')
@@ -74,63 +74,63 @@
         data=strategies.data(), back=strategies.integers(0, 3), count=strategies.integers(1, 5)
     )
     def tokens(self, data, back, count):
-        call = self._draw(data)
-        if call is None or call not in self.sent:
+        call = self._draw_attempt(data)
+        if call is None or call not in self.next_index:
             return
-        first = max(0, self.sent[call] - back)
+        first = max(0, self.next_index[call] - back)
         last = min(LENGTH, first + count)
         call.user.on_answer_body(
             b"".join(_make_event(call.generation, n) for n in range(first, last))
         )
-        self.sent[call] = max(self.sent[call], last)
+        self.next_index[call] = max(self.next_index[call], last)
 
     @stateful.rule(data=strategies.data())
     def gap(self, data):
-        call = self._draw(data)
-        if call is not None and call in self.sent:
-            call.user.on_answer_body(_make_event(call.generation, self.sent[call] + 2))
+        call = self._draw_attempt(data)
+        if call is not None and call in self.next_index:
+            call.user.on_answer_body(_make_event(call.generation, self.next_index[call] + 2))
 
     @stateful.rule(data=strategies.data())
     def foreign(self, data):
-        call = self._draw(data)
-        if call is not None and call in self.sent and self.sent[call]:
-            call.user.on_answer_body(_make_event("foreign", self.sent[call]))
+        call = self._draw_attempt(data)
+        if call is not None and call in self.next_index and self.next_index[call]:
+            call.user.on_answer_body(_make_event("foreign", self.next_index[call]))
 
     @stateful.rule(data=strategies.data())
     def done(self, data):
-        call = self._draw(data)
-        if call is None or self.sent.get(call, 0) < LENGTH:
+        call = self._draw_attempt(data)
+        if call is None or self.next_index.get(call, 0) < LENGTH:
             return
-        self.dead.add(call)
+        self.ended.add(call)
         call.user.on_answer_body(b"data: [DONE]\n\n")
         call.user.on_answer_end()
 
     @stateful.rule(data=strategies.data(), clean=strategies.booleans())
     def lose(self, data, clean):
-        call = self._draw(data)
+        call = self._draw_attempt(data)
         if call is None:
             return
-        self.dead.add(call)
-        if clean and call in self.sent:
+        self.ended.add(call)
+        if clean and call in self.next_index:
             call.user.on_answer_end()
         else:
             call.user.on_call_lost("reset")
 
     @stateful.rule(passed_s=strategies.sampled_from([0.2, 0.2, 2.0, 2.0, 40.0]))
     def pass_time(self, passed_s):
-        self.setting.now_s += passed_s
-        self.setting.flow.check_timeouts()
+        self.harness.now_s += passed_s
+        self.harness.flow.check_timeouts()
 
-    @stateful.rule(really=strategies.sampled_from([False, False, False, True]))
-    def leave(self, really):
-        caller = self.setting.caller
-        if really and not caller.is_gone and not caller.is_finished:
+    @stateful.rule(does_leave=strategies.sampled_from([False, False, False, True]))
+    def leave(self, does_leave):
+        caller = self.harness.caller
+        if does_leave and not caller.is_gone and not caller.is_finished:
             caller.is_gone = True
             caller.on_gone()
 
     @stateful.invariant()
     def delivered_is_a_prefix_of_one_generation(self):
-        caller = self.setting.caller
+        caller = self.harness.caller
         if caller.status != 200:
             return
         events = [event for event in caller.data.split(b"\n\n") if event.startswith(b"id: ")]
@@ -145,19 +145,19 @@
 
     @stateful.invariant()
     def ends_once_and_says_whether_it_ran(self):
-        results = self.setting.host.results
+        results = self.harness.host.results
         assert len(results) <= 1
-        assert bool(results) == self.setting.flow.is_over
+        assert bool(results) == self.harness.flow.is_over
         if not results:
             return
         acted = [
             call
-            for call in self.setting.calls.attempts
+            for call in self.harness.calls.attempts
             if call.may_have_arrived and call not in self.refused
         ]
         if results[0].ran is codes.Ran.NO:
             assert not acted
-        caller = self.setting.caller
+        caller = self.harness.caller
         if not caller.is_gone:
             assert caller.is_finished
             if results[0].code is not codes.ResultCode.OK:
@@ -168,15 +168,15 @@
 
     @stateful.invariant()
     def nothing_is_left_running_behind(self):
-        if self.setting.flow.is_over:
-            assert all(not replica.running for replica in self.setting.host.replicas)
+        if self.harness.flow.is_over:
+            assert all(not replica.running for replica in self.harness.host.replicas)
 
     @stateful.invariant()
     def at_most_one_generation_runs(self):
-        """Before another generation is begun, the one before is ordered to be cancelled."""
-        begun = [c for c in self.setting.calls.attempts if not c.target.startswith("/v1/streams")]
-        ordered = {c.generation for c in self.setting.calls.made if c.is_cancel_order}
-        for call in begun[:-1]:
+        """The previous generation is ordered to be cancelled before another one is started."""
+        started = [c for c in self.harness.calls.attempts if not c.target.startswith("/v1/streams")]
+        ordered = {c.generation for c in self.harness.calls.made if c.is_cancel_order}
+        for call in started[:-1]:
             assert call.generation in ordered or not call.may_have_arrived
 
 
@@ -190,20 +190,20 @@
     def __init__(self):
         super().__init__()
         request = fakes.make_request(kind="plain", stream=False, once=True, deadline_s=100.0)
-        self.setting = fakes.Setting(request)
+        self.harness = fakes.FlowHarness(request)
 
     @stateful.rule(arrives=strategies.booleans())
     def lose(self, arrives):
-        call = self.setting.calls.attempts[-1]
-        if not call.is_over and not self.setting.flow.is_over:
+        call = self.harness.calls.attempts[-1]
+        if not call.is_over and not self.harness.flow.is_over:
             call.may_have_arrived = call.may_have_arrived or arrives
             call.is_over = True
             call.user.on_call_lost("reset")
 
     @stateful.rule(status=strategies.sampled_from([200, 429, 500, 503]))
     def answer(self, status):
-        call = self.setting.calls.attempts[-1]
-        if call.is_over or self.setting.flow.is_over:
+        call = self.harness.calls.attempts[-1]
+        if call.is_over or self.harness.flow.is_over:
             return
         call.may_have_arrived = True
         call.user.on_answer_head(status, [])
@@ -213,16 +213,16 @@
 
     @stateful.rule(passed_s=strategies.sampled_from([1.0, 35.0, 200.0]))
     def pass_time(self, passed_s):
-        self.setting.now_s += passed_s
-        self.setting.flow.check_timeouts()
+        self.harness.now_s += passed_s
+        self.harness.flow.check_timeouts()
 
     @stateful.invariant()
     def at_most_one_attempt_arrives(self):
-        attempts = self.setting.calls.attempts
+        attempts = self.harness.calls.attempts
         arrived = [call for call in attempts if call.may_have_arrived]
         assert len(arrived) <= 1
         assert not arrived or arrived[0] is attempts[-1]
-        if self.setting.result is not None and self.setting.ran is codes.Ran.NO:
+        if self.harness.result is not None and self.harness.ran is codes.Ran.NO:
             assert not arrived
 
 
@@ -230,151 +230,151 @@
 
 
 def test_a_late_answer_of_a_given_up_attempt_is_ignored():
-    setting = fakes.Setting(fakes.make_request())
-    first = setting.calls.attempts[0]
+    harness = fakes.FlowHarness(fakes.make_request())
+    first = harness.calls.attempts[0]
     first.may_have_arrived = True
     first.user.on_answer_head(200, EVENT_STREAM)
     first.user.on_call_lost("reset")
-    second = setting.calls.attempts[1]
+    second = harness.calls.attempts[1]
     assert first.generation != second.generation
     first.user.on_answer_body(_make_event(first.generation, 0))
-    assert setting.caller.data == b""
+    assert harness.caller.data == b""
     second.user.on_answer_head(200, EVENT_STREAM)
     second.user.on_answer_body(_make_event(second.generation, 0))
     first.user.on_answer_body(_make_event(first.generation, 1))
     first.user.on_answer_end()
-    assert setting.caller.data == _make_event(second.generation, 0)
-    assert not setting.flow.is_over
+    assert harness.caller.data == _make_event(second.generation, 0)
+    assert not harness.flow.is_over
 
 
 def test_after_the_first_token_no_other_generation_is_begun():
-    setting = fakes.Setting(fakes.make_request())
+    harness = fakes.FlowHarness(fakes.make_request())
     for _ in range(2):
-        call = setting.calls.attempts[-1]
+        call = harness.calls.attempts[-1]
         call.may_have_arrived = True
         call.user.on_answer_head(200, EVENT_STREAM)
         call.user.on_answer_body(_make_event(call.generation, call.first_index))
         call.user.on_call_lost("reset")
-    assert len({call.generation for call in setting.calls.attempts}) == 1
-    setting.calls.attempts[-1].user.on_answer_head(404, [])
-    assert setting.result.code is codes.ResultCode.GENERATION_LOST
-    assert len({call.generation for call in setting.calls.attempts}) == 1
+    assert len({call.generation for call in harness.calls.attempts}) == 1
+    harness.calls.attempts[-1].user.on_answer_head(404, [])
+    assert harness.result.code is codes.ResultCode.GENERATION_LOST
+    assert len({call.generation for call in harness.calls.attempts}) == 1
 
 
 def test_resuming_at_an_upstream_that_is_gone_ends():
-    setting = fakes.Setting(fakes.make_request())
-    call = setting.calls.attempts[0]
+    harness = fakes.FlowHarness(fakes.make_request())
+    call = harness.calls.attempts[0]
     call.may_have_arrived = True
     call.user.on_answer_head(200, EVENT_STREAM)
     call.user.on_answer_body(_make_event(call.generation, 0))
     call.user.on_call_lost("reset")
     for _ in range(10):
-        if setting.flow.is_over:
+        if harness.flow.is_over:
             break
-        setting.calls.attempts[-1].user.on_call_lost("refused")
-    assert setting.result.code is codes.ResultCode.GENERATION_LOST
+        harness.calls.attempts[-1].user.on_call_lost("refused")
+    assert harness.result.code is codes.ResultCode.GENERATION_LOST
 
 
 def test_an_attempt_that_never_arrived_does_not_count():
-    setting = fakes.Setting(fakes.make_request(kind="plain", stream=False, once=True))
+    harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False, once=True))
     for _ in range(10):
-        setting.calls.attempts[-1].user.on_call_lost("refused")
-    assert not setting.flow.is_over
-    call = setting.calls.attempts[-1]
+        harness.calls.attempts[-1].user.on_call_lost("refused")
+    assert not harness.flow.is_over
+    call = harness.calls.attempts[-1]
     call.may_have_arrived = True
     call.user.on_answer_head(200, [])
     call.user.on_answer_end()
-    assert setting.result.code is codes.ResultCode.OK
+    assert harness.result.code is codes.ResultCode.OK
 
 
 def test_a_generation_given_up_is_cancelled():
-    setting = fakes.Setting(fakes.make_request())
-    call = setting.calls.attempts[0]
+    harness = fakes.FlowHarness(fakes.make_request())
+    call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
-    assert [item.generation for item in setting.calls.made if item.is_cancel_order] == ["r.1"]
+    harness.caller.is_gone = True
+    harness.caller.on_gone()
+    assert [item.generation for item in harness.calls.made if item.is_cancel_order] == ["r.1"]
 
 
 def test_a_whole_answer_beyond_bounds_is_refused():
-    setting = fakes.Setting(fakes.make_request(kind="plain", stream=False))
-    call = setting.calls.attempts[0]
+    harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False))
+    call = harness.calls.attempts[0]
     call.user.on_answer_head(200, [])
     call.user.on_answer_body(b"x" * 1_001)
-    assert setting.result.code is codes.ResultCode.ANSWER_TOO_LARGE
+    assert harness.result.code is codes.ResultCode.ANSWER_TOO_LARGE
     assert call.is_over
 
 
 def test_a_whole_answer_is_delivered_only_when_it_is_whole():
-    setting = fakes.Setting(fakes.make_request(kind="plain", stream=False, once=True))
-    call = setting.calls.attempts[0]
+    harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False, once=True))
+    call = harness.calls.attempts[0]
     call.may_have_arrived = True
     call.user.on_answer_head(200, [])
     call.user.on_answer_body(b"half")
     call.user.on_call_lost("reset")
-    assert b"half" not in setting.caller.data
-    assert (setting.result.code, setting.ran) == (codes.ResultCode.UPSTREAM_LOST, codes.Ran.UNKNOWN)
+    assert b"half" not in harness.caller.data
+    assert (harness.result.code, harness.ran) == (codes.ResultCode.UPSTREAM_LOST, codes.Ran.UNKNOWN)
 
 
 def test_a_held_request_that_may_run_is_not_called_not_run():
-    setting = fakes.Setting(fakes.make_request())
-    setting.calls.made[-1].may_have_arrived = True
-    setting.flow.reject_held()
-    assert setting.ran is codes.Ran.UNKNOWN
-    assert setting.result.code is codes.ResultCode.UPSTREAM_LOST
-    assert setting.caller.status == 502
+    harness = fakes.FlowHarness(fakes.make_request())
+    harness.calls.made[-1].may_have_arrived = True
+    harness.flow.reject_held()
+    assert harness.ran is codes.Ran.UNKNOWN
+    assert harness.result.code is codes.ResultCode.UPSTREAM_LOST
+    assert harness.caller.status == 502
 
 
 def test_a_held_request_that_has_not_run_is_refused_without_when_to_come_back():
-    setting = fakes.Setting(fakes.make_request())
-    setting.flow.reject_held()
-    assert setting.ran is codes.Ran.NO
-    assert setting.result.code is codes.ResultCode.REQUEST_HELD
-    assert setting.caller.status == 503
+    harness = fakes.FlowHarness(fakes.make_request())
+    harness.flow.reject_held()
+    assert harness.ran is codes.Ran.NO
+    assert harness.result.code is codes.ResultCode.REQUEST_HELD
+    assert harness.caller.status == 503
 
 
 def test_a_suspect_has_no_further_attempt():
-    setting = fakes.Setting(fakes.make_request())
-    setting.contents.suspects.add(b"")
-    call = setting.calls.made[-1]
+    harness = fakes.FlowHarness(fakes.make_request())
+    harness.contents.suspects.add(b"")
+    call = harness.calls.made[-1]
     call.may_have_arrived = True
     call.is_over = True
     call.user.on_call_lost("Connection reset by peer")
-    assert setting.contents.lost == ["u1@entry.0"]
-    assert [item for item in setting.calls.made if not item.is_cancel_order] == [call]
-    assert setting.result.code is codes.ResultCode.UPSTREAM_LOST
+    assert harness.contents.lost == ["u1@entry.0"]
+    assert [item for item in harness.calls.made if not item.is_cancel_order] == [call]
+    assert harness.result.code is codes.ResultCode.UPSTREAM_LOST
 
 
 def test_a_request_abandoned_is_remembered_where_it_may_run():
-    setting = fakes.Setting(fakes.make_request())
-    setting.calls.made[-1].may_have_arrived = True
-    setting.caller.on_gone()
-    assert setting.contents.abandoned == ["u1@entry.0"]
+    harness = fakes.FlowHarness(fakes.make_request())
+    harness.calls.made[-1].may_have_arrived = True
+    harness.caller.on_gone()
+    assert harness.contents.abandoned == ["u1@entry.0"]
 
 
 def test_a_request_abandoned_before_it_arrived_is_not_remembered():
-    setting = fakes.Setting(fakes.make_request())
-    setting.caller.on_gone()
-    assert not setting.contents.abandoned
+    harness = fakes.FlowHarness(fakes.make_request())
+    harness.caller.on_gone()
+    assert not harness.contents.abandoned
 
 
 def test_an_upstream_that_refuses_connections_is_told_of():
-    setting = fakes.Setting(fakes.make_request())
-    call = setting.calls.made[-1]
+    harness = fakes.FlowHarness(fakes.make_request())
+    call = harness.calls.made[-1]
     call.is_over = True
     call.user.on_call_lost(links.REFUSED)
-    assert setting.contents.unreachable == ["u1"]
+    assert harness.contents.unreachable == ["u1"]
 
 
-@pytest.mark.parametrize(("status", "is_sound"), [(200, True), (404, False), (413, False)])
-def test_only_a_good_answer_shows_that_a_request_is_sound(status, is_sound):
-    setting = fakes.Setting(fakes.make_request(kind="plain", stream=False))
-    call = setting.calls.attempts[0]
+@pytest.mark.parametrize(("status", "is_harmless"), [(200, True), (404, False), (413, False)])
+def test_only_a_good_answer_shows_that_a_request_is_sound(status, is_harmless):
+    harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False))
+    call = harness.calls.attempts[0]
     call.may_have_arrived = True
     call.user.on_answer_head(status, [])
     call.user.on_answer_end()
-    assert setting.caller.status == status
-    assert bool(setting.contents.sound) is is_sound
+    assert harness.caller.status == status
+    assert bool(harness.contents.harmless) is is_harmless
 
 
 @pytest.mark.parametrize("kind", ["model", "plain"])
@@ -382,10 +382,10 @@
     ("text", "rest_s"), [("2.5", 2.5), ("1e9", 60.0), ("soon", 0.0), ("-1", 0.0)]
 )
 def test_an_upstream_that_asks_for_rest_gets_nothing_until_it_is_over(kind, text, rest_s):
-    """Guards against an upstream that looks empty since it turns everything away."""
-    setting = fakes.Setting(fakes.make_request(kind=kind, stream=False))
-    replica = setting.flow.replica
-    call = setting.calls.attempts[0]
+    """Guards against choosing an upstream that looks idle because it refuses all requests."""
+    harness = fakes.FlowHarness(fakes.make_request(kind=kind, stream=False))
+    replica = harness.flow.replica
+    call = harness.calls.attempts[0]
     call.may_have_arrived = True
     call.user.on_answer_head(503, [("retry-after", text)])
     assert replica.health.is_ejected(rest_s / 2) is bool(rest_s)
--- a/tests/unit/test_foreign_entries.py
+++ b/tests/unit/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer put into the list name nothing to use, and cost no other entry."""
+"""Malformed entries in the instance list are skipped and do not affect the other entries."""
 
 import json
 
@@ -23,7 +23,7 @@
     "stage": "hybrid",
     "models": [{"name": "m", "version": 1, "adapters": []}],
 }
-NEEDED = ("id", "service", "address", "zone", "slots", "state", "cold_remaining_ms")
+REQUIRED_FIELDS = ("id", "service", "address", "zone", "slots", "state", "cold_remaining_ms")
 BAD_VALUES = {
     "id": [None, 4, "", ["i"], "x" * 300, "\ud800", "a\nb"],
     "service": [None, 4, "", {}],
@@ -52,7 +52,7 @@
     return tables.decode_instances(page)
 
 
-@pytest.mark.parametrize("name", NEEDED)
+@pytest.mark.parametrize("name", REQUIRED_FIELDS)
 def test_an_entry_without_a_field_is_passed_over(name):
     entry = {key: value for key, value in GOOD.items() if key != name}
     page = _decode(entry, {**GOOD, "id": "good"}).ok
@@ -65,7 +65,7 @@
 )
 def test_an_entry_with_a_field_that_makes_no_sense_is_passed_over(name, value):
     page = _decode({**GOOD, name: value}, {**GOOD, "id": "good"}).ok
-    # A start that is null is not told.
+    # A null start time counts as unknown.
     assert [item.instance_id for item in page.instances] == ["good"]
 
 
@@ -119,7 +119,7 @@
     entries = [*others[:place], GOOD, *others[place:]]
     page = _decode(*entries).ok
     assert "i-1" in [item.instance_id for item in page.instances]
-    # What is read goes on to the entries.
+    # Keepers pass the decoded instances on to entries, so they must survive a round trip.
     assert instances.unpack(instances.pack(page.instances)) == page.instances
 
 
@@ -129,8 +129,8 @@
         json.dumps(GOOD).encode(),
         json.dumps({**GOOD, "id": "i-2"}).encode(),
     )
-    spoiled = page[:position] + data + page[position:]
-    decoded = tables.decode_instances(spoiled)
+    corrupted = page[:position] + data + page[position:]
+    decoded = tables.decode_instances(corrupted)
     if decoded.is_ok() and decoded.ok.next_target:
         assert decoded.ok.next_target.startswith("/replicas?page_token=")
 
@@ -158,27 +158,27 @@
 
 def test_a_bad_page_leaves_the_list_as_it_was():
     calls = gateway_setting.GatewayCalls()
-    taken = []
+    lists = []
     config = settings.InstanceListSettings(address="10.0.0.3:1")
-    reader = list_reader.ListReader(_Loop, calls, config, dialect.Dialect(), taken.append)
+    reader = list_reader.ListReader(_Loop, calls, config, dialect.Dialect(), lists.append)
     good = json.dumps({"instances": [GOOD], "next_token": None}).encode()
     _read(reader, calls, good)
     _read(reader, calls, b"\xff" * 50)
     _read(reader, calls, json.dumps({"instances": [{"id": 4}], "next_token": None}).encode())
-    assert [[item.instance_id for item in listed] for listed in taken] == [["i-1"]]
+    assert [[item.instance_id for item in listed] for listed in lists] == [["i-1"]]
     _read(reader, calls, json.dumps({"instances": [4, GOOD], "next_token": None}).encode())
-    assert len(taken) == 2
+    assert len(lists) == 2
 
 
 def test_an_id_that_is_named_twice_stays_where_it_was():
     calls = gateway_setting.GatewayCalls()
-    taken = []
+    lists = []
     config = settings.InstanceListSettings(address="10.0.0.3:1")
-    reader = list_reader.ListReader(_Loop, calls, config, dialect.Dialect(), taken.append)
+    reader = list_reader.ListReader(_Loop, calls, config, dialect.Dialect(), lists.append)
     _read(reader, calls, json.dumps({"instances": [GOOD], "next_token": None}).encode())
     foreign = {**GOOD, "service": "nobody", "address": "10.9.9.9:1"}
     _read(reader, calls, json.dumps({"instances": [foreign, GOOD], "next_token": None}).encode())
-    assert [item.address for item in taken[-1]] == ["10.0.0.9:80"]
+    assert [item.address for item in lists[-1]] == ["10.0.0.9:80"]
 
 
 @pytest.mark.parametrize("text", ["", "soon", "-4", "1.5", "9" * 40, "\u0664"])
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -1,4 +1,4 @@
-"""Requests that end upstreams, as an entry of the product's own interface finds them out."""
+"""Quarantine of contents that crash upstreams, at an entry of the OpenAI interface."""
 
 import pytest
 
@@ -12,11 +12,11 @@
 from spoolhead._internal.utils import clocks, metrics
 
 CONTENT = b"c" * 16
-SAVED_S = 5.0
+SAVE_TIMEOUT_S = 5.0
 
 
-class Setting:
-    """An entry that has abandoned a request at an upstream."""
+class ContentsHarness:
+    """An entry's held contents with one upstream, at which a test can abandon a request."""
 
     def __init__(self, folder=None):
         self.calls = gateway_setting.GatewayCalls()
@@ -37,60 +37,60 @@
 
 
 def test_an_upstream_that_refuses_is_asked_where_a_request_was_abandoned():
-    setting = Setting()
-    setting.abandon()
-    setting.contents.record_unreachable(setting.replica)
-    (question,) = setting.calls.made
-    assert question.target == "/load"
-    question.lose(links.REFUSED)
-    assert setting.contents.is_suspect(CONTENT)
+    harness = ContentsHarness()
+    harness.abandon()
+    harness.contents.record_unreachable(harness.replica)
+    (query,) = harness.calls.made
+    assert query.target == "/load"
+    query.lose(links.REFUSED)
+    assert harness.contents.is_suspect(CONTENT)
 
 
 def test_what_it_knows_outlasts_it_on_its_own_disk(tmp_path):
-    setting = Setting(tmp_path)
-    setting.abandon()
-    setting.contents.record_unreachable(setting.replica)
-    setting.calls.made[0].lose(links.REFUSED)
-    assert setting.contents._saved.wait_until_synced(SAVED_S)
-    assert Setting(tmp_path).contents.is_suspect(CONTENT)
+    harness = ContentsHarness(tmp_path)
+    harness.abandon()
+    harness.contents.record_unreachable(harness.replica)
+    harness.calls.made[0].lose(links.REFUSED)
+    assert harness.contents._saved.wait_until_synced(SAVE_TIMEOUT_S)
+    assert ContentsHarness(tmp_path).contents.is_suspect(CONTENT)
 
 
 def test_what_it_was_told_outlasts_it_too(tmp_path):
-    setting = Setting(tmp_path)
+    harness = ContentsHarness(tmp_path)
     record = content_record.ContentRecord(content_id=CONTENT, ends=(1, 2), waves=2)
-    setting.contents.merge_records("keeper-1", [content_record.AgedRecord(record, 0)])
-    assert setting.contents._saved.wait_until_synced(SAVED_S)
-    assert Setting(tmp_path).contents.is_held(CONTENT)
+    harness.contents.merge_records("keeper-1", [content_record.AgedRecord(record, 0)])
+    assert harness.contents._saved.wait_until_synced(SAVE_TIMEOUT_S)
+    assert ContentsHarness(tmp_path).contents.is_held(CONTENT)
 
 
 def test_an_upstream_that_answers_has_not_ended():
-    setting = Setting()
-    setting.abandon()
-    setting.contents.record_unreachable(setting.replica)
-    setting.calls.made[0].answer(200, [])
-    assert not setting.contents.is_suspect(CONTENT)
+    harness = ContentsHarness()
+    harness.abandon()
+    harness.contents.record_unreachable(harness.replica)
+    harness.calls.made[0].answer(200, [])
+    assert not harness.contents.is_suspect(CONTENT)
 
 
 def test_an_upstream_that_had_nothing_of_this_entry_is_not_asked():
-    setting = Setting()
-    setting.contents.record_unreachable(setting.replica)
-    assert not setting.calls.made
+    harness = ContentsHarness()
+    harness.contents.record_unreachable(harness.replica)
+    assert not harness.calls.made
 
 
 @pytest.mark.parametrize("leaves", ["before it is abandoned", "after that"])
 def test_an_upstream_that_leaves_is_not_asked(leaves):
-    setting = Setting()
+    harness = ContentsHarness()
     if leaves == "after that":
-        setting.abandon()
-    setting.replica.row.state = rows.UpstreamState.LEAVING
+        harness.abandon()
+    harness.replica.row.state = rows.UpstreamState.LEAVING
     if leaves != "after that":
-        setting.abandon()
-    setting.contents.record_unreachable(setting.replica)
-    assert not setting.calls.made
+        harness.abandon()
+    harness.contents.record_unreachable(harness.replica)
+    assert not harness.calls.made
 
 
-class Entry:
-    """An entry of one plain service, to which a content is known that has ended two upstreams."""
+class EntryHarness:
+    """A dispatcher with one plain service; a test can mark a content as held."""
 
     def __init__(self):
         self.calls = fakes.FakeCalls()
@@ -145,13 +145,13 @@
 
 
 def test_a_trial_of_a_held_request_runs_though_it_is_held_and_clears_it():
-    entry = Entry()
+    entry = EntryHarness()
     request = fakes.make_request(kind="plain", stream=False)
     content_id = entry.hold(request, since_s=quarantine.TRIAL_AFTER_S)
     caller = entry.submit(request)
-    again = entry.submit(fakes.make_request(kind="plain", stream=False))
+    second = entry.submit(fakes.make_request(kind="plain", stream=False))
     assert not entry.calls.attempts
-    assert again.status == 503
+    assert second.status == 503
     entry.timers.run(quarantine.CLAIM_S + 0.01)
     entry.dispatcher.reject_held(content_id)
     (call,) = entry.calls.attempts
@@ -163,7 +163,7 @@
 
 
 def test_a_request_that_was_just_held_is_refused():
-    entry = Entry()
+    entry = EntryHarness()
     request = fakes.make_request(kind="plain", stream=False)
     entry.hold(request, since_s=0.0)
     assert entry.submit(request).status == 503
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -51,7 +51,7 @@
 
 
 class AdmissionMachine(stateful.RuleBasedStateMachine):
-    """Counts kept beside the real ones; limits of the rows hold at every step."""
+    """Compares the queue's counts with a model and checks the rows' limits after every step."""
 
     def __init__(self):
         super().__init__()
@@ -68,9 +68,9 @@
     @stateful.rule(
         workspace=strategies.sampled_from("ab"),
         service=strategies.sampled_from(["m", "n"]),
-        patience_s=strategies.sampled_from([2.0, 1e6]),
+        timeout_s=strategies.sampled_from([2.0, 1e6]),
     )
-    def offer(self, workspace, service, patience_s):
+    def offer(self, workspace, service, timeout_s):
         if workspace not in self.rows:
             return
         self.number += 1
@@ -78,7 +78,7 @@
             self.number,
             workspace,
             now_s=self.now_s,
-            deadline_s=self.now_s + patience_s,
+            deadline_s=self.now_s + timeout_s,
             service=service,
         )
         row = self.rows[workspace]
@@ -122,21 +122,21 @@
     @stateful.rule(data=strategies.data())
     def withdraw(self, data):
         if self.waiting:
-            ident = data.draw(strategies.sampled_from(sorted(self.waiting)))
-            self.queue.withdraw(self.waiting.pop(ident))
+            request_id = data.draw(strategies.sampled_from(sorted(self.waiting)))
+            self.queue.withdraw(self.waiting.pop(request_id))
 
     @stateful.rule(passed_s=strategies.sampled_from([0.1, 1.5, 30.0]))
     def pass_time(self, passed_s):
         self.now_s += passed_s
         overdue = {item.request_id for item in self.queue.pop_overdue(self.now_s)}
         expected = {
-            ident
-            for ident, item in self.waiting.items()
+            request_id
+            for request_id, item in self.waiting.items()
             if item.deadline_s <= self.now_s or item.workspace not in self.rows
         }
         assert overdue == expected
-        for ident in overdue:
-            del self.waiting[ident]
+        for request_id in overdue:
+            del self.waiting[request_id]
 
     @stateful.rule(present=strategies.booleans(), limit=strategies.integers(1, 3))
     def edit(self, present, limit):
@@ -155,7 +155,7 @@
 
 
 def _serve(table_rows, offered, *, starts, tokens):
-    """Offer, then start one after another; return how many of each workspace started."""
+    """Queue requests, start them one after another, and return the starts by workspace."""
     queue = admission.Admission(table_rows)
     for number, workspace in enumerate(offered):
         assert queue.offer(_make_waiting(number, workspace), 0.0).is_ok()
@@ -177,7 +177,7 @@
     offered = ["heavy"] * 500 + ["light"] * 500
     started = _serve(table_rows, offered, starts=400, tokens={"heavy": 100, "light": 100})
     assert started["heavy"] == pytest.approx(3 * started["light"], rel=0.05)
-    # Answers four times as long count four times, although nobody knew before.
+    # Answers four times as long count four times, although their lengths were unknown.
     started = _serve(table_rows, offered, starts=400, tokens={"heavy": 400, "light": 100})
     assert started["heavy"] * 400 == pytest.approx(3 * started["light"] * 100, rel=0.2)
 
@@ -246,7 +246,7 @@
             assert generated + ahead < 41_000 or not ahead or held == 0
 
 
-def _foresee(model, workspace, generated, ahead):
+def _predict_survival(model, workspace, generated, ahead):
     profile = model.get_profile(
         workspace, "m", prompt_tokens=0, generated_tokens=generated, limit_tokens=10_000
     )
@@ -258,10 +258,15 @@
     for _ in range(200):
         model.observe("short", "m", 10)
         model.observe("long", "m", 2_000)
-    assert _foresee(model, "short", 0, 64) < 0.1 < 0.9 < _foresee(model, "long", 0, 64)
-    # One that has outlived the short answers is expected to be one of the long ones.
-    assert 0.4 < _foresee(model, "new", 0, 64) < 0.6
-    assert _foresee(model, "new", 100, 64) > 0.9
+    assert (
+        _predict_survival(model, "short", 0, 64)
+        < 0.1
+        < 0.9
+        < _predict_survival(model, "long", 0, 64)
+    )
+    # An answer longer than all short ones is predicted to be a long one.
+    assert 0.4 < _predict_survival(model, "new", 0, 64) < 0.6
+    assert _predict_survival(model, "new", 100, 64) > 0.9
 
 
 def test_planning_limit_falls_on_preemption_and_rises_only_when_it_binds():
@@ -270,10 +275,10 @@
     point.handle_report(preemptions=0, was_limiting=False, now_s=5.0)
     assert point.limit == operating_point.INITIAL_LIMIT
     point.handle_report(preemptions=3, was_limiting=True, now_s=6.0)
-    fallen = point.limit
-    assert fallen < operating_point.INITIAL_LIMIT
+    decreased = point.limit
+    assert decreased < operating_point.INITIAL_LIMIT
     point.handle_report(preemptions=4, was_limiting=True, now_s=6.2)
-    assert point.limit == fallen, "one overload counts once"
+    assert point.limit == decreased, "one overload counts once"
     for step in range(400):
         point.handle_report(preemptions=4, was_limiting=True, now_s=7.0 + step)
     assert point.limit == operating_point.MAX_LIMIT
@@ -369,15 +374,15 @@
 
 
 def test_entries_do_not_all_take_the_room_of_one_report():
-    """Eight entries fill from the same report; together they must not overfill by much."""
+    """Eight entries place by the same report; together they may exceed the memory only slightly."""
     capacity, sent = 10_000, 0.0
     for entry in range(8):
         replica = _make_replica("engine", report=_make_report(running=1, kv_used_tokens=100))
         chooser = _make_placement(entry)
         chooser.entry_count = 8
         while (choice := chooser.choose(_make_demand(), SERVICE, _make_pool(replica), 0.1)).replica:
-            work = replicas.RunningRequest("a", 100, 1_000)
-            replica.start(work, choice.planned_tokens)
+            request = replicas.RunningRequest("a", 100, 1_000)
+            replica.start(request, choice.planned_tokens)
             sent += choice.planned_tokens
     assert sent < 1.3 * capacity
 
