--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -1,7 +1,7 @@
-"""The callers' interface: paths, headers and bodies, checked; no I/O and no clock.
+"""Parses and validates callers' HTTP requests: paths, headers and bodies.
 
-Model engines are reached through the published OpenAI HTTP interface, plain services by path
-under their name.
+Models are served through the OpenAI HTTP API, plain services under ``/NAME/``. Performs no I/O;
+the current time is passed in.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 MAX_ONCE_KEY_LENGTH = 255
 BYTES_PER_TOKEN = 4
-HIGHEST_PRIORITY = 9
+MAX_PRIORITY = 9
 
 _TRUE_WORDS = frozenset({"1", "true", "yes"})
 _FALSE_WORDS = frozenset({"0", "false", "no"})
@@ -58,12 +58,12 @@
 Parsed = expression.Result[requests.CallerRequest, fault.Fault]
 
 
-class Arrival:
-    """What the entry adds to a request when it arrives.
+class ParseContext:
+    """Values that the entry supplies for parsing one request.
 
-    :ivar request_id: id of the request.
-    :ivar now_s: monotonic time in seconds.
-    :ivar shared_key: the fleet's secret, for tokens.
+    :ivar request_id: id assigned to the request.
+    :ivar now_s: monotonic time of arrival, in seconds.
+    :ivar shared_key: the fleet's secret, which signs stream tokens.
     """
 
     __slots__ = ("now_s", "request_id", "shared_key")
@@ -75,16 +75,16 @@
 
 
 def get_path(wire: request_reader.WireRequest) -> str:
-    """Return the path of a request without its query."""
+    """Return the path of a request without its query string."""
     return wire.target.partition("?")[0]
 
 
 def get_workspace(
     wire: request_reader.WireRequest, table: view.TableView
 ) -> expression.Result[str, fault.Fault]:
-    """Tell whose request it is, by its API key.
+    """Return the workspace that owns the request's API key.
 
-    :returns: the workspace, or ``KEY_MISSING`` or ``KEY_UNKNOWN``.
+    :returns: the workspace, or a fault with ``KEY_MISSING`` or ``KEY_UNKNOWN``.
     """
     header = wire.get_header("authorization")
     scheme, _, api_key = (header or "").partition(" ")
@@ -98,20 +98,20 @@
 
 
 def parse(
-    wire: request_reader.WireRequest, workspace: str, table: view.TableView, arrival: Arrival
+    wire: request_reader.WireRequest, workspace: str, table: view.TableView, context: ParseContext
 ) -> Parsed:
-    """Check a request of a known workspace.
+    """Parse and validate a request of an authenticated workspace.
 
-    :returns: the request, or the first thing that is wrong with it.
+    :returns: the request, or a fault for the first problem found.
     """
     path = get_path(wire)
     if path in (CHAT_PATH, COMPLETIONS_PATH):
-        return _parse_generation(wire, path, workspace, table, arrival)
+        return _parse_generation(wire, path, workspace, table, context)
     if path.startswith(STREAMS_PATH):
-        return _parse_resume(wire, path, workspace, table, arrival)
+        return _parse_resume(wire, path, workspace, table, context)
     if path == "/v1" or path.startswith("/v1/"):
         return _refuse(codes.ResultCode.UNKNOWN_PATH, f"no such path: {path}")
-    return _parse_plain(wire, workspace, table, arrival)
+    return _parse_plain(wire, workspace, table, context)
 
 
 def _parse_generation(
@@ -119,7 +119,7 @@
     path: str,
     workspace: str,
     table: view.TableView,
-    arrival: Arrival,
+    context: ParseContext,
 ) -> Parsed:
     if wire.method != "POST":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{path} takes POST")
@@ -129,17 +129,17 @@
         return _refuse(codes.ResultCode.MALFORMED_JSON, f"the body is not JSON: {error}")
     if not isinstance(body, dict):
         return _refuse(codes.ResultCode.MALFORMED_JSON, "the body is not a JSON object")
-    wrong = _check_body(path, body)
-    if wrong is not None:
-        return expression.Error(wrong)
+    problem = _check_body(path, body)
+    if problem is not None:
+        return expression.Error(problem)
     service = _get_service(table, workspace, body["model"], rows.ServiceKind.MODEL)
     if service.is_error():
         return expression.Error(service.error)
     row = table.workspaces[workspace]
-    limit = _set_limit(body, row)
-    body["priority"] = HIGHEST_PRIORITY - row.priority
+    limit = _apply_output_limit(body, row)
+    body["priority"] = MAX_PRIORITY - row.priority
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=body["model"],
         service=service.ok,
@@ -147,8 +147,8 @@
         target=path,
         headers=[("content-type", "application/json"), ("accept", "*/*")],
         body=json.dumps(body).encode(),
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.wants_stream = body.get("stream") is True
     request.prompt_tokens = max(1, len(wire.body) // BYTES_PER_TOKEN)
@@ -161,12 +161,13 @@
     path: str,
     workspace: str,
     table: view.TableView,
-    arrival: Arrival,
+    context: ParseContext,
 ) -> Parsed:
     if wire.method != "GET":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{STREAMS_PATH} takes GET")
-    token = stream_token.parse_token(arrival.shared_key, path.removeprefix(STREAMS_PATH))
-    # Somebody else's token reads exactly like one that was never made.
+    token = stream_token.parse_token(context.shared_key, path.removeprefix(STREAMS_PATH))
+    # A token of another workspace gets the same answer as an invalid one, so that callers
+    # cannot probe for the streams of others.
     if token is None or token.workspace != workspace or token.service not in table.services:
         return _refuse(codes.ResultCode.UNKNOWN_PATH, "no such stream")
     match = _LAST_EVENT.match(wire.get_header(LAST_EVENT_HEADER) or "")
@@ -175,7 +176,7 @@
         return _refuse(codes.ResultCode.WRONG_FIELD, text, path=LAST_EVENT_HEADER)
     row = table.workspaces[workspace]
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=token.service,
         service=table.services[token.service],
@@ -183,8 +184,8 @@
         target=path,
         headers=[],
         body=b"",
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.wants_stream = True
     request.limit_tokens = row.max_output_tokens
@@ -193,7 +194,7 @@
 
 
 def _parse_plain(
-    wire: request_reader.WireRequest, workspace: str, table: view.TableView, arrival: Arrival
+    wire: request_reader.WireRequest, workspace: str, table: view.TableView, context: ParseContext
 ) -> Parsed:
     name, slash, rest = wire.target.removeprefix("/").partition("/")
     name, question, query = name.partition("?")
@@ -203,7 +204,7 @@
     service = _get_service(table, workspace, name, rows.ServiceKind.PLAIN)
     if service.is_error():
         return expression.Error(service.error)
-    once = _get_once_mark(wire, service.ok)
+    once = _get_once_flag(wire, service.ok)
     if once.is_error():
         return expression.Error(once.error)
     once_key = wire.get_header(ONCE_KEY_HEADER) or ""
@@ -213,7 +214,7 @@
     row = table.workspaces[workspace]
     target = f"/{rest}" if slash else f"/{question}{query}"
     request = requests.CallerRequest(
-        request_id=arrival.request_id,
+        request_id=context.request_id,
         workspace=workspace,
         service_name=name,
         service=service.ok,
@@ -221,8 +222,8 @@
         target=target,
         headers=[item for item in wire.headers if _may_forward(wire, item[0])],
         body=wire.body,
-        arrived_s=arrival.now_s,
-        deadline_s=arrival.now_s + row.deadline_ms / 1000,
+        arrived_s=context.now_s,
+        deadline_s=context.now_s + row.deadline_ms / 1000,
     )
     request.is_once = once.ok or bool(once_key)
     request.once_key = once_key
@@ -289,8 +290,8 @@
     return {**_COMMON_CHECKS, "prompt": _check_prompt}
 
 
-def _set_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
-    """Bound the length of the answer by the workspace's row; return the bound."""
+def _apply_output_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
+    """Cap the body's output limit at the workspace's maximum and return the limit in tokens."""
     names = [name for name in _LIMIT_NAMES if isinstance(body.get(name), int)]
     limit = min([row.max_output_tokens, *(body[name] for name in names)])
     for name in names or _LIMIT_NAMES[:1]:
@@ -314,13 +315,13 @@
     return expression.Ok(row)
 
 
-def _get_once_mark(
+def _get_once_flag(
     wire: request_reader.WireRequest, service: rows.ServiceRow
 ) -> expression.Result[bool, fault.Fault]:
-    """Tell whether a request must not be repeated.
+    """Return whether a request must run at most once.
 
-    The mark in a request can only add to the table's default: an operator who says that a
-    method is not to be repeated must not be overruled by a caller.
+    The request's header can only add to the table's default: a caller must not override an
+    operator's setting that a method is not repeatable.
     """
     word = (wire.get_header(ONCE_HEADER) or "no").lower()
     if word not in _TRUE_WORDS | _FALSE_WORDS:
@@ -329,8 +330,8 @@
 
 
 def _may_forward(wire: request_reader.WireRequest, name: str) -> bool:
-    named = (wire.get_header("connection") or "").lower()
-    return name not in _HOP_HEADERS and name not in {part.strip() for part in named.split(",")}
+    listed = (wire.get_header("connection") or "").lower()
+    return name not in _HOP_HEADERS and name not in {part.strip() for part in listed.split(",")}
 
 
 def _refuse(
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Brings requests and upstreams together: queue, placement, running flows."""
+"""Assigns requests to upstreams: queueing, placement and the flows in progress."""
 
 import itertools
 import random
@@ -26,46 +26,50 @@
 from spoolhead._internal.table import view
 from spoolhead._internal.utils import clocks, metrics
 
-TICK_S = 0.1
-LOOK_AHEAD = 4
-"""Workspaces whose next request is tried when the one before fits nowhere."""
+CHECK_INTERVAL_S = 0.1
+MAX_WORKSPACES_TRIED = 4
+"""Workspaces whose next request is tried when no upstream has room for the one before it."""
 
-STRANDED_S = 3.0
-"""Time without any upstream after which what waits for one is refused."""
+NO_UPSTREAM_TIMEOUT_S = 3.0
+"""Time without an available upstream after which a service's waiting requests are refused."""
 
 
 class _Job:
-    """A request that waits, with its caller, and its flow if it has been tried before."""
+    """A waiting request with its caller, and its flow if an earlier attempt was made."""
 
-    __slots__ = ("caller", "request", "tried")
+    __slots__ = ("caller", "request", "existing_flow")
 
     def __init__(
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
-        tried: flow.Flow | None = None,
+        existing_flow: flow.Flow | None = None,
     ) -> None:
         self.request = request
         self.caller = caller
-        self.tried = tried
+        self.existing_flow = existing_flow
 
     @property
     def ran(self) -> codes.Ran:
-        """Whether the request may have run, now that it waits."""
-        return self.tried.get_ran_before() if self.tried is not None else codes.Ran.NO
+        """Whether an earlier attempt of the waiting request ran."""
+        return (
+            self.existing_flow.get_ran_while_waiting()
+            if self.existing_flow is not None
+            else codes.Ran.NO
+        )
 
 
 class Dispatcher:
-    """Decides for each request whether it runs, waits or is refused, and where.
+    """Decides for each request whether it runs, waits or is refused, and on which upstream.
 
-    :param loop: root of the program.
+    :param loop: the program's event loop.
     :param config: the entry's settings.
-    :param table: the table.
-    :param calls: makes requests to upstreams.
-    :param gathered: metrics.
-    :param policies: what decides.
-    :param decisions: remembers what was decided.
-    :param contents: what is known of requests that may end upstreams.
+    :param table: typed view of the table.
+    :param calls: sends requests to upstreams.
+    :param collector: receives metrics.
+    :param policies: admission, placement and retry policies.
+    :param decisions: records every decision.
+    :param contents: request contents that may crash upstreams.
     """
 
     def __init__(
@@ -74,7 +78,7 @@
         config: settings.EntrySettings,
         table: view.TableView,
         calls: upstream_calls.UpstreamCalls,
-        gathered: metrics.Metrics,
+        collector: metrics.Metrics,
         policies: policy_set.PolicySet,
         decisions: decision_history.DecisionHistory,
         contents: held_contents.HeldContents,
@@ -82,7 +86,7 @@
         self._contents = contents
         self._config = config
         self._table = table
-        self._gathered = gathered
+        self._metrics = collector
         self._calls = calls
         self._admission = policies.make_admission(table.workspaces)
         self._lengths = policies.make_lengths()
@@ -90,14 +94,14 @@
         self._pools = upstream_pools.UpstreamPools(calls.forget)
         self._flows: set[flow.Flow] = set()
         self._decisions = decisions
-        self._on_end: dict[str, Callable[[flow_context.Result], None]] = {}
-        self._available_s: dict[str, float] = {}
+        self._on_end: dict[str, Callable[[flow_context.FlowResult], None]] = {}
+        self._last_available_s: dict[str, float] = {}
         self._started_s = clocks.get_s()
-        self._context = flow_context.Context(
+        self._context = flow_context.FlowContext(
             calls=calls,
             host=self,
             contents=contents,
-            gathered=gathered,
+            collector=collector,
             clock=clocks.get_s,
             shared_key=config.shared_key,
             attempts=config.upstreams.attempts,
@@ -105,47 +109,47 @@
             unread_bytes=config.callers.unread_bytes,
             policies=policies,
         )
-        loop.scheduler.call_every(TICK_S, self._tick)
+        loop.scheduler.call_every(CHECK_INTERVAL_S, self._check_timeouts)
 
     @property
-    def held_count(self) -> int:
-        """Requests waiting and running."""
+    def request_count(self) -> int:
+        """Number of requests that wait or run."""
         return len(self._flows) + self._admission.waiting_count
 
     @property
     def running_count(self) -> int:
-        """Requests running."""
+        """Number of requests that run."""
         return len(self._flows)
 
     @property
     def upstreams(self) -> list[replicas.Replica]:
-        """Upstreams in the table, those leaving included."""
+        """All upstreams in the table, including those that are leaving."""
         return self._pools.get_all()
 
     def get_upstream(self, name: str) -> replicas.Replica | None:
-        """Return an upstream of the table, or None."""
+        """Return the upstream with the given name, or None."""
         return self._pools.get(name)
 
     def set_entry_count(self, count: int) -> None:
-        """Say how many entries share the upstreams."""
+        """Set the number of entries that share the upstreams."""
         self._placement.entry_count = max(1, count)
 
     def update_upstreams(self) -> None:
-        """Take over the table's upstreams; one that leaves is in no pool from here on."""
+        """Apply the table's current upstreams; one that is leaving receives no new requests."""
         now_s = clocks.get_s()
         is_new = now_s - self._started_s > replicas.REPORT_STALE_S
         self._pools.update(self._table.upstreams, self._table.halls, now_s, is_new=is_new)
-        self._pump()
+        self._start_waiting()
 
     def submit(
         self,
         request: requests.CallerRequest,
         caller: caller_front.Caller,
-        on_end: Callable[[flow_context.Result], None] | None = None,
+        on_end: Callable[[flow_context.FlowResult], None] | None = None,
     ) -> None:
-        """Take a request: run it, let it wait, or refuse it.
+        """Run a request, queue it or refuse it.
 
-        :param on_end: called with the result once it has run, or could not be run.
+        :param on_end: called with the result once the request has ended or was refused.
         """
         if on_end is not None:
             self._on_end[request.request_id] = on_end
@@ -159,30 +163,30 @@
             case quarantine.Verdict.REFUSE:
                 self._refuse(_Job(request, caller), _make_held_refusal())
             case quarantine.Verdict.CLAIM:
-                self._claim(request, caller)
+                self._claim_trial(request, caller)
             case _:
-                self._take(request, caller, now_s)
+                self._admit(request, caller, now_s)
 
-    def _claim(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
-        """Run a held request once more, by itself, if no other entry does."""
+    def _claim_trial(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
+        """Run a held request as a single trial, unless another entry runs the trial."""
 
         def _on_settled(is_own: bool) -> None:
             if is_own and not caller.is_gone:
                 request.is_trial = True
-                self._take(request, caller, clocks.get_s())
+                self._admit(request, caller, clocks.get_s())
             else:
                 self._refuse(_Job(request, caller), _make_held_refusal())
 
         self._contents.claim_trial(request.content_id, _on_settled)
 
     def reject_held(self, content_id: bytes) -> None:
-        """End what runs of a content that is held from now on."""
-        for running in list(self._flows):
-            request = running.request
+        """Abort running requests with a content that is now held, except its trial."""
+        for running_flow in list(self._flows):
+            request = running_flow.request
             if request.content_id == content_id and not request.is_trial:
-                running.reject_held()
+                running_flow.reject_held()
 
-    def _take(
+    def _admit(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
     ) -> None:
         refusal = self._get_early_refusal(request)
@@ -191,64 +195,66 @@
         if refusal is not None:
             self._refuse(_Job(request, caller), refusal)
             return
-        self._pump_service(request.service_name)
+        self._start_waiting_of(request.service_name)
 
-    def choose_again(self, running: flow.Flow, excluded: frozenset[str]) -> placement.Choice:
-        """Choose an upstream for another attempt of a flow."""
-        return self._choose(running.request, excluded)
+    def choose_upstream(
+        self, running_flow: flow.Flow, excluded: frozenset[str]
+    ) -> placement.Choice:
+        """Choose an upstream for a flow's next attempt."""
+        return self._choose(running_flow.request, excluded)
 
     def record_attempt(
         self,
-        running: flow.Flow,
+        running_flow: flow.Flow,
         action: str,
         choice: placement.Choice,
         code: codes.ResultCode,
     ) -> None:
-        """Log another attempt of a flow."""
-        self._decisions.record(running.request, action, code, choice=choice)
+        """Record a flow's next attempt."""
+        self._decisions.record(running_flow.request, action, code, choice=choice)
 
-    def wait_again(self, running: flow.Flow, code: codes.ResultCode) -> bool:
-        """Put a flow whose attempt failed back to the head of its queue.
+    def requeue(self, running_flow: flow.Flow, code: codes.ResultCode) -> bool:
+        """Put a flow whose attempt failed back at the head of its queue.
 
-        :returns: False if no upstream is left that could make room.
+        :returns: False if the service has no available upstream.
         """
-        request = running.request
+        request = running_flow.request
         pool = self._pools.get_pool(request.service_name)
         if pool is None or not pool.has_available(clocks.get_s()):
             return False
-        self._flows.discard(running)
+        self._flows.discard(running_flow)
         self._admission.finish(request.workspace)
         self._decisions.record(
             request, "wait", code, text="no upstream has room for another attempt"
         )
-        waiting = self._make_waiting(_Job(request, running.caller, running))
+        waiting = self._make_waiting(_Job(request, running_flow.caller, running_flow))
         self._admission.put_back(waiting, clocks.get_s())
-        running.caller.on_gone = lambda: self._withdraw(waiting)
+        running_flow.caller.on_gone = lambda: self._withdraw(waiting)
         return True
 
-    def charge(self, running: flow.Flow, tokens: int) -> None:
-        """Charge tokens to a flow's workspace."""
-        self._gathered.count(metrics.Metric.TOKENS, tokens)
-        self._admission.charge(running.request.workspace, tokens, clocks.get_s())
+    def charge(self, running_flow: flow.Flow, tokens: int) -> None:
+        """Charge generated tokens to a flow's workspace."""
+        self._metrics.count(metrics.Metric.TOKENS, tokens)
+        self._admission.charge(running_flow.request.workspace, tokens, clocks.get_s())
 
-    def end(self, running: flow.Flow, result: flow_context.Result) -> None:
-        """Take a flow that is over out of the books."""
-        request = running.request
-        self._flows.discard(running)
+    def handle_flow_end(self, running_flow: flow.Flow, result: flow_context.FlowResult) -> None:
+        """Remove a flow that has ended, and record its length, stall time and result."""
+        request = running_flow.request
+        self._flows.discard(running_flow)
         self._admission.finish(request.workspace)
         if result.is_natural_end and 0 < result.tokens < request.limit_tokens:
             self._lengths.observe(request.workspace, request.service_name, result.tokens)
         if request.wants_stream:
-            self._gathered.time(metrics.Metric.STALL_MS, running.stalled_s * 1000)
+            self._metrics.time(metrics.Metric.STALL_MS, running_flow.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
         self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
-        self._pump_service(request.service_name)
+        self._start_waiting_of(request.service_name)
 
-    def _get_early_refusal(self, request: requests.CallerRequest) -> admission.Refused | None:
-        if self.held_count >= self._config.max_requests:
+    def _get_early_refusal(self, request: requests.CallerRequest) -> admission.Refusal | None:
+        if self.request_count >= self._config.max_requests:
             return _make_refusal(
-                codes.ResultCode.ENTRY_FULL, f"this entry holds {self.held_count} requests"
+                codes.ResultCode.ENTRY_FULL, f"this entry holds {self.request_count} requests"
             )
         pool = self._pools.get_pool(request.service_name)
         if pool is None or not pool.has_available(request.arrived_s):
@@ -258,7 +264,7 @@
 
     def _offer(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
-    ) -> admission.Refused | None:
+    ) -> admission.Refusal | None:
         waiting = self._make_waiting(_Job(request, caller))
         offered = self._admission.offer(waiting, now_s)
         if offered.is_error():
@@ -267,9 +273,9 @@
         return None
 
     @staticmethod
-    def _make_waiting(job: _Job) -> admission.Waiting:
+    def _make_waiting(job: _Job) -> admission.WaitingRequest:
         request = job.request
-        return admission.Waiting(
+        return admission.WaitingRequest(
             request_id=request.request_id,
             workspace=request.workspace,
             service=request.service_name,
@@ -278,46 +284,50 @@
             owner=job,
         )
 
-    def _withdraw(self, waiting: admission.Waiting) -> None:
+    def _withdraw(self, waiting: admission.WaitingRequest) -> None:
         request = waiting.owner.request
         self._admission.withdraw(waiting)
         self._decisions.record(request, "withdraw", codes.ResultCode.OK, text="the caller left")
-        self._call_on_end(request, flow_context.Result(codes.ResultCode.OK, waiting.owner.ran, 0))
+        self._call_on_end(
+            request, flow_context.FlowResult(codes.ResultCode.OK, waiting.owner.ran, 0)
+        )
 
     def _resume(self, request: requests.CallerRequest, caller: caller_front.Caller) -> None:
         point = request.resume
         replica = self._pools.get(point.upstream)
         if replica is None:
-            item = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
-            self._decisions.record(request, "refuse", item.code, text=item.text)
-            answers.send_error(caller, item, ran=codes.Ran.YES, request_id=request.request_id)
+            cause = fault.Fault(codes.ResultCode.GENERATION_LOST, "its upstream is gone")
+            self._decisions.record(request, "refuse", cause.code, text=cause.text)
+            answers.send_error(caller, cause, ran=codes.Ran.YES, request_id=request.request_id)
             return
         self._admission.start_unqueued(request.workspace, request.arrived_s)
-        running = flow.Flow(request, caller, self._context)
-        self._flows.add(running)
+        running_flow = flow.Flow(request, caller, self._context)
+        self._flows.add(running_flow)
         self._decisions.record(
             request, "resume", codes.ResultCode.OK, choice=_make_forced_choice(replica)
         )
-        running.resume(replica, point.generation)
+        running_flow.resume(replica, point.generation)
 
     def handle_report(self, replica: replicas.Replica, report: load_report.LoadReport) -> None:
-        """Take an upstream's load report, and start what it makes room for."""
+        """Apply an upstream's load report and start waiting requests that now fit."""
         replica.handle_report(report)
         if self._admission.waiting_count:
-            self._pump_service(replica.row.service)
+            self._start_waiting_of(replica.row.service)
 
-    def _pump(self) -> None:
+    def _start_waiting(self) -> None:
         for service in self._admission.waiting_services:
-            self._pump_service(service)
+            self._start_waiting_of(service)
 
-    def _pump_service(self, service: str) -> None:
-        while self._start_one(service):
+    def _start_waiting_of(self, service: str) -> None:
+        while self._start_next(service):
             pass
 
-    def _start_one(self, service: str) -> bool:
-        """Start the next request of a service; False where none can start."""
+    def _start_next(self, service: str) -> bool:
+        """Start the next request of a service; return False if none can start."""
         now_s = clocks.get_s()
-        for waiting in itertools.islice(self._admission.iterate(service, now_s), LOOK_AHEAD):
+        for waiting in itertools.islice(
+            self._admission.iterate(service, now_s), MAX_WORKSPACES_TRIED
+        ):
             if self._is_held(waiting.owner.request):
                 self._admission.withdraw(waiting)
                 self._refuse(waiting.owner, _make_held_refusal())
@@ -326,23 +336,25 @@
             if choice.replica is not None:
                 self._start(waiting, choice, now_s)
                 return True
-            if not waiting.may_be_passed(now_s):
+            if not waiting.may_be_bypassed(now_s):
                 return False
         return False
 
     def _is_held(self, request: requests.CallerRequest) -> bool:
         return not request.is_trial and self._contents.is_held(request.content_id)
 
-    def _start(self, waiting: admission.Waiting, choice: placement.Choice, now_s: float) -> None:
+    def _start(
+        self, waiting: admission.WaitingRequest, choice: placement.Choice, now_s: float
+    ) -> None:
         job: _Job = waiting.owner
         request = job.request
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
-        self._gathered.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
+        self._metrics.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
         self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
-        running = job.tried or flow.Flow(request, job.caller, self._context)
-        self._flows.add(running)
-        running.start(choice)
+        running_flow = job.existing_flow or flow.Flow(request, job.caller, self._context)
+        self._flows.add(running_flow)
+        running_flow.start(choice)
 
     def _choose(
         self, request: requests.CallerRequest, excluded: frozenset[str]
@@ -352,36 +364,36 @@
         if pool is None or service is None:
             return placement.Choice(None, 0.0, ())
         now_s = clocks.get_s()
-        need = placement.Need(
+        demand = placement.Demand(
             workspace=request.workspace,
             service=request.service_name,
             prompt_tokens=request.prompt_tokens,
             limit_tokens=request.limit_tokens,
             excluded=excluded,
         )
-        return self._placement.choose(need, service, pool, now_s)
+        return self._placement.choose(demand, service, pool, now_s)
 
-    def _tick(self) -> None:
-        for running in list(self._flows):
-            running.tick()
+    def _check_timeouts(self) -> None:
+        for running_flow in list(self._flows):
+            running_flow.check_timeouts()
         now_s = clocks.get_s()
         for waiting in self._admission.pop_overdue(now_s):
             job: _Job = waiting.owner
             text = "the deadline passed while the request was waiting"
-            item = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
+            cause = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
             retry_after_ms = self._admission.get_retry_after_ms(waiting.service, now_s)
-            self._refuse(job, admission.Refused(item, retry_after_ms))
-        self._refuse_stranded(now_s)
-        self._pump()
+            self._refuse(job, admission.Refusal(cause, retry_after_ms))
+        self._refuse_without_upstream(now_s)
+        self._start_waiting()
 
-    def _refuse_stranded(self, now_s: float) -> None:
-        """Refuse what waits for a service whose upstreams have all been gone for a while."""
+    def _refuse_without_upstream(self, now_s: float) -> None:
+        """Refuse requests for services that have had no available upstream for too long."""
         for service in self._admission.waiting_services:
             pool = self._pools.get_pool(service)
             if pool is not None and pool.has_available(now_s):
-                self._available_s[service] = now_s
+                self._last_available_s[service] = now_s
                 continue
-            if now_s - self._available_s.setdefault(service, now_s) < STRANDED_S:
+            if now_s - self._last_available_s.setdefault(service, now_s) < NO_UPSTREAM_TIMEOUT_S:
                 continue
             refusal = _make_refusal(
                 codes.ResultCode.NO_UPSTREAM, f"no upstream of {service} answers"
@@ -389,10 +401,10 @@
             for waiting in self._admission.pop_all(service):
                 self._refuse(waiting.owner, refusal)
 
-    def _refuse(self, job: _Job, refused: admission.Refused) -> None:
+    def _refuse(self, job: _Job, refused: admission.Refusal) -> None:
         request = job.request
         self._decisions.record(request, "refuse", refused.fault.code, text=refused.fault.text)
-        self._call_on_end(request, flow_context.Result(refused.fault.code, job.ran, 0))
+        self._call_on_end(request, flow_context.FlowResult(refused.fault.code, job.ran, 0))
         answers.send_error(
             job.caller,
             refused.fault,
@@ -401,19 +413,21 @@
             retry_after_ms=refused.retry_after_ms,
         )
 
-    def _call_on_end(self, request: requests.CallerRequest, result: flow_context.Result) -> None:
+    def _call_on_end(
+        self, request: requests.CallerRequest, result: flow_context.FlowResult
+    ) -> None:
         on_end = self._on_end.pop(request.request_id, None)
         if on_end is not None:
             on_end(result)
 
 
-def _make_refusal(code: codes.ResultCode, text: str) -> admission.Refused:
-    return admission.Refused(fault.Fault(code, text), flow.RETRY_AFTER_MS)
+def _make_refusal(code: codes.ResultCode, text: str) -> admission.Refusal:
+    return admission.Refusal(fault.Fault(code, text), flow.RETRY_AFTER_MS)
 
 
-def _make_held_refusal() -> admission.Refused:
-    """Return a refusal that does not say when to come back: the next run would end an upstream."""
-    return admission.Refused(fault.make_held_fault(), None)
+def _make_held_refusal() -> admission.Refusal:
+    """Return a refusal without ``Retry-After``: another run would crash another upstream."""
+    return admission.Refusal(fault.make_held_fault(), None)
 
 
 def _make_forced_choice(replica: replicas.Replica) -> placement.Choice:
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -1,7 +1,7 @@
-"""Fetches the load reports of upstreams: Prometheus text, in the names that vLLM publishes.
+"""Fetches load reports of upstreams: Prometheus text with vLLM's metric names.
 
-An entry fetches its part of the reports and gets the others from its neighbours in the hall; see
-:mod:`~spoolhead._internal.policy.reporting`.
+An entry fetches a share of the reports and receives the others from its neighbours, the other
+entries of its hall; see :mod:`~spoolhead._internal.policy.reporting`.
 """
 
 import logging
@@ -21,13 +21,13 @@
 
 REPORT_PATH = "/metrics"
 MAX_REPORT_BYTES = 1_048_576
-TIMEOUT_INTERVALS = 8
+FETCH_TIMEOUT_INTERVALS = 8
 
-FAR_TURNS = 4
-"""Turns between two fetches from an upstream of another hall."""
+OTHER_HALL_INTERVAL_TURNS = 4
+"""Intervals between two fetches from an upstream of another hall."""
 
-MISSED_TURNS = 3
-"""Turns without a neighbour's report after which an entry fetches it itself."""
+MAX_MISSED_TURNS = 3
+"""Intervals without a neighbour's report after which an entry fetches it itself."""
 
 _RUNNING = "vllm:num_requests_running"
 _WAITING = "vllm:num_requests_waiting"
@@ -37,12 +37,12 @@
 
 
 def parse_report(text: str, received_s: float) -> load_report.LoadReport:
-    """Read a load report.
+    """Parse a load report.
 
-    :param text: the report's text; what it does not name counts as 0.
-    :param received_s: monotonic time of its arrival.
-    :raises ValueError: if it is not in the format.
-    :raises OverflowError: if a number in it has no bound.
+    :param text: the report's text; missing metrics count as 0.
+    :param received_s: monotonic time of its arrival, in seconds.
+    :raises ValueError: if the text is malformed or a value is NaN.
+    :raises OverflowError: if a value is infinite.
     """
     values: dict[str, float] = {}
     capacity = 0
@@ -64,7 +64,7 @@
 
 
 class _Fetch:
-    """One fetch under way."""
+    """A fetch in progress."""
 
     def __init__(self, owner: "LoadReports", replica: replicas.Replica, now_s: float) -> None:
         self._owner = owner
@@ -72,7 +72,7 @@
         self._status = 0
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self.begun_s = now_s
+        self.started_s = now_s
         self.call: upstream_calls.UpstreamCall | None = None
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
@@ -85,24 +85,25 @@
 
     def on_answer_end(self) -> None:
         if self._status == 200 and self._body_bytes <= MAX_REPORT_BYTES:
-            self._owner.take(self._replica, b"".join(self._body))
+            self._owner.handle_answer(self._replica, b"".join(self._body))
         else:
-            self._owner.fail(self._replica, f"status {self._status}")
+            self._owner.handle_failure(self._replica, f"status {self._status}")
 
     def on_call_lost(self, reason: str) -> None:
-        self._owner.fail(self._replica, reason)
+        self._owner.handle_failure(self._replica, reason)
 
 
 class LoadReports:
-    """Fetches the report of each upstream again and again.
+    """Fetches the upstreams' load reports at a fixed interval.
 
-    :param loop: root of the program.
-    :param config: interval of the fetches.
-    :param calls: makes requests to upstreams.
-    :param owner: knows the upstreams.
+    :param loop: the program's event loop.
+    :param config: settings with the interval between fetches.
+    :param calls: sends requests to upstreams.
+    :param dispatcher: lists the upstreams and receives their reports.
     :param neighbours: the other entries of the hall.
-    :param gathered: metrics.
-    :param hall: hall of the entry; upstreams of other halls are asked less often.
+    :param collector: receives metrics.
+    :param hall: hall of the entry; upstreams of other halls are fetched less often.
+    :ivar fetched_counts: reports fetched by this entry, by upstream.
     """
 
     def __init__(
@@ -110,9 +111,9 @@
         loop: loops.Loop,
         config: settings.UpstreamSettings,
         calls: upstream_calls.UpstreamCalls,
-        owner: dispatchers.Dispatcher,
+        dispatcher: dispatchers.Dispatcher,
         neighbours: entry_neighbours.Neighbours,
-        gathered: metrics.Metrics,
+        collector: metrics.Metrics,
         hall: str,
     ) -> None:
         self._neighbours = neighbours
@@ -122,63 +123,63 @@
         self.fetched_counts: dict[str, int] = {}
         self._interval_s = config.report_interval_ms / 1000
         self._calls = calls
-        self._owner = owner
-        self._gathered = gathered
+        self._dispatcher = dispatcher
+        self._metrics = collector
         self._fetches: dict[str, _Fetch] = {}
         loop.scheduler.call_every(self._interval_s, self._fetch_all)
 
-    def take(self, replica: replicas.Replica, body: bytes) -> None:
-        """Take a report that has come."""
+    def handle_answer(self, replica: replicas.Replica, body: bytes) -> None:
+        """Handle a fetched report."""
         self._fetches.pop(replica.name, None)
         try:
             report = parse_report(body.decode("utf-8"), clocks.get_s())
         except (ValueError, OverflowError) as error:
-            logger.warning("report of %s cannot be read: %s", replica.name, error)
+            logger.warning("cannot parse load report of %s: %s", replica.name, error)
             return
         count = self.fetched_counts.get(replica.name, 0)
         self.fetched_counts[replica.name] = count + 1
         known = replica.report
         if known is not None and report.preemptions > known.preemptions:
             amount = report.preemptions - known.preemptions
-            self._gathered.count(metrics.Metric.PREEMPTIONS, amount)
+            self._metrics.count(metrics.Metric.PREEMPTIONS, amount)
         self._fetched.append(entry_neighbours.NamedReport(replica.name, report))
-        self._owner.handle_report(replica, report)
+        self._dispatcher.handle_report(replica, report)
 
     def handle_neighbour_report(self, reports: Sequence[entry_neighbours.NamedReport]) -> None:
-        """Take reports that a neighbour has fetched, those newer than what is known."""
+        """Apply reports fetched by a neighbour that are newer than the known ones."""
         for item in reports:
-            replica = self._owner.get_upstream(item.upstream)
+            replica = self._dispatcher.get_upstream(item.upstream)
             if replica is None:
                 continue
             if replica.report is None or item.report.received_s > replica.report.received_s:
-                self._owner.handle_report(replica, item.report)
+                self._dispatcher.handle_report(replica, item.report)
 
-    def fail(self, replica: replicas.Replica, reason: str) -> None:
-        """Note a fetch that failed; the last report grows old."""
+    def handle_failure(self, replica: replicas.Replica, reason: str) -> None:
+        """Handle a failed fetch; the last report stays in use and ages."""
         self._fetches.pop(replica.name, None)
-        logger.debug("report of %s not fetched: %s", replica.name, reason)
+        logger.debug("cannot fetch load report of %s: %s", replica.name, reason)
 
     def _fetch_all(self) -> None:
         now_s = clocks.get_s()
-        self._drop_overdue(now_s)
-        self._neighbours.publish(self._fetched)
+        self._cancel_overdue(now_s)
+        self._neighbours.broadcast_reports(self._fetched)
         self._fetched = []
         self._turn += 1
-        heard = self._neighbours.get_heard(now_s)
-        for replica in self._owner.upstreams:
-            if replica.name not in self._fetches and self._is_due(replica, heard, now_s):
+        live_entries = self._neighbours.get_live_entries(now_s)
+        for replica in self._dispatcher.upstreams:
+            if replica.name not in self._fetches and self._is_due(replica, live_entries, now_s):
                 self._fetch(replica, now_s)
 
-    def _is_due(self, replica: replicas.Replica, heard: Sequence[str], now_s: float) -> bool:
-        """Whether this entry is to fetch a report in this turn."""
+    def _is_due(self, replica: replicas.Replica, live_entries: Sequence[str], now_s: float) -> bool:
+        """Return whether this entry fetches the upstream's report in this interval."""
         is_near = replica.row.hall == self._hall
-        interval = 1 if is_near else FAR_TURNS
-        if reporting.get_fetcher(replica.name, heard) == heard[0]:
+        interval = 1 if is_near else OTHER_HALL_INTERVAL_TURNS
+        if reporting.get_fetcher(replica.name, live_entries) == live_entries[0]:
             return self._turn % interval == 0
         if replica.report is None:
             return True
         age_s = now_s - replica.report.received_s
-        return age_s > MISSED_TURNS * interval * self._interval_s
+        return age_s > MAX_MISSED_TURNS * interval * self._interval_s
 
     def _fetch(self, replica: replicas.Replica, now_s: float) -> None:
         fetch = _Fetch(self, replica, now_s)
@@ -187,9 +188,9 @@
         request = upstream_calls.make_request("GET", REPORT_PATH, address, [], b"")
         fetch.call = self._calls.open(address, request, fetch)
 
-    def _drop_overdue(self, now_s: float) -> None:
+    def _cancel_overdue(self, now_s: float) -> None:
         for name, fetch in list(self._fetches.items()):
-            if now_s - fetch.begun_s > TIMEOUT_INTERVALS * self._interval_s:
+            if now_s - fetch.started_s > FETCH_TIMEOUT_INTERVALS * self._interval_s:
                 del self._fetches[name]
                 if fetch.call is not None:
                     fetch.call.cancel()
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of a flow: calls to upstreams, the caller, the dispatcher."""
+"""Fakes for the interfaces of a flow: calls to upstreams, the caller and the dispatcher."""
 
 from spoolhead._internal.entry import flow, flow_context
 from spoolhead._internal.models import codes, requests, rows
@@ -9,7 +9,7 @@
 
 
 class FakeCall:
-    """A call that a test drives."""
+    """A call whose events a test triggers."""
 
     def __init__(self, request, user):
         self.head, _, self.body = request.partition(b"\r\n\r\n")
@@ -48,7 +48,7 @@
 
 
 class FakeCalls:
-    """Remembers every call."""
+    """Records every call."""
 
     def __init__(self):
         self.made = []
@@ -70,7 +70,7 @@
 
 
 class FakeCaller:
-    """Keeps what it was sent."""
+    """Records the answer that it is sent."""
 
     def __init__(self):
         self.on_gone = None
@@ -109,18 +109,18 @@
 
 
 class FakeHost:
-    """Offers two upstreams and notes the end."""
+    """Offers two upstreams and records the results of flows."""
 
     def __init__(self):
         self.replicas = [make_replica("u1"), make_replica("u2")]
         self.results = []
         self.charged = 0
 
-    def choose_again(self, running, excluded):
+    def choose_upstream(self, running, excluded):
         left = [item for item in self.replicas if item.name not in excluded]
         return placement.Choice(left[0] if left else None, 10.0, ())
 
-    def wait_again(self, running, code):
+    def requeue(self, running, code):
         running.start(placement.Choice(self.replicas[0], 10.0, ()))
         return True
 
@@ -130,24 +130,24 @@
     def charge(self, running, tokens):
         self.charged += tokens
 
-    def end(self, running, result):
+    def handle_flow_end(self, running, result):
         self.results.append(result)
 
 
 class FakeContents:
-    """Takes no request for a suspect until a test says so."""
+    """Records reported contents; none is suspect until a test adds it to ``suspects``."""
 
     def __init__(self):
         self.lost = []
         self.abandoned = []
         self.unreachable = []
-        self.sound = []
+        self.harmless = []
         self.suspects = set()
 
     def is_suspect(self, content_id):
         return content_id in self.suspects
 
-    def get_life_id(self, upstream):
+    def get_incarnation_id(self, upstream):
         return f"{upstream}@entry.0"
 
     def record_lost(self, replica, incarnation_id, content_id, sent_s):
@@ -160,7 +160,7 @@
         self.unreachable.append(replica.name)
 
     def record_harmless(self, content_id):
-        self.sound.append(content_id)
+        self.harmless.append(content_id)
 
 
 def make_replica(name):
@@ -187,8 +187,8 @@
     return request
 
 
-class Setting:
-    """A flow among fakes, with a clock that a test sets."""
+class FlowHarness:
+    """A flow with fake collaborators and a clock that a test sets."""
 
     def __init__(self, request, *, attempts=3):
         self.now_s = 0.0
@@ -196,11 +196,11 @@
         self.caller = FakeCaller()
         self.host = FakeHost()
         self.contents = FakeContents()
-        context = flow_context.Context(
+        context = flow_context.FlowContext(
             calls=self.calls,
             host=self.host,
             contents=self.contents,
-            gathered=metrics.Metrics(),
+            collector=metrics.Metrics(),
             clock=lambda: self.now_s,
             shared_key=SHARED_KEY,
             attempts=attempts,
@@ -221,7 +221,7 @@
 
 
 class FakeLink:
-    """An outgoing connection that stands at once."""
+    """An outgoing connection that is connected immediately."""
 
     def __init__(self, address, user):
         self.address = address
@@ -242,7 +242,7 @@
 
 
 class FakeLinks:
-    """Remembers every outgoing connection."""
+    """Records every outgoing connection."""
 
     def __init__(self):
         self.opened = []
