--- a/src/spoolhead/_internal/models/content_record.py
+++ b/src/spoolhead/_internal/models/content_record.py
@@ -9,7 +9,7 @@
 
 import xxhash
 
-MOST_ENDS = 8
+MAX_ENDS = 8
 """Ends kept in a record: more than are ever needed to decide."""
 
 
@@ -70,10 +70,10 @@
 
 
 def begin_epoch(
-    content_id: bytes, former: ContentRecord | None, *, is_by_hand: bool = False
+    content_id: bytes, previous: ContentRecord | None, *, is_by_hand: bool = False
 ) -> ContentRecord:
     """Return a record that makes all that was known of a content void."""
-    epoch = former.epoch + 1 if former is not None else 1
+    epoch = previous.epoch + 1 if previous is not None else 1
     return ContentRecord(content_id=content_id, epoch=epoch, is_by_hand=is_by_hand)
 
 
@@ -86,7 +86,7 @@
     return ContentRecord(
         content_id=one.content_id,
         epoch=one.epoch,
-        ends=tuple(sorted({*one.ends, *other.ends})[:MOST_ENDS]),
+        ends=tuple(sorted({*one.ends, *other.ends})[:MAX_ENDS]),
         waves=max(one.waves, other.waves),
         trials=tried.trials,
         trier=tried.trier,
@@ -135,7 +135,7 @@
     record = ContentRecord(
         content_id=content_id,
         epoch=int(epoch),
-        ends=tuple(sorted(set(ends))[:MOST_ENDS]),
+        ends=tuple(sorted(set(ends))[:MAX_ENDS]),
         waves=int(waves),
         trials=int(trials),
         trier=str(trier),
--- a/src/spoolhead/_internal/models/evacuations.py
+++ b/src/spoolhead/_internal/models/evacuations.py
@@ -9,13 +9,13 @@
 
 import msgpack
 
-LONGEST_NAME = 128
+MAX_HALL_NAME_LENGTH = 128
 """Bound on the name of a hall, in characters; those in use have a dozen."""
 
 
 def is_hall_name(text: str) -> bool:
     """Tell whether a text can name a hall."""
-    return 0 < len(text) <= LONGEST_NAME and text.isprintable() and "/" not in text
+    return 0 < len(text) <= MAX_HALL_NAME_LENGTH and text.isprintable() and "/" not in text
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
--- a/src/spoolhead/_internal/models/instances.py
+++ b/src/spoolhead/_internal/models/instances.py
@@ -73,12 +73,12 @@
     kept: dict[str, Instance] = {}
     for item in listed:
         other = kept.get(item.instance_id)
-        if other is None or _holds_before(item, other, before.get(item.instance_id)):
+        if other is None or _is_preferred(item, other, before.get(item.instance_id)):
             kept[item.instance_id] = item
     return list(kept.values())
 
 
-def _holds_before(item: Instance, other: Instance, known: Instance | None) -> bool:
+def _is_preferred(item: Instance, other: Instance, known: Instance | None) -> bool:
     if item.started_ms != other.started_ms:
         return item.started_ms > other.started_ms
     return known is not None and _is_same(item, known) and not _is_same(other, known)
--- a/src/spoolhead/_internal/models/rate_limit.py
+++ b/src/spoolhead/_internal/models/rate_limit.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 _ROW_FIELDS = 3
-_NONE = -1.0
+_NO_LIMIT = -1.0
 """Stands in datagrams for an instance that states no limit any more."""
 
 
@@ -41,7 +41,7 @@
     """Return limits as a datagram holds them."""
     values: list[object] = []
     for item in limits:
-        limit_per_s = _NONE if item.limit_per_s is None else item.limit_per_s
+        limit_per_s = _NO_LIMIT if item.limit_per_s is None else item.limit_per_s
         values += (item.key, limit_per_s, item.age_ms)
     return values
 
--- a/src/spoolhead/_internal/models/shared_load.py
+++ b/src/spoolhead/_internal/models/shared_load.py
@@ -286,25 +286,25 @@
 def encode_report(report: Report) -> bytes:
     """Write an entry's report."""
     fields = [report.sender, report.hall, report.sequence, report.is_reporter]
-    fields += [_list_rows(report.rows), _list_alarms(report.alarms)]
-    fields += [_list_contents(report.contents), rate_limit.pack(report.limits)]
+    fields += [_pack_rows(report.rows), _pack_alarms(report.alarms)]
+    fields += [_pack_contents(report.contents), rate_limit.pack(report.limits)]
     fields.append(report.wants_snapshot)
     return msgpack.packb([_REPORT, *fields])
 
 
 def encode_totals(totals: Totals) -> bytes:
     """Write a hub's totals."""
-    rows, alarms = _list_rows(totals.rows), _list_alarms(totals.alarms)
-    contents, limits = _list_contents(totals.contents), rate_limit.pack(totals.limits)
-    fields = [totals.hub, totals.sequence, rows, _list_ages(totals.ages), alarms, contents, limits]
+    rows, alarms = _pack_rows(totals.rows), _pack_alarms(totals.alarms)
+    contents, limits = _pack_contents(totals.contents), rate_limit.pack(totals.limits)
+    fields = [totals.hub, totals.sequence, rows, _pack_ages(totals.ages), alarms, contents, limits]
     return msgpack.packb([_TOTALS, *fields])
 
 
 def encode_update(update: Update) -> bytes:
     """Write the part of an update that is the same for all reporters."""
-    rows, alarms = _list_rows(update.rows), _list_alarms(update.alarms)
-    contents, limits = _list_contents(update.contents), rate_limit.pack(update.limits)
-    fields = [update.hub, update.sequence, rows, _list_ages(update.ages), alarms, contents, limits]
+    rows, alarms = _pack_rows(update.rows), _pack_alarms(update.alarms)
+    contents, limits = _pack_contents(update.contents), rate_limit.pack(update.limits)
+    fields = [update.hub, update.sequence, rows, _pack_ages(update.ages), alarms, contents, limits]
     return msgpack.packb([_UPDATE, *fields, update.is_snapshot])
 
 
@@ -358,9 +358,9 @@
         hall=str(hall),
         sequence=int(sequence),
         is_reporter=bool(is_reporter),
-        rows=_read_rows(rows),
-        alarms=_read_alarms(alarms),
-        contents=_read_contents(contents),
+        rows=_unpack_rows(rows),
+        alarms=_unpack_alarms(alarms),
+        contents=_unpack_contents(contents),
         limits=rate_limit.unpack(limits),
         wants_snapshot=bool(wants_snapshot),
     )
@@ -378,10 +378,10 @@
     return Totals(
         hub=str(hub),
         sequence=int(sequence),
-        rows=_read_rows(rows),
-        ages=_read_ages(ages),
-        alarms=_read_alarms(alarms),
-        contents=_read_contents(contents),
+        rows=_unpack_rows(rows),
+        ages=_unpack_ages(ages),
+        alarms=_unpack_alarms(alarms),
+        contents=_unpack_contents(contents),
         limits=rate_limit.unpack(limits),
     )
 
@@ -399,25 +399,25 @@
 ) -> Update:
     return Update(
         hub=str(hub),
-        contents=_read_contents(contents),
+        contents=_unpack_contents(contents),
         limits=rate_limit.unpack(limits),
         sequence=int(sequence),
-        rows=_read_rows(rows),
-        ages=_read_ages(ages),
-        alarms=_read_alarms(alarms),
+        rows=_unpack_rows(rows),
+        ages=_unpack_ages(ages),
+        alarms=_unpack_alarms(alarms),
         counted=counted,
         is_snapshot=bool(is_snapshot),
     )
 
 
-def _list_rows(rows: Rows) -> list[int]:
+def _pack_rows(rows: Rows) -> list[int]:
     values: list[int] = []
     for key, held in rows.items():
         values += (key, held.tokens, held.count, held.prefill_tokens)
     return values
 
 
-def _read_rows(values: list) -> Rows:
+def _unpack_rows(values: list) -> Rows:
     if len(values) % _ROW_FIELDS or not all(type(value) is int for value in values):
         raise ValueError("rows with odd numbers")
     rows: Rows = {}
@@ -427,31 +427,31 @@
     return rows
 
 
-def _list_ages(ages: Iterable[HallAge]) -> list[list[object]]:
+def _pack_ages(ages: Iterable[HallAge]) -> list[list[object]]:
     return [[age.hall, age.age_ms] for age in ages]
 
 
-def _read_ages(values: list) -> list[HallAge]:
+def _unpack_ages(values: list) -> list[HallAge]:
     return [HallAge(str(hall), int(age_ms)) for hall, age_ms in values]
 
 
-def _list_contents(contents: ContentUpdate) -> list[object]:
+def _pack_contents(contents: ContentUpdate) -> list[object]:
     return [content_record.pack(contents.records), contents.digest]
 
 
-def _read_contents(values: list) -> ContentUpdate:
+def _unpack_contents(values: list) -> ContentUpdate:
     records, digest = values
     return ContentUpdate(content_record.unpack(records), int(digest))
 
 
-def _list_alarms(alarms: Iterable[Alarm]) -> list[list[object]]:
+def _pack_alarms(alarms: Iterable[Alarm]) -> list[list[object]]:
     return [
         [item.incarnation_id, int(item.kind), item.reporter, item.sequence, item.for_ms]
         for item in alarms
     ]
 
 
-def _read_alarms(values: list) -> list[Alarm]:
+def _unpack_alarms(values: list) -> list[Alarm]:
     return [
         Alarm(
             str(incarnation_id),
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -28,11 +28,11 @@
 Headers = Sequence[tuple[str, str]]
 
 SWEEP_INTERVAL_S = 0.25
-LINGER_S = 1.0
-LINGER_BYTES = 2_097_152
+LINGER_TIMEOUT_S = 1.0
+MAX_LINGER_BYTES = 2_097_152
 """Time for which, and bytes up to which, a refused caller is still read: what was on its way when
 the refusal was sent fits many times over."""
-KERNEL_BYTES = 131_072
+SEND_BUFFER_BYTES = 131_072
 """Bytes that the kernel keeps for a caller that does not read, before ours are counted."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -147,7 +147,9 @@
         response.headers.pop("X-Powered-By", None)
         for name, value in headers:
             response.headers[name] = value
-        if self._front.is_ending or not self._connection.may_keep_alive(self.request):
+        if self._front.is_closing_after_answers or not self._connection.may_keep_alive(
+            self.request
+        ):
             response.close = True
             response.headers["Connection"] = "close"
         elif self.request.http_version == "1.0":
@@ -182,16 +184,16 @@
         "reader",
         "remote",
         "sock",
-        "waiting",
-        "waiting_bytes",
+        "pipelined",
+        "pipelined_bytes",
     )
 
     def __init__(self, sock: socket.socket, remote: str, limits: settings.CallerLimits) -> None:
         self.sock = sock
         self.remote = remote
         self.reader = request_reader.RequestReader(limits)
-        self.waiting: collections.deque[request_reader.WireRequest] = collections.deque()
-        self.waiting_bytes = 0
+        self.pipelined: collections.deque[request_reader.WireRequest] = collections.deque()
+        self.pipelined_bytes = 0
         self.current: Caller | None = None
         self.phase = request_reader.Phase.IDLE
         self.deadline_s: float | None = None
@@ -224,13 +226,13 @@
     ) -> None:
         super().__init__()
         self._limits = config.callers
-        self._set_limits = config.callers
+        self._configured_limits = config.callers
         self._handle_request = on_request
         self._on_bad_request = on_bad_request
         self._connections: dict[socket.socket, _Connection] = {}
-        self._is_ending = False
+        self._is_closing_after_answers = False
         self._server = direct_server.DirectServer(
-            (config.host, config.port), channel="callers", kernel_bytes=KERNEL_BYTES
+            (config.host, config.port), channel="callers", send_buffer_bytes=SEND_BUFFER_BYTES
         ).register(self)
         self._library = http.HTTP(self, channel=self.channel).register(self)
         loop.scheduler.call_every(SWEEP_INTERVAL_S, self._sweep)
@@ -254,9 +256,9 @@
         return f"{self._server.host}:{self._server.port}"
 
     @property
-    def is_ending(self) -> bool:
+    def is_closing_after_answers(self) -> bool:
         """Whether each connection ends after its next answer."""
-        return self._is_ending
+        return self._is_closing_after_answers
 
     @property
     def connection_count(self) -> int:
@@ -268,7 +270,7 @@
 
         :param bounds: a bound of 0 leaves the one in the settings.
         """
-        limits = self._set_limits
+        limits = self._configured_limits
         self._limits = dataclasses.replace(
             limits,
             head_bytes=bounds.head_bytes or limits.head_bytes,
@@ -277,19 +279,19 @@
             idle_ms=bounds.idle_ms or limits.idle_ms,
         )
 
-    def close_after_answers(self, is_ending: bool = True) -> None:
+    def close_after_answers(self, enabled: bool = True) -> None:
         """End each connection after its next answer; new ones are still taken.
 
-        :param is_ending: False to keep connections again.
+        :param enabled: False to keep connections open again.
         """
-        self._is_ending = is_ending
+        self._is_closing_after_answers = enabled
 
     def close_when_idle(self) -> None:
         """Take no further connections, and end each open one after its present request."""
         self._server.stop_listening()
         for connection in list(self._connections.values()):
             connection.is_closing = True
-            if connection.current is None and not connection.waiting:
+            if connection.current is None and not connection.pipelined:
                 self._server.close_after_send(connection.sock)
 
     def send(self, connection: _Connection, data: bytes) -> int:
@@ -307,7 +309,7 @@
         """End the present request of a connection and begin the next."""
         connection.current = None
         self._library._clients.pop(connection.sock, None)
-        if close or connection.is_closing and not connection.waiting:
+        if close or connection.is_closing and not connection.pipelined:
             connection.is_closing = True
             self._end(connection)
             return
@@ -320,7 +322,7 @@
         if not connection.must_linger or self._server.get_unsent_bytes(connection.sock):
             self._server.close_after_send(connection.sock)
             return
-        connection.deadline_s = clocks.get_s() + LINGER_S
+        connection.deadline_s = clocks.get_s() + LINGER_TIMEOUT_S
         with contextlib.suppress(OSError):
             connection.sock.shutdown(socket.SHUT_WR)
 
@@ -353,7 +355,7 @@
             return
         if connection.is_closing:
             connection.lingered_bytes += len(data)
-            if connection.lingered_bytes > LINGER_BYTES:
+            if connection.lingered_bytes > MAX_LINGER_BYTES:
                 self._server.close_now(sock)
             return
         result = connection.reader.feed(data)
@@ -364,9 +366,9 @@
             connection.reader.wants_continue = False
             self._server.send_now(sock, _CONTINUE)
         for request in result.ok:
-            connection.waiting.append(request)
-            connection.waiting_bytes += len(request.body)
-        if self._has_too_much_waiting(connection):
+            connection.pipelined.append(request)
+            connection.pipelined_bytes += len(request.body)
+        if self._is_over_pipeline_limit(connection):
             text = "too many requests sent ahead"
             item = fault.Fault(codes.ResultCode.TOO_MANY_PIPELINED, text)
             self._refuse_bytes(connection, item)
@@ -386,10 +388,10 @@
     @circuits.handler("request")
     def _on_request(self, request: wrappers.Request, response: wrappers.Response) -> bool:
         connection = self._connections.get(request.sock)
-        if connection is None or not connection.waiting or connection.current is not None:
+        if connection is None or not connection.pipelined or connection.current is not None:
             return True
-        wire = connection.waiting.popleft()
-        connection.waiting_bytes -= len(wire.body)
+        wire = connection.pipelined.popleft()
+        connection.pipelined_bytes -= len(wire.body)
         caller = self._make_caller(connection, wire, response)
         self._handle_request(caller)
         return True
@@ -403,7 +405,7 @@
         self._server.close_after_send(sock)
 
     def _begin_next(self, connection: _Connection) -> None:
-        if connection.current is None and connection.waiting:
+        if connection.current is None and connection.pipelined:
             connection.deadline_s = None
             self.fire(net_events.read(connection.sock, _LIBRARY_REQUEST), self.channel)
 
@@ -423,7 +425,7 @@
         # A request before the bad bytes may still be running. Its answer is worth more than a
         # refusal of what follows it, so the connection ends after that answer instead.
         connection.is_closing = True
-        connection.waiting.clear()
+        connection.pipelined.clear()
         logger.info("bytes of %s refused: %s", connection.remote, item)
         if connection.current is not None:
             return
@@ -433,10 +435,10 @@
         connection.must_linger = True
         self._on_bad_request(self._make_caller(connection, wire, response), item)
 
-    def _has_too_much_waiting(self, connection: _Connection) -> bool:
+    def _is_over_pipeline_limit(self, connection: _Connection) -> bool:
         return (
-            len(connection.waiting) > self._limits.pipelined
-            or connection.waiting_bytes > self._limits.pipelined * self._limits.body_bytes
+            len(connection.pipelined) > self._limits.pipelined
+            or connection.pipelined_bytes > self._limits.pipelined * self._limits.body_bytes
         )
 
     def _set_deadline(self, connection: _Connection, *, restart: bool) -> None:
--- a/src/spoolhead/_internal/network/direct_poller.py
+++ b/src/spoolhead/_internal/network/direct_poller.py
@@ -17,12 +17,12 @@
 class DirectPoller(pollers.EPoll):
     """EPoll with direct readers.
 
-    :param before: called before anything that has arrived is handled.
+    :param before_dispatch: called before anything that has arrived is handled.
     """
 
-    def __init__(self, before: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, before_dispatch: Callable[[], None] = lambda: None) -> None:
         super().__init__()
-        self._before = before
+        self._before_dispatch = before_dispatch
         self._direct: dict[socket.socket, Reader] = {}
 
     def add_direct_reader(self, source: object, sock: socket.socket, reader: Reader) -> None:
@@ -40,7 +40,7 @@
         super().discard(fd)
 
     def _process(self, fileno: int, event: int) -> None:
-        self._before()
+        self._before_dispatch()
         reader = self._direct.get(self._map.get(fileno)) if event == select.EPOLLIN else None
         if reader is None:
             super()._process(fileno, event)
--- a/src/spoolhead/_internal/network/direct_server.py
+++ b/src/spoolhead/_internal/network/direct_server.py
@@ -13,7 +13,7 @@
 import circuits
 from circuits.net import sockets
 
-_TRY_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
+_RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 READ_BYTES = 65_536
 
 
@@ -22,7 +22,7 @@
 
     :param bind: IP number and port to listen on.
     :param channel: channel of its ``connect``, ``read`` and ``disconnect`` events.
-    :param kernel_bytes: bytes that the kernel may keep for one connection that does not read;
+    :param send_buffer_bytes: bytes that the kernel may keep for one connection that does not read;
         None leaves it to the kernel, which may keep several megabytes.
     """
 
@@ -32,11 +32,11 @@
     ]
 
     def __init__(
-        self, bind: tuple[str, int], *, channel: str, kernel_bytes: int | None = None
+        self, bind: tuple[str, int], *, channel: str, send_buffer_bytes: int | None = None
     ) -> None:
         options = []
-        if kernel_bytes is not None:
-            options.append((socket.SOL_SOCKET, socket.SO_SNDBUF, kernel_bytes))
+        if send_buffer_bytes is not None:
+            options.append((socket.SOL_SOCKET, socket.SO_SNDBUF, send_buffer_bytes))
         super().__init__(bind, channel=channel, bufsize=READ_BYTES, socket_options=options)
         self._unsent_bytes: dict[socket.socket, int] = {}
 
@@ -53,7 +53,7 @@
             try:
                 sent = sock.send(data)
             except OSError as error:
-                if error.errno not in _TRY_AGAIN:
+                if error.errno not in _RETRYABLE_ERRNOS:
                     self._close(sock)
                     return -1
                 sent = 0
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -27,7 +27,7 @@
 CONNECT_TIMEOUT = "connecting took too long"
 REFUSED = os.strerror(errno.ECONNREFUSED)
 """Reason of a loss where a machine answers and no process listens at the port."""
-_TRY_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
+_RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
 class LinkUser(Protocol):
@@ -101,16 +101,16 @@
             try:
                 sent = self.sock.send(data)
             except OSError as error:
-                if error.errno in _TRY_AGAIN:
+                if error.errno in _RETRYABLE_ERRNOS:
                     break
-                self._owner.lose_later(self, os.strerror(error.errno or 0))
+                self._owner.abort_later(self, os.strerror(error.errno or 0))
                 return False
             self.sent_bytes += sent
             if sent < len(data):
                 self._unsent[0] = data[sent:]
                 break
             self._unsent.popleft()
-        self._owner.watch_writing(self, bool(self._unsent))
+        self._owner.set_write_interest(self, bool(self._unsent))
         return not self._unsent
 
 
@@ -142,24 +142,24 @@
         self._links[sock] = link
         result = sock.connect_ex(endpoints.split(address))
         if result not in (0, errno.EINPROGRESS):
-            self.lose_later(link, os.strerror(result))
+            self.abort_later(link, os.strerror(result))
             return link
         link.connect_timer = self._scheduler.call_later(
-            connect_ms / 1000, lambda: self.lose(link, CONNECT_TIMEOUT)
+            connect_ms / 1000, lambda: self.abort(link, CONNECT_TIMEOUT)
         )
-        self.watch_writing(link, True)
+        self.set_write_interest(link, True)
         return link
 
-    def lose(self, link: Link, reason: str) -> None:
+    def abort(self, link: Link, reason: str) -> None:
         """Close a link and tell its user why."""
         if link.is_closed:
             return
         self.drop(link)
         link.user.on_lost(reason)
 
-    def lose_later(self, link: Link, reason: str) -> None:
+    def abort_later(self, link: Link, reason: str) -> None:
         """Close a link in the next turn, so that a user is not told while it sends."""
-        self._scheduler.call_later(0, lambda: self.lose(link, reason))
+        self._scheduler.call_later(0, lambda: self.abort(link, reason))
 
     def drop(self, link: Link) -> None:
         """Close a link without telling its user."""
@@ -173,7 +173,7 @@
         self._poller.discard(link.sock)
         link.sock.close()
 
-    def watch_writing(self, link: Link, wanted: bool) -> None:
+    def set_write_interest(self, link: Link, wanted: bool) -> None:
         """Say whether the poller should tell when the kernel takes more bytes."""
         if wanted and link.sock not in self._writing:
             self._writing.add(link.sock)
@@ -190,13 +190,13 @@
         try:
             data = sock.recv(READ_BYTES)
         except OSError as error:
-            if error.errno not in _TRY_AGAIN:
-                self.lose(link, os.strerror(error.errno or 0))
+            if error.errno not in _RETRYABLE_ERRNOS:
+                self.abort(link, os.strerror(error.errno or 0))
             return
         if data:
             link.user.on_data(data)
         else:
-            self.lose(link, CLOSED_CLEANLY)
+            self.abort(link, CLOSED_CLEANLY)
 
     @circuits.handler("_write")
     def _on_write(self, sock: socket.socket) -> None:
@@ -214,12 +214,12 @@
         if link is None:
             return
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self.lose(link, os.strerror(number) if number else CLOSED_CLEANLY)
+        self.abort(link, os.strerror(number) if number else CLOSED_CLEANLY)
 
     def _finish_connecting(self, link: Link) -> None:
         number = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if number:
-            self.lose(link, os.strerror(number))
+            self.abort(link, os.strerror(number))
             return
         link.is_connected = True
         if link.connect_timer is not None:
--- a/src/spoolhead/_internal/network/loop.py
+++ b/src/spoolhead/_internal/network/loop.py
@@ -29,7 +29,7 @@
     def __init__(self, on_stop: Callable[[], None]) -> None:
         super().__init__()
         made = scheduler.Scheduler()
-        self.poller = direct_poller.DirectPoller(made.catch_up).register(self)
+        self.poller = direct_poller.DirectPoller(made.run_overdue).register(self)
         self.scheduler = made.register(self)
         self.exceptions = 0
         self.on_reload: Callable[[], None] | None = None
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -28,7 +28,7 @@
         self.address = address
         self._timeout_s = config.timeout_ms / 1000
         self._reader = messages.MessageReader()
-        self._arrived: list[messages.Message] = []
+        self._received: list[messages.Message] = []
         try:
             self._sock = socket.create_connection(endpoints.split(address), self._timeout_s)
         except OSError as error:
@@ -74,8 +74,8 @@
     def _receive(self, kind: type[_MessageT]) -> _MessageT:
         deadline_s = clocks.get_s() + self._timeout_s
         while True:
-            while self._arrived:
-                message = self._arrived.pop(0)
+            while self._received:
+                message = self._received.pop(0)
                 if isinstance(message, kind):
                     return message
                 if not isinstance(message, messages.Heartbeat):
@@ -93,7 +93,7 @@
             text = "closed the connection"
             raise self._make_error(codes.ResultCode.PEER_UNREACHABLE, text)
         try:
-            self._arrived.extend(self._reader.feed(data))
+            self._received.extend(self._reader.feed(data))
         except messages.MessageError as error:
             raise self._make_error(codes.ResultCode.PEER_PROTOCOL, str(error)) from error
 
--- a/src/spoolhead/_internal/network/peer_client.py
+++ b/src/spoolhead/_internal/network/peer_client.py
@@ -99,8 +99,8 @@
         self._name = name
         self._shared_key = shared_key
         self._user = user
-        self._random = random.Random()
-        self._next = self._random.randrange(len(self._addresses))
+        self._rng = random.Random()
+        self._address_index = self._rng.randrange(len(self._addresses))
         self._retry_s = timing.first_retry_ms / 1000
         self._link: links.Link | None = None
         self._reader = messages.MessageReader()
@@ -108,7 +108,9 @@
         self._heard_s = clocks.get_s()
         self.is_ready = False
         self._is_closed = False
-        self._beats = self._scheduler.call_every(timing.heartbeat_ms / 1000, self._keep_alive)
+        self._heartbeat_timer = self._scheduler.call_every(
+            timing.heartbeat_ms / 1000, self._keep_alive
+        )
         self._connect()
 
     @property
@@ -125,7 +127,7 @@
         """End the stream for good."""
         self._is_closed = True
         self.is_ready = False
-        self._beats.cancel()
+        self._heartbeat_timer.cancel()
         if self._link is not None:
             self._link.close()
             self._link = None
@@ -143,7 +145,7 @@
     def reconnect(self, reason: str) -> None:
         """Give up the present stream and try the next address."""
         if self._link is not None:
-            self._outgoing.lose(self._link, reason)
+            self._outgoing.abort(self._link, reason)
 
     def on_connected(self) -> None:
         """Wait for the challenge."""
@@ -155,7 +157,7 @@
         try:
             for message in self._reader.feed(data):
                 if not self._is_closed:
-                    self._take(message)
+                    self._handle_message(message)
         except messages.MessageError as error:
             self.reconnect(str(error))
         except Exception:
@@ -170,8 +172,8 @@
         logger.info("stream to %s lost: %s", self.address, reason)
         was_ready, self.is_ready = self.is_ready, False
         self._link = None
-        self._next += 1
-        delay_s = self._retry_s * self._random.uniform(0.5, 1.0)
+        self._address_index += 1
+        delay_s = self._retry_s * self._rng.uniform(0.5, 1.0)
         self._retry_s = min(self._retry_s * 2, self._timing.longest_retry_ms / 1000)
         self._scheduler.call_later(delay_s, self._connect)
         if was_ready:
@@ -181,11 +183,11 @@
         if self._is_closed:
             return
         self._reader = messages.MessageReader()
-        address = self._addresses[self._next % len(self._addresses)]
+        address = self._addresses[self._address_index % len(self._addresses)]
         self._heard_s = clocks.get_s()
         self._link = self._outgoing.open(address, self, connect_ms=self._timing.connect_ms)
 
-    def _take(self, message: messages.Message) -> None:
+    def _handle_message(self, message: messages.Message) -> None:
         if self.is_ready:
             if not isinstance(message, messages.Heartbeat):
                 self._user.on_peer_message(message)
--- a/src/spoolhead/_internal/network/peer_server.py
+++ b/src/spoolhead/_internal/network/peer_server.py
@@ -15,8 +15,8 @@
 
 HELLO_TIMEOUT_S = 5.0
 HEARTBEAT_INTERVAL_S = 1.0
-SILENCE_LIMIT_S = 5.0
-UNSENT_LIMIT_BYTES = 64 * 1024 * 1024
+SILENCE_TIMEOUT_S = 5.0
+MAX_UNSENT_BYTES = 64 * 1024 * 1024
 
 
 class PeerSession:
@@ -106,7 +106,7 @@
             logger.exception("peer %s cannot be sent to; its connection is closed", session.name)
             self._server.close_now(session.sock)
             return
-        if unsent_bytes > UNSENT_LIMIT_BYTES:
+        if unsent_bytes > MAX_UNSENT_BYTES:
             logger.warning("peer %s does not read; its connection is closed", session.name)
             self._server.close_now(session.sock)
 
@@ -130,7 +130,7 @@
         session.heard_s = clocks.get_s()
         try:
             for message in session.reader.feed(data):
-                self._take(session, message)
+                self._handle_message(session, message)
         except messages.MessageError as error:
             logger.warning("peer %s: %s; its connection is closed", session.name or "?", error)
             self._server.close_now(sock)
@@ -139,7 +139,7 @@
             self._server.close_now(sock)
             raise
 
-    def _take(self, session: PeerSession, message: messages.Message) -> None:
+    def _handle_message(self, session: PeerSession, message: messages.Message) -> None:
         if session.role:
             if not isinstance(message, messages.Heartbeat):
                 self._service.on_message(session, message)
@@ -157,7 +157,7 @@
         now_s = clocks.get_s()
         beat = messages.encode(messages.Heartbeat())
         for session in list(self._sessions.values()):
-            limit_s = SILENCE_LIMIT_S if session.role else HELLO_TIMEOUT_S
+            limit_s = SILENCE_TIMEOUT_S if session.role else HELLO_TIMEOUT_S
             if now_s - session.heard_s > limit_s and session.role != "operator":
                 logger.warning("peer %s is silent; its connection is closed", session.name or "?")
                 self._server.close_now(session.sock)
--- a/src/spoolhead/_internal/network/request_reader.py
+++ b/src/spoolhead/_internal/network/request_reader.py
@@ -16,7 +16,7 @@
 
 Headers = Sequence[tuple[str, str]]
 
-RAW_BODY_FACTOR = 4
+MAX_RAW_BODY_RATIO = 4
 """Bytes that may be spent on sending one byte of a chunked body, on the whole."""
 
 READ_SLACK_BYTES = 65_536
@@ -183,7 +183,7 @@
     def _count_raw_body(self, fed_bytes: int) -> None:
         # Chunk framing and trailers are no part of the body, yet cost the same to take in.
         self._raw_body_bytes += fed_bytes
-        if self._raw_body_bytes > RAW_BODY_FACTOR * self._limits.body_bytes + READ_SLACK_BYTES:
+        if self._raw_body_bytes > MAX_RAW_BODY_RATIO * self._limits.body_bytes + READ_SLACK_BYTES:
             self._refuse_body()
 
     def _add_head_bytes(self, count: int) -> None:
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -16,12 +16,12 @@
 
 logger = logging.getLogger(__name__)
 
-STANDSTILL_S = 0.5
+STALL_THRESHOLD_S = 0.5
 """Lateness of a timer that is worth a line: many times what a busy loop shows, and enough to
 upset whoever counts on this process."""
 
 
-SUSPENDED_S = 0.05
+SUSPENSION_THRESHOLD_S = 0.05
 """Difference between two looks at the clocks that is worth a line; both run alike otherwise."""
 
 
@@ -53,7 +53,7 @@
             call()
 
 
-class Repetition:
+class RepeatingTimer:
     """A call made again and again."""
 
     __slots__ = ("_call", "_interval_s", "_scheduler", "_timer")
@@ -99,20 +99,20 @@
         heapq.heappush(self._heap, (timer.due_s, next(self._counter), timer))
         return timer
 
-    def call_every(self, interval_s: float, call: Callable[[], None]) -> "Repetition":
+    def call_every(self, interval_s: float, call: Callable[[], None]) -> "RepeatingTimer":
         """Make a call again and again until the process ends or it is cancelled.
 
         :param interval_s: seconds between the end of a call and the next.
         """
-        return Repetition(self, interval_s, call)
+        return RepeatingTimer(self, interval_s, call)
 
-    def catch_up(self) -> None:
+    def run_overdue(self) -> None:
         """Run what came due while the process stood still, before what has arrived is handled.
 
         What was known may be long over by then: streams that would have been given up, instances
         that are gone, deadlines.
         """
-        if self._heap and clocks.get_s() - self._heap[0][0] > STANDSTILL_S:
+        if self._heap and clocks.get_s() - self._heap[0][0] > STALL_THRESHOLD_S:
             self._run_due(None)
 
     @circuits.handler("generate_events", channel="*")
@@ -127,7 +127,7 @@
     def _record_suspension(self) -> None:
         suspended_s = clocks.get_s() - clocks.get_running_s()
         for_s = suspended_s - self._suspended_s
-        if for_s > SUSPENDED_S:
+        if for_s > SUSPENSION_THRESHOLD_S:
             fields = {"for_ms": int(for_s * 1000)}
             logger.warning("machine was suspended", extra={"fields": fields})
         self._suspended_s = suspended_s
@@ -136,7 +136,7 @@
         """Run what is due; tells whether anything was."""
         now_s = clocks.get_s()
         late_s = now_s - self._heap[0][0] if self._heap else 0.0
-        if late_s > STANDSTILL_S:
+        if late_s > STALL_THRESHOLD_S:
             fields = {"late_ms": int(late_s * 1000)}
             logger.warning("process stood still", extra={"fields": fields})
         ran = False
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -21,7 +21,7 @@
 
 _NO_CONTENT = 204
 _NOT_MODIFIED = 304
-_FIRST_FINAL_STATUS = 200
+_MIN_FINAL_STATUS = 200
 
 
 class CallUser(Protocol):
@@ -96,12 +96,12 @@
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[str, str]] = []
         self._link: links.Link | None = None
-        self._bytes_before = 0
-        self._until_close = False
+        self._sent_bytes_before = 0
+        self._ends_with_connection = False
         self._is_informational = False
-        self._ended = False
-        self._has_extra = False
-        self._may_keep = False
+        self._is_complete = False
+        self._must_close_link = False
+        self._may_reuse_link = False
         self.address = address
         self.is_over = False
         self.has_head = False
@@ -112,7 +112,7 @@
 
         Until then the upstream provably cannot have acted on it.
         """
-        return self._link is not None and self._link.sent_bytes > self._bytes_before
+        return self._link is not None and self._link.sent_bytes > self._sent_bytes_before
 
     @property
     def is_reused(self) -> bool:
@@ -120,17 +120,17 @@
 
         The other side may have dropped such a connection unseen, so its loss says nothing of it.
         """
-        return self._bytes_before > 0
+        return self._sent_bytes_before > 0
 
     @property
-    def ended_whole(self) -> bool:
+    def is_answer_complete(self) -> bool:
         """Whether the answer ended where its framing said, and not with the connection."""
-        return self._ended
+        return self._is_complete
 
     def begin(self, link: links.Link) -> None:
         """Send the request on a link that is connected or connecting."""
         self._link = link
-        self._bytes_before = link.sent_bytes
+        self._sent_bytes_before = link.sent_bytes
         link.user = self
         link.send(self._request)
 
@@ -153,7 +153,7 @@
         except httptools.HttpParserUpgrade:
             self._lose("an upgrade that was not asked for")
             return
-        if self._ended and not self.is_over:
+        if self._is_complete and not self.is_over:
             self._finish()
 
     def on_lost(self, reason: str) -> None:
@@ -161,15 +161,15 @@
         if self.is_over:
             return
         self.is_over = True
-        if self._until_close and reason == links.CLOSED_CLEANLY:
+        if self._ends_with_connection and reason == links.CLOSED_CLEANLY:
             self._user.on_answer_end()
         else:
             self._user.on_call_lost(reason)
 
     def on_message_begin(self) -> None:
         """Note bytes after the answer; called by the parser."""
-        if self._ended:
-            self._has_extra = True
+        if self._is_complete:
+            self._must_close_link = True
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -180,36 +180,36 @@
     def on_headers_complete(self) -> None:
         """Pass on the head; called by the parser."""
         status = self._parser.get_status_code()
-        self._is_informational = status < _FIRST_FINAL_STATUS
-        if self._is_informational or self.is_over or self._ended:
+        self._is_informational = status < _MIN_FINAL_STATUS
+        if self._is_informational or self.is_over or self._is_complete:
             return
         self.has_head = True
         names = {name for name, _ in self._headers}
         has_length = "content-length" in names or "transfer-encoding" in names
         has_body = not self._is_head_method and status not in (_NO_CONTENT, _NOT_MODIFIED)
-        self._until_close = has_body and not has_length
+        self._ends_with_connection = has_body and not has_length
         self._user.on_answer_head(status, self._headers)
         if self._is_head_method:
-            self._has_extra = True
-            self._ended = True
+            self._must_close_link = True
+            self._is_complete = True
 
     def on_body(self, data: bytes) -> None:
         """Pass on a part of the body; called by the parser."""
-        if not self.is_over and not self._ended:
+        if not self.is_over and not self._is_complete:
             self._user.on_answer_body(data)
 
     def on_message_complete(self) -> None:
         """Note the end of the answer; called by the parser."""
         if not self._is_informational:
-            self._ended = True
+            self._is_complete = True
             # The parser knows the framing only until it leaves this callback.
-            self._may_keep = self._parser.should_keep_alive() and not self._is_fresh
+            self._may_reuse_link = self._parser.should_keep_alive() and not self._is_fresh
 
     def _finish(self) -> None:
         self.is_over = True
         link = self._link
-        if link is not None and self._may_keep and not self._has_extra:
-            self._owner.keep(link)
+        if link is not None and self._may_reuse_link and not self._must_close_link:
+            self._owner.release_link(link)
         elif link is not None:
             link.close()
         self._user.on_answer_end()
@@ -247,7 +247,7 @@
         self.since_s = since_s
 
 
-class _EndingCall:
+class _BackgroundCall:
     __slots__ = ("call", "since_s")
 
     def __init__(self, call: UpstreamCall, since_s: float) -> None:
@@ -269,7 +269,7 @@
         self._outgoing = outgoing
         self._config = config
         self._idle: dict[str, collections.deque[_IdleLink]] = {}
-        self._ending: collections.deque[_EndingCall] = collections.deque()
+        self._background: collections.deque[_BackgroundCall] = collections.deque()
         loop.scheduler.call_every(config.idle_ms / 1000, self._close_idle)
 
     def open(
@@ -298,7 +298,7 @@
         call.begin(link)
         return call
 
-    def keep(self, link: links.Link) -> None:
+    def release_link(self, link: links.Link) -> None:
         """Keep a link whose answer ended cleanly."""
         idle = self._idle.setdefault(link.address, collections.deque())
         if len(idle) >= self._config.idle_connections:
@@ -313,7 +313,7 @@
         One that does not end within the time that idle connections are kept is cancelled.
         """
         if not call.is_over:
-            self._ending.append(_EndingCall(call, clocks.get_s()))
+            self._background.append(_BackgroundCall(call, clocks.get_s()))
 
     def forget(self, address: str) -> None:
         """Close the idle connections to an upstream that is no longer used."""
@@ -330,8 +330,10 @@
 
     def _close_idle(self) -> None:
         oldest_s = clocks.get_s() - self._config.idle_ms / 1000
-        while self._ending and (self._ending[0].call.is_over or self._ending[0].since_s < oldest_s):
-            ending = self._ending.popleft()
+        while self._background and (
+            self._background[0].call.is_over or self._background[0].since_s < oldest_s
+        ):
+            ending = self._background.popleft()
             if not ending.call.is_over:
                 ending.call.cancel()
         for address, idle in list(self._idle.items()):
--- a/src/spoolhead/_internal/utils/deflate.py
+++ b/src/spoolhead/_internal/utils/deflate.py
@@ -4,7 +4,7 @@
 
 LEVEL = 1
 """The quickest: a table of 1,640 routes (413 KB) shrinks to a tenth in some milliseconds."""
-LONGEST_BYTES = 16_777_216
+MAX_UNPACKED_BYTES = 16_777_216
 """Size up to which a document is unpacked: four times the largest that operators may send."""
 
 
@@ -20,7 +20,7 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        document = unpacker.decompress(packed, LONGEST_BYTES)
+        document = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise ValueError(f"a document cannot be unpacked: {error}") from error
     if not unpacker.eof:
--- a/src/spoolhead/_internal/utils/document_delta.py
+++ b/src/spoolhead/_internal/utils/document_delta.py
@@ -8,7 +8,7 @@
 import msgpack
 import xxhash
 
-MARK = b"},"
+SEPARATOR = b"},"
 """End of an entry in a list of JSON objects; other documents make fewer, longer pieces."""
 
 
@@ -58,5 +58,5 @@
 
 
 def _cut(document: bytes) -> list[bytes]:
-    pieces = document.split(MARK)
-    return [piece + MARK for piece in pieces[:-1]] + pieces[-1:]
+    pieces = document.split(SEPARATOR)
+    return [piece + SEPARATOR for piece in pieces[:-1]] + pieces[-1:]
--- a/src/spoolhead/_internal/utils/endpoints.py
+++ b/src/spoolhead/_internal/utils/endpoints.py
@@ -4,7 +4,7 @@
 
 Endpoint = tuple[str, int]
 """IP number and port."""
-LAST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 def split(address: str) -> Endpoint:
@@ -20,8 +20,8 @@
 def is_address(address: str) -> bool:
     """Tell whether a text is ``IP:PORT``, with an IPv4 number and a port that can be used."""
     host, _, port = address.rpartition(":")
-    is_number = port.isascii() and port.isdecimal() and len(port) <= len(str(LAST_PORT))
-    if not is_number or not 0 < int(port) <= LAST_PORT:
+    is_number = port.isascii() and port.isdecimal() and len(port) <= len(str(MAX_PORT))
+    if not is_number or not 0 < int(port) <= MAX_PORT:
         return False
     try:
         ipaddress.IPv4Address(host)
--- a/src/spoolhead/_internal/utils/jsonc.py
+++ b/src/spoolhead/_internal/utils/jsonc.py
@@ -8,7 +8,7 @@
 from spoolhead._internal.models import codes, fault
 
 
-class _DuplicateNameError(ValueError):
+class _DuplicateKeyError(ValueError):
     pass
 
 
@@ -22,7 +22,7 @@
     # a file without comments is read by the standard parser, which takes well under a second.
     try:
         return expression.Ok(json.loads(text, object_pairs_hook=_make_object))
-    except _DuplicateNameError as error:
+    except _DuplicateKeyError as error:
         return expression.Error(_make_fault(str(error)))
     except ValueError:
         pass
@@ -37,7 +37,7 @@
     if len(value) != len(pairs):
         names = [name for name, _ in pairs]
         twice = next(name for name in names if names.count(name) > 1)
-        raise _DuplicateNameError(f"the name {twice!r} stands twice in one object")
+        raise _DuplicateKeyError(f"the name {twice!r} stands twice in one object")
     return value
 
 
--- a/src/spoolhead/_internal/utils/log_losses.py
+++ b/src/spoolhead/_internal/utils/log_losses.py
@@ -6,9 +6,9 @@
 
 from spoolhead._internal.utils import log_trace
 
-SEEN_LOSSES = 5
+MAX_EXAMPLES = 5
 """Ids kept of each cause, for ``spoolhead explain``."""
-NEAR_S = 8.0
+DEPARTURE_WINDOW_S = 8.0
 """Time after the notice of a departure within which a loss at that instance is put down to it:
 longer than any notice seen."""
 ROUTE_FIELD = "route"
@@ -58,11 +58,11 @@
         """Count one request."""
         self.requests += 1
         self.events += events
-        if len(self.examples) < SEEN_LOSSES:
+        if len(self.examples) < MAX_EXAMPLES:
             self.examples.append(request_id)
 
 
-class _Beliefs:
+class _ObservedState:
     """When instances were first said to leave, and when halls were silent, by process."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
 
     def may_be_leaving(self, instance_id: str, now_s: float) -> bool:
         noticed_s = self._noticed_s.get(instance_id)
-        return noticed_s is not None and 0 <= now_s - noticed_s <= NEAR_S
+        return noticed_s is not None and 0 <= now_s - noticed_s <= DEPARTURE_WINDOW_S
 
     def is_any_hall_silent(self, process: str, now_s: float) -> bool:
         is_silent = False
@@ -93,7 +93,7 @@
 
     :param lines: lines of all entries, in any order.
     """
-    beliefs = _Beliefs()
+    beliefs = _ObservedState()
     requests: dict[str, list[log_trace.Line]] = collections.defaultdict(list)
     for line in sorted(lines, key=lambda item: item.time_s):
         beliefs.note(line)
@@ -107,7 +107,7 @@
     return dict(counts)
 
 
-def _get_cause(story: Sequence[log_trace.Line], beliefs: _Beliefs) -> Cause:
+def _get_cause(story: Sequence[log_trace.Line], beliefs: _ObservedState) -> Cause:
     end = next((line for line in story if line.text in log_trace.END_TEXTS), None)
     if end is None:
         return Cause.NO_END
@@ -132,7 +132,7 @@
 
 
 def _get_failure_cause(
-    story: Sequence[log_trace.Line], end: log_trace.Line, beliefs: _Beliefs
+    story: Sequence[log_trace.Line], end: log_trace.Line, beliefs: _ObservedState
 ) -> Cause:
     places = [line for line in story if line.text in ("attempt", "run goes on elsewhere")]
     if not places:
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -4,8 +4,8 @@
 import json
 from collections.abc import Iterable
 
-BEFORE_S = 3.0
-AFTER_S = 0.5
+CONTEXT_BEFORE_S = 3.0
+CONTEXT_AFTER_S = 0.5
 """What a process believed from three seconds before a request to half a second after it: an
 instance leaves within two seconds of its notice."""
 END_TEXTS = frozenset({"answered", "refused", "failed", "caller left"})
@@ -29,7 +29,7 @@
         "table in force",
     }
 )
-STANDING_TEXT = "evacuated halls are known"
+LASTING_STATE_TEXT = "evacuated halls are known"
 """What a process wrote of this last holds for any time after."""
 _INSTANCE_FIELDS = ("upstream", "holder", "source", "target")
 _COMMON = frozenset({"time", "level", "logger", "text"})
@@ -102,12 +102,12 @@
     involved = {
         str(line.fields[name]) for line in own for name in _INSTANCE_FIELDS if name in line.fields
     }
-    from_s = own[0].time_s - BEFORE_S
-    to_s = own[-1].time_s + AFTER_S
+    from_s = own[0].time_s - CONTEXT_BEFORE_S
+    to_s = own[-1].time_s + CONTEXT_AFTER_S
     standing = {
         line.process: line
         for line in known
-        if line.text == STANDING_TEXT and line.process in processes and line.time_s < from_s
+        if line.text == LASTING_STATE_TEXT and line.process in processes and line.time_s < from_s
     }
     beliefs = list(standing.values())
     beliefs += [
--- a/src/spoolhead/_internal/utils/logs.py
+++ b/src/spoolhead/_internal/utils/logs.py
@@ -14,10 +14,10 @@
 from spoolhead._internal.models import settings
 from spoolhead._internal.utils import clocks
 
-LINES_PER_S = 400
+MAX_LINES_PER_S = 400
 """Lines a second in the long run: some ten for each of the 13 requests a second that an entry
 has at the target size, and room for a burst; about 100 KB a second."""
-BURST_LINES = 2_000
+MAX_BURST_LINES = 2_000
 """Lines that may come at once: what a whole hall's departure makes an entry say."""
 
 
@@ -66,13 +66,13 @@
         self._descriptor = stream.fileno()
         self._poll = select.poll()
         self._poll.register(self._descriptor, select.POLLOUT)
-        self._credit = float(BURST_LINES)
+        self._credit = float(MAX_BURST_LINES)
         self._credit_s = clocks.get_s()
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write a record's line, or count it as dropped."""
-        if not self._take_credit(record):
+        if not self._try_acquire_credit(record):
             self._dropped += 1
             return
         if self._dropped and not self._report_dropped():
@@ -89,10 +89,10 @@
         self._dropped = 0
         return True
 
-    def _take_credit(self, record: logging.LogRecord) -> bool:
+    def _try_acquire_credit(self, record: logging.LogRecord) -> bool:
         now_s = clocks.get_s()
-        earned = (now_s - self._credit_s) * LINES_PER_S
-        self._credit = min(float(BURST_LINES), self._credit + earned)
+        earned = (now_s - self._credit_s) * MAX_LINES_PER_S
+        self._credit = min(float(MAX_BURST_LINES), self._credit + earned)
         self._credit_s = now_s
         if self._credit < 1.0 and record.levelno < logging.ERROR:
             return False
--- a/src/spoolhead/_internal/utils/metrics.py
+++ b/src/spoolhead/_internal/utils/metrics.py
@@ -15,8 +15,8 @@
 
 logger = logging.getLogger(__name__)
 
-_LONGEST_MS = 3_600_000
-_DIGITS = 2
+_MAX_DURATION_MS = 3_600_000
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (50, 95, 99)
 
 
@@ -64,7 +64,7 @@
         times = self._times.get(metric)
         if times is None:
             times = self._times[metric] = collections.Counter()
-        times[min(_LONGEST_MS, max(1, int(duration_ms)))] += 1
+        times[min(_MAX_DURATION_MS, max(1, int(duration_ms)))] += 1
 
     def gauge(self, metric: Metric, value: float) -> None:
         """Set a gauge."""
@@ -88,7 +88,7 @@
 def _send_times(
     pipeline: statsd.client.base.PipelineBase, name: str, times: collections.Counter[int]
 ) -> None:
-    recorded = histogram.HdrHistogram(1, _LONGEST_MS, _DIGITS)
+    recorded = histogram.HdrHistogram(1, _MAX_DURATION_MS, _SIGNIFICANT_DIGITS)
     for duration_ms, count in times.items():
         recorded.record_value(duration_ms, count)
     pipeline.incr(f"{name}.count", recorded.get_total_count())
--- a/src/spoolhead/_internal/utils/settings_watch.py
+++ b/src/spoolhead/_internal/utils/settings_watch.py
@@ -10,7 +10,7 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 1.0
+CHECK_INTERVAL_S = 1.0
 """Pause between looks at the file; a change of the keepers is due within seconds."""
 
 _SettingsT = TypeVar("_SettingsT")
@@ -35,13 +35,13 @@
         self._path = path
         self._read = read
         self._take = take
-        self._stamp = self._get_stamp()
+        self._file_state = self._read_file_state()
         loop.on_reload = self.reload
-        loop.scheduler.call_every(LOOK_S, self._look)
+        loop.scheduler.call_every(CHECK_INTERVAL_S, self._check)
 
     def reload(self) -> None:
         """Read the file; settings that are no good change nothing."""
-        self._stamp = self._get_stamp()
+        self._file_state = self._read_file_state()
         try:
             config = self._read(self._path)
         except exceptions.SettingsError as error:
@@ -50,11 +50,11 @@
         logger.info("settings read again", extra={"fields": {"path": self._path}})
         self._take(config)
 
-    def _look(self) -> None:
-        if self._get_stamp() != self._stamp:
+    def _check(self) -> None:
+        if self._read_file_state() != self._file_state:
             self.reload()
 
-    def _get_stamp(self) -> tuple[int, int, int]:
+    def _read_file_state(self) -> tuple[int, int, int]:
         try:
             found = os.stat(self._path)
         except OSError as error:
--- a/src/spoolhead/platform/dialect.py
+++ b/src/spoolhead/platform/dialect.py
@@ -12,12 +12,12 @@
 from spoolhead.platform import names, tables
 
 _MISDIRECTED_STATUS = 421
-_LONGEST_COLD = 9
+_MAX_COLD_DIGITS = 9
 """Digits up to which the rest of a cold start is read: eleven days in milliseconds."""
-_TURNED_AWAY = frozenset({429, 503})
+_REST_STATUSES = frozenset({429, 503})
 """Statuses by which an instance turns a request away."""
 _YES = "1"
-_EVACUATES = {"POST": True, "DELETE": False}
+_EVACUATION_METHODS = {"POST": True, "DELETE": False}
 """Methods of an order on a hall, and whether it is evacuated from then on."""
 
 
@@ -101,10 +101,10 @@
         found = dict(headers)
         hidden = {names.INSTANCE, names.LOAD, names.NOT_RUN, names.COLD, names.LIMIT}
         hidden |= {names.LEAVING, "date", "server"}
-        hidden |= names.ONE_CONNECTION
+        hidden |= names.HOP_BY_HOP
         stated_limits = [value for name, value in headers if name == names.LIMIT]
         limit_per_s = _read_limit(stated_limits)
-        rest_text = found.get(names.RETRY_AFTER, "") if status in _TURNED_AWAY else ""
+        rest_text = found.get(names.RETRY_AFTER, "") if status in _REST_STATUSES else ""
         rest_ms = _read_rest(rest_text)
         return dialects.AnswerHead(
             status=status,
@@ -163,10 +163,10 @@
     hall = urllib.parse.unquote(name)
     if not evacuations.is_hall_name(hall):
         return expression.Error(fault.Fault(codes.ResultCode.UNKNOWN_PATH, "no hall is named"))
-    if method not in _EVACUATES:
+    if method not in _EVACUATION_METHODS:
         text = f"{names.EVACUATION_PATH}HALL takes POST and DELETE"
         return expression.Error(fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, text))
-    return expression.Ok(dialects.SetEvacuation(hall, is_evacuated=_EVACUATES[method]))
+    return expression.Ok(dialects.SetEvacuation(hall, is_evacuated=_EVACUATION_METHODS[method]))
 
 
 def _get_key(header: str | None) -> str:
@@ -177,7 +177,7 @@
 def _get_passed_headers(wire: request_reader.WireRequest) -> list[tuple[str, str]]:
     listed = wire.get_header("connection") or ""
     one_connection = {name.strip().lower() for name in listed.split(",")}
-    dropped = names.ONE_CONNECTION | names.SET_BY_SYSTEM | one_connection
+    dropped = names.HOP_BY_HOP | names.SYSTEM_HEADERS | one_connection
     dropped |= {"authorization", names.DEADLINE}
     return [(name, value) for name, value in wire.headers if name not in dropped]
 
@@ -213,7 +213,7 @@
 def _read_cold(text: str | None) -> int | None:
     if text is None or not (text.isascii() and text.isdecimal()):
         return None
-    return int(text) if len(text) <= _LONGEST_COLD else None
+    return int(text) if len(text) <= _MAX_COLD_DIGITS else None
 
 
 def _read_limit(values: list[str]) -> float | None:
--- a/src/spoolhead/platform/names.py
+++ b/src/spoolhead/platform/names.py
@@ -31,12 +31,12 @@
 URGENCY = "priority"
 """0 is the most urgent, unlike what the name suggests."""
 
-SET_BY_SYSTEM = frozenset(
+SYSTEM_HEADERS = frozenset(
     {WORKSPACE, EXPECTED_INSTANCE, RESUME_FROM, BACKUP_TO, FETCH_FROM, PIN, HOLD, URGENCY}
 )
 """Headers that a caller may not pass on to an instance."""
 
-ONE_CONNECTION = frozenset(
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "content-length",
--- a/src/spoolhead/platform/node_file.py
+++ b/src/spoolhead/platform/node_file.py
@@ -17,9 +17,9 @@
 of the shortest objective, so that an unreachable instance leaves time for another."""
 METRICS_PORT = 9_464
 """Port of the figures, as deploy/system.toml names it; the settings name none."""
-HUB_LINK_PART = 0.1
+HUB_LINK_FRACTION = 0.1
 """Part of a process's link that may carry what it tells others of their loads."""
-SLOWEST_LINK_MBPS = 5.0
+DEFAULT_LINK_MBPS = 5.0
 """Link of a process whose settings name none."""
 BYTES_PER_MBIT = 125_000
 _LOG = settings.LogSettings(output="stdout")
@@ -108,8 +108,8 @@
 
 
 def _get_hub_bytes_per_s(fields: dict[str, Any]) -> int:
-    link_mbps = fields.get("limits", {}).get("link_mbps", SLOWEST_LINK_MBPS)
-    return int(link_mbps * BYTES_PER_MBIT * HUB_LINK_PART)
+    link_mbps = fields.get("limits", {}).get("link_mbps", DEFAULT_LINK_MBPS)
+    return int(link_mbps * BYTES_PER_MBIT * HUB_LINK_FRACTION)
 
 
 def _make_list(fields: dict[str, Any]) -> settings.InstanceListSettings:
--- a/src/spoolhead/platform/pages.py
+++ b/src/spoolhead/platform/pages.py
@@ -7,18 +7,18 @@
 
 _ENTRY = re.compile(r'\{\s*"')
 _NEXT = re.compile(r'"next_token"\s*:\s*("(?:[^"\\]|\\.)*"|null)')
-_LONGEST_NUMBER = 20
+_MAX_INTEGER_DIGITS = 20
 """Digits up to which a whole number is read; longer ones make no sense in any field."""
 
 
 def _read_int(text: str) -> float:
-    return int(text) if len(text) <= _LONGEST_NUMBER else math.inf
+    return int(text) if len(text) <= _MAX_INTEGER_DIGITS else math.inf
 
 
 _DECODER = json.JSONDecoder(parse_int=_read_int)
 
 
-def take_apart(page: bytes) -> Any:
+def parse_page(page: bytes) -> Any:
     """Return what a page says.
 
     An entry whose bytes are not JSON costs the others nothing: they are found one by one. Bytes
@@ -36,12 +36,12 @@
             raise
     last = ends[-1]
     return {
-        "instances": _find_entries(text[: last.start()]),
+        "instances": _scan_entries(text[: last.start()]),
         "next_token": json.loads(last[1]),
     }
 
 
-def _find_entries(text: str) -> list[object]:
+def _scan_entries(text: str) -> list[object]:
     entries: list[object] = []
     # The first brace is the page's own.
     match = _ENTRY.search(text, 1)
--- a/src/spoolhead/platform/tables.py
+++ b/src/spoolhead/platform/tables.py
@@ -11,10 +11,10 @@
 from spoolhead._internal.utils import endpoints
 from spoolhead.platform import names, pages
 
-LARGEST_AMOUNT = 1e14
+MAX_NUMBER = 1e14
 """Bound on numbers of the list: Unix times in milliseconds of the next thousand years fit, and no
 infinity."""
-LONGEST_TEXT = 256
+MAX_TEXT_LENGTH = 256
 """Bound on names of the list, in characters; those in use have a dozen."""
 MS_PER_S = 1_000
 _STATES = {"ready": False, "draining": True}
@@ -55,7 +55,7 @@
 
     def get_text(self, name: str) -> str:
         text = self.get(name, str)
-        if not 0 < len(text) <= LONGEST_TEXT or not text.isprintable():
+        if not 0 < len(text) <= MAX_TEXT_LENGTH or not text.isprintable():
             raise _FieldError(f"{self._path}{name} is empty, too long or not printable")
         return text
 
@@ -65,15 +65,15 @@
             raise _FieldError(f"{self._path}{name} is not an IP number and a port")
         return address
 
-    def get_natural(self, name: str) -> int:
+    def get_positive_int(self, name: str) -> int:
         number = self.get(name, int)
-        if not 0 < number <= LARGEST_AMOUNT:
+        if not 0 < number <= MAX_NUMBER:
             raise _FieldError(f"{self._path}{name} is out of range")
         return number
 
-    def get_amount(self, name: str) -> float:
+    def get_non_negative_float(self, name: str) -> float:
         number = self.get(name, float)
-        if not 0.0 <= number <= LARGEST_AMOUNT:
+        if not 0.0 <= number <= MAX_NUMBER:
             raise _FieldError(f"{self._path}{name} is out of range")
         return number
 
@@ -198,7 +198,7 @@
 def decode_instances(document: bytes) -> expression.Result[dialects.InstancePage, fault.Fault]:
     """Read a page of the list of instances."""
     try:
-        fields = _Fields(pages.take_apart(document), "")
+        fields = _Fields(pages.parse_page(document), "")
         found = _read_entries(fields.get("instances", list))
         next_target = ""
         if fields.has("next_token"):
@@ -229,10 +229,10 @@
         service=fields.get_text("service"),
         address=fields.get_address("address"),
         hall=fields.get_text("zone"),
-        slots=fields.get_natural("slots"),
+        slots=fields.get_positive_int("slots"),
         is_leaving=_read_state(fields),
-        cold_ms=math.ceil(fields.get_amount("cold_remaining_ms")),
-        started_ms=fields.get_natural("born") if fields.has("born") else 0,
+        cold_ms=math.ceil(fields.get_non_negative_float("cold_remaining_ms")),
+        started_ms=fields.get_positive_int("born") if fields.has("born") else 0,
     )
 
 
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -251,6 +251,6 @@
         self.opened.append(FakeLink(address, user))
         return self.opened[-1]
 
-    def lose(self, link, reason):
+    def abort(self, link, reason):
         link.close()
         link.user.on_lost(reason)
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -92,7 +92,7 @@
         super().__init__(request, user)
         self.address = address
         self.fresh = fresh
-        self.ended_whole = False
+        self.is_answer_complete = False
         self.is_reused = False
 
     @property
@@ -112,7 +112,7 @@
 
     def end(self):
         self.is_over = True
-        self.ended_whole = True
+        self.is_answer_complete = True
         self.user.on_answer_end()
 
     def lose(self, reason="Connection reset by peer"):
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -60,20 +60,20 @@
 
 def test_a_reader_that_does_not_read_stops_nothing_and_the_loss_is_told(pipe):
     handler = _make_handler(pipe)
-    for number in range(logs.BURST_LINES):
+    for number in range(logs.MAX_BURST_LINES):
         handler.emit(_make_record("x" * 200, number=number))
     kept = pipe.read_lines()
-    assert 0 < len(kept) < logs.BURST_LINES
+    assert 0 < len(kept) < logs.MAX_BURST_LINES
     handler.emit(_make_record("late", level=logging.ERROR))
     note, last = pipe.read_lines()
     assert note["text"] == "log lines dropped"
-    assert note["count"] == logs.BURST_LINES - len(kept)
+    assert note["count"] == logs.MAX_BURST_LINES - len(kept)
     assert last["text"] == "late"
 
 
 def test_lines_beyond_the_rate_are_dropped_but_errors_are_not(pipe, monkeypatch):
-    monkeypatch.setattr(logs, "BURST_LINES", 2)
-    monkeypatch.setattr(logs, "LINES_PER_S", 0)
+    monkeypatch.setattr(logs, "MAX_BURST_LINES", 2)
+    monkeypatch.setattr(logs, "MAX_LINES_PER_S", 0)
     handler = _make_handler(pipe)
     for number in range(5):
         handler.emit(_make_record("info", number=number))
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -190,7 +190,7 @@
     content_id=strategies.just(DEADLY),
     epoch=strategies.integers(0, 2),
     ends=strategies.sets(strategies.integers(0, 12), max_size=10).map(
-        lambda keys: tuple(sorted(keys)[: content_record.MOST_ENDS])
+        lambda keys: tuple(sorted(keys)[: content_record.MAX_ENDS])
     ),
     waves=strategies.integers(0, 3),
     trials=strategies.integers(0, 2),
--- a/tests/unit/test_shared_load.py
+++ b/tests/unit/test_shared_load.py
@@ -32,7 +32,7 @@
     content_record.ContentRecord,
     content_id=strategies.binary(min_size=16, max_size=16),
     epoch=_numbers,
-    ends=strategies.sets(_numbers, max_size=content_record.MOST_ENDS).map(sorted).map(tuple),
+    ends=strategies.sets(_numbers, max_size=content_record.MAX_ENDS).map(sorted).map(tuple),
     waves=_numbers,
     trials=_numbers,
     trier=strategies.text(max_size=9),
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -212,7 +212,7 @@
 
 def test_a_table_that_would_unpack_to_too_much_is_not_taken():
     with pytest.raises(ValueError):
-        deflate.unpack(deflate.pack(bytes(deflate.LONGEST_BYTES + 1)))
+        deflate.unpack(deflate.pack(bytes(deflate.MAX_UNPACKED_BYTES + 1)))
 
 
 def test_a_table_is_fetched_from_one_keeper_at_a_time(feed):
--- a/tools/standins/engine.py
+++ b/tools/standins/engine.py
@@ -23,12 +23,12 @@
 
 from standins import http_server
 
-CRASH_MARK = "[crash]"
+CRASH_MARKER = "[crash]"
 """A prompt with this ends the engine that begins to run it."""
 CRASH_AFTER_S = 0.05
 CRASH_CODE = 3
 """Exit code of an engine that ended so."""
-LENGTH_MARK = re.compile(r"\[len=(\d+)\]")
+LENGTH_MARKER = re.compile(r"\[len=(\d+)\]")
 BLOCK_TOKENS = 16
 BYTES_PER_TOKEN = 4
 
@@ -83,7 +83,7 @@
             "total_tokens": total,
         }
 
-    def make_whole(self) -> dict:
+    def make_answer(self) -> dict:
         """The whole answer as the interface reports it."""
         text = "".join(f"{number} " for number in range(self.generated))
         choice: dict = {"index": 0, "finish_reason": self.finish_reason}
@@ -151,7 +151,7 @@
             report = self._make_report()
             await asyncio.sleep(self._options.report_lag_ms / 1000)
             self._report = report
-            self._drop_abandoned()
+            self._evict_abandoned()
 
     async def handle(self, request: http_server.Request, answer: http_server.Answer) -> None:
         """Answer one request."""
@@ -229,9 +229,9 @@
             answer.send_json(404, {"error": {"message": f"no model {body['model']}"}})
             return
         prompt = json.dumps(body["messages"]) if is_chat else str(body["prompt"])
-        if CRASH_MARK in prompt:
+        if CRASH_MARKER in prompt:
             asyncio.get_running_loop().call_later(CRASH_AFTER_S, os._exit, CRASH_CODE)
-        marks = LENGTH_MARK.findall(prompt)
+        marks = LENGTH_MARKER.findall(prompt)
         drawn = int(self._random.lognormvariate(4.5, 1.0)) + 1
         length = int(marks[-1]) if marks else drawn
         ident = request.headers.get("x-request-id") or f"{self._random.getrandbits(64):016x}"
@@ -308,9 +308,9 @@
         if generation.is_cancelled:
             answer.send_json(500, {"error": {"message": "cancelled"}})
         else:
-            answer.send_json(200, generation.make_whole())
+            answer.send_json(200, generation.make_answer())
 
-    def _drop_abandoned(self) -> None:
+    def _evict_abandoned(self) -> None:
         oldest = time.monotonic() - self._options.retain_ms / 1000
         for ident, generation in list(self._known.items()):
             if generation.readers or generation.left_at > oldest:
--- a/tools/standins/proxy.py
+++ b/tools/standins/proxy.py
@@ -67,13 +67,13 @@
     async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Take orders, one a line."""
         while line := await reader.readline():
-            self._obey(json.loads(line))
+            self._apply_order(json.loads(line))
             carried = {name: faults.carried_bytes for name, faults in self._faults.items()}
             writer.write(json.dumps(carried).encode() + b"\n")
             await writer.drain()
         writer.close()
 
-    def _obey(self, order: dict) -> None:
+    def _apply_order(self, order: dict) -> None:
         if "refuse" in order:
             self._refuse = order["refuse"]
         if order.get("cut"):
--- a/tools/write_settings_page.py
+++ b/tools/write_settings_page.py
@@ -63,7 +63,7 @@
             _get_unit(field.name, hint),
             _get_default(field),
             _get_bounds(hint),
-            meanings.get(field.name) or _point_to_part(hint),
+            meanings.get(field.name) or _get_section_reference(hint),
         ]
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join([*lines, ""])
@@ -78,7 +78,7 @@
     return {name: re.sub(r"\s+", " ", text).replace("``", "`").strip() for name, text in found}
 
 
-def _point_to_part(hint):
+def _get_section_reference(hint):
     """Return where a group of settings is told; a setting of its own must have a meaning."""
     names = [cls.__name__ for cls in get_classes() if cls.__name__ in _get_type(hint)]
     return f"see {names[0]}" if names else ""
