--- a/src/spoolhead/_internal/exceptions.py
+++ b/src/spoolhead/_internal/exceptions.py
@@ -1,8 +1,8 @@
-"""Exceptions of the package: when each arises and how it reads to a person.
+"""Exceptions of the package.
 
-Expected failures travel as :class:`expression.Result` with a
-:class:`~spoolhead._internal.models.fault.Fault`. An exception is for what a program cannot go
-on from; the command line turns it into one line on standard error and an exit code.
+Expected failures are returned as :class:`expression.Result` with a
+:class:`~spoolhead._internal.models.fault.Fault`. Exceptions are for errors that a program cannot
+recover from; the command line prints them as one line on standard error and sets the exit code.
 """
 
 from collections.abc import Sequence
@@ -11,18 +11,18 @@
 
 
 class SpoolheadError(Exception):
-    """Base of all errors that a program reports without a traceback.
+    """Base class of all errors that a program reports without a traceback.
 
-    :ivar code: numbered result code.
+    :ivar code: result code of the error.
     """
 
     code = codes.ResultCode.INTERNAL
 
 
 class SettingsError(SpoolheadError):
-    """Raised at start when a settings or table file cannot be used.
+    """Raised when a settings or table file cannot be used.
 
-    Reads as one line for each fault, each with its path in the file.
+    The message has one line for each fault, with the path of the field in the file.
     """
 
     def __init__(self, path: str, faults: Sequence[fault.Fault]) -> None:
@@ -35,10 +35,10 @@
 
 
 class LogDamagedError(SpoolheadError):
-    """Raised when the table's log has a bad record that is not a torn last write.
+    """Raised when the table's log has a damaged record that is not a torn last write.
 
-    A torn last write is cut off, since nothing in it was ever acknowledged. Anything earlier
-    was acknowledged, so the keeper must not serve without it.
+    A torn last write is truncated, since it was never acknowledged. Earlier records were
+    acknowledged, so the keeper must not serve without them.
     """
 
     code = codes.ResultCode.LOG_DAMAGED
@@ -49,13 +49,13 @@
 
 
 class DiskError(SpoolheadError):
-    """Raised when the data folder cannot be written or synced, for example when it is full."""
+    """Raised when the data folder cannot be written or synced, for example on a full disk."""
 
     code = codes.ResultCode.DISK_FAILED
 
 
 class PeerError(SpoolheadError):
-    """Raised by the command line when another spoolhead process does not answer as it should."""
+    """Raised by the command line when another spoolhead process gives no valid answer."""
 
     def __init__(self, code: codes.ResultCode, text: str) -> None:
         super().__init__(text)
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -184,16 +184,16 @@
         "reader",
         "remote",
         "sock",
-        "pipelined",
-        "pipelined_bytes",
+        "waiting",
+        "waiting_bytes",
     )
 
     def __init__(self, sock: socket.socket, remote: str, limits: settings.CallerLimits) -> None:
         self.sock = sock
         self.remote = remote
         self.reader = request_reader.RequestReader(limits)
-        self.pipelined: collections.deque[request_reader.WireRequest] = collections.deque()
-        self.pipelined_bytes = 0
+        self.waiting: collections.deque[request_reader.WireRequest] = collections.deque()
+        self.waiting_bytes = 0
         self.current: Caller | None = None
         self.phase = request_reader.Phase.IDLE
         self.deadline_s: float | None = None
@@ -291,7 +291,7 @@
         self._server.stop_listening()
         for connection in list(self._connections.values()):
             connection.is_closing = True
-            if connection.current is None and not connection.pipelined:
+            if connection.current is None and not connection.waiting:
                 self._server.close_after_send(connection.sock)
 
     def send(self, connection: _Connection, data: bytes) -> int:
@@ -309,7 +309,7 @@
         """End the present request of a connection and begin the next."""
         connection.current = None
         self._library._clients.pop(connection.sock, None)
-        if close or connection.is_closing and not connection.pipelined:
+        if close or connection.is_closing and not connection.waiting:
             connection.is_closing = True
             self._end(connection)
             return
@@ -366,8 +366,8 @@
             connection.reader.wants_continue = False
             self._server.send_now(sock, _CONTINUE)
         for request in result.ok:
-            connection.pipelined.append(request)
-            connection.pipelined_bytes += len(request.body)
+            connection.waiting.append(request)
+            connection.waiting_bytes += len(request.body)
         if self._is_over_pipeline_limit(connection):
             text = "too many requests sent ahead"
             item = fault.Fault(codes.ResultCode.TOO_MANY_PIPELINED, text)
@@ -388,10 +388,10 @@
     @circuits.handler("request")
     def _on_request(self, request: wrappers.Request, response: wrappers.Response) -> bool:
         connection = self._connections.get(request.sock)
-        if connection is None or not connection.pipelined or connection.current is not None:
+        if connection is None or not connection.waiting or connection.current is not None:
             return True
-        wire = connection.pipelined.popleft()
-        connection.pipelined_bytes -= len(wire.body)
+        wire = connection.waiting.popleft()
+        connection.waiting_bytes -= len(wire.body)
         caller = self._make_caller(connection, wire, response)
         self._handle_request(caller)
         return True
@@ -405,7 +405,7 @@
         self._server.close_after_send(sock)
 
     def _begin_next(self, connection: _Connection) -> None:
-        if connection.current is None and connection.pipelined:
+        if connection.current is None and connection.waiting:
             connection.deadline_s = None
             self.fire(net_events.read(connection.sock, _LIBRARY_REQUEST), self.channel)
 
@@ -425,7 +425,7 @@
         # A request before the bad bytes may still be running. Its answer is worth more than a
         # refusal of what follows it, so the connection ends after that answer instead.
         connection.is_closing = True
-        connection.pipelined.clear()
+        connection.waiting.clear()
         logger.info("bytes of %s refused: %s", connection.remote, item)
         if connection.current is not None:
             return
@@ -437,8 +437,8 @@
 
     def _is_over_pipeline_limit(self, connection: _Connection) -> bool:
         return (
-            len(connection.pipelined) > self._limits.pipelined
-            or connection.pipelined_bytes > self._limits.pipelined * self._limits.body_bytes
+            len(connection.waiting) > self._limits.pipelined
+            or connection.waiting_bytes > self._limits.pipelined * self._limits.body_bytes
         )
 
     def _set_deadline(self, connection: _Connection, *, restart: bool) -> None:
--- a/src/spoolhead/_internal/utils/__init__.py
+++ b/src/spoolhead/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small modules with a single purpose."""
+"""Helpers that are independent of each other: clocks, files, logs, metrics, encodings."""
--- a/src/spoolhead/_internal/utils/decimals.py
+++ b/src/spoolhead/_internal/utils/decimals.py
@@ -1,4 +1,4 @@
-"""Decimal numbers in headers."""
+"""Parses decimal numbers in headers."""
 
 import re
 
@@ -6,6 +6,6 @@
 
 
 def parse(text: str) -> float | None:
-    """Return a number that is not negative; None for any other text."""
+    """Return the number that a text holds; None if it is not a non-negative decimal number."""
     value = text.strip()
     return float(value) if _DECIMAL.fullmatch(value) else None
--- a/src/spoolhead/_internal/utils/deflate.py
+++ b/src/spoolhead/_internal/utils/deflate.py
@@ -1,28 +1,29 @@
-"""Makes documents small for the way between processes."""
+"""Compresses documents that are sent between processes."""
 
 import zlib
 
 LEVEL = 1
-"""The quickest: a table of 1,640 routes (413 KB) shrinks to a tenth in some milliseconds."""
+"""The fastest level: a table of 1,640 routes (413 KB) shrinks to a tenth in a few milliseconds."""
 MAX_UNPACKED_BYTES = 16_777_216
-"""Size up to which a document is unpacked: four times the largest that operators may send."""
+"""Maximum size of an unpacked document: four times the largest that operators may send."""
 
 
 def pack(document: bytes) -> bytes:
-    """Return a document's packed form."""
+    """Return a document in compressed form."""
     return zlib.compress(document, LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the document.
+    """Return the document from its compressed form.
 
-    :raises ValueError: if the bytes are damaged, end early or would unpack to too much.
+    :raises ValueError: if the data is damaged or truncated, or the document exceeds
+        :data:`MAX_UNPACKED_BYTES`.
     """
     unpacker = zlib.decompressobj()
     try:
         document = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise ValueError(f"a document cannot be unpacked: {error}") from error
+        raise ValueError(f"document cannot be decompressed: {error}") from error
     if not unpacker.eof:
-        raise ValueError("a document ends early or is too large")
+        raise ValueError(f"document is truncated or exceeds {MAX_UNPACKED_BYTES} bytes")
     return document
--- a/src/spoolhead/_internal/utils/disk_refusals.py
+++ b/src/spoolhead/_internal/utils/disk_refusals.py
@@ -1,4 +1,4 @@
-"""What is written of a disk that refuses writes: a line as it begins, and one as it is over."""
+"""Logs when a disk begins to refuse writes and when it accepts them again."""
 
 import logging
 import pathlib
@@ -8,11 +8,11 @@
 logger = logging.getLogger(__name__)
 
 RETRY_S = 0.25
-"""Pause before a refused write is tried again; a few times a second is cheap and soon."""
+"""Interval between retries of a refused write: short, and a few retries a second cost little."""
 
 
 class DiskRefusals:
-    """Refusals of writes to one file, by one thread.
+    """Tracks whether writes to one file are refused. Not thread-safe.
 
     :param path: the file.
     """
@@ -22,14 +22,14 @@
         self._began_s: float | None = None
 
     def record_refused(self, error: Exception) -> None:
-        """Take note of a write that was refused."""
+        """Record a refused write; the first of a series is logged."""
         if self._began_s is None:
             self._began_s = clocks.get_s()
             fields = {"path": str(self._path), "reason": str(error)}
             logger.error("disk refuses writes", extra={"fields": fields})
 
     def record_success(self) -> None:
-        """Take note of a write that was taken."""
+        """Record a successful write; the first after refused ones is logged."""
         if self._began_s is not None:
             fields = {"lost_ms": int((clocks.get_s() - self._began_s) * 1000)}
             logger.warning("disk takes writes again", extra={"fields": fields})
--- a/src/spoolhead/_internal/utils/document_delta.py
+++ b/src/spoolhead/_internal/utils/document_delta.py
@@ -1,62 +1,66 @@
-"""The difference between two versions of a document, in bytes; no I/O.
+"""Binary deltas between two versions of a document. Performs no I/O.
 
-A document is cut into pieces after a mark that stands between the entries of its lists. What the
-newer version shares with the older one is named by the numbers of its pieces, the rest goes as it
-is. So a change of one entry among thousands takes some hundred bytes.
+A document is split into pieces after each separator between the entries of its lists. A delta
+refers to pieces of the old version by their indexes and contains all other bytes. A change to one
+entry among thousands thus takes a few hundred bytes.
 """
 
 import msgpack
 import xxhash
 
 SEPARATOR = b"},"
-"""End of an entry in a list of JSON objects; other documents make fewer, longer pieces."""
+"""End of an entry in a list of JSON objects. Other documents have fewer, longer pieces."""
 
 
 def get_digest(document: bytes) -> int:
-    """Return a number that tells two documents apart."""
+    """Return a 64-bit hash of a document."""
     return xxhash.xxh3_64(document).intdigest()
 
 
 def make(old: bytes, new: bytes) -> bytes:
-    """Return what turns one document into another."""
-    numbers: dict[bytes, int] = {}
-    for number, piece in enumerate(_cut(old)):
-        numbers.setdefault(piece, number)
+    """Return the delta from one document to another.
+
+    It holds the digest of the new document and a list of literal pieces and ranges
+    ``[index, count]`` of pieces of the old document.
+    """
+    indexes: dict[bytes, int] = {}
+    for index, piece in enumerate(_split(old)):
+        indexes.setdefault(piece, index)
     parts: list[bytes | list[int]] = []
-    for piece in _cut(new):
-        number = numbers.get(piece)
-        if number is None:
+    for piece in _split(new):
+        index = indexes.get(piece)
+        if index is None:
             parts.append(piece)
-        elif parts and isinstance(parts[-1], list) and parts[-1][0] + parts[-1][1] == number:
+        elif parts and isinstance(parts[-1], list) and parts[-1][0] + parts[-1][1] == index:
             parts[-1][1] += 1
         else:
-            parts.append([number, 1])
+            parts.append([index, 1])
     return msgpack.packb([get_digest(new), parts])
 
 
 def apply(old: bytes, delta: bytes) -> bytes:
-    """Return the newer document.
+    """Return the new document.
 
-    :raises ValueError: if the delta is damaged or was made from another document.
+    :raises ValueError: if the delta is damaged or was made from a different old document.
     """
     try:
         digest, parts = msgpack.unpackb(delta)
-        pieces = _cut(old)
-        made: list[bytes] = []
+        pieces = _split(old)
+        chunks: list[bytes] = []
         for part in parts:
             if isinstance(part, bytes):
-                made.append(part)
+                chunks.append(part)
             else:
                 first, count = part
-                made.extend(pieces[first : first + count])
-        new = b"".join(made)
+                chunks.extend(pieces[first : first + count])
+        new = b"".join(chunks)
     except (TypeError, msgpack.UnpackException) as error:
-        raise ValueError(f"a delta cannot be read: {error}") from error
+        raise ValueError(f"delta cannot be decoded: {error}") from error
     if get_digest(new) != digest:
-        raise ValueError("a delta was made from another document")
+        raise ValueError("delta was made from a different document")
     return new
 
 
-def _cut(document: bytes) -> list[bytes]:
+def _split(document: bytes) -> list[bytes]:
     pieces = document.split(SEPARATOR)
     return [piece + SEPARATOR for piece in pieces[:-1]] + pieces[-1:]
--- a/src/spoolhead/_internal/utils/endpoints.py
+++ b/src/spoolhead/_internal/utils/endpoints.py
@@ -1,24 +1,24 @@
-"""Where a process can be reached, as settings write it and as sockets take it."""
+"""Parses addresses of the form ``IP:PORT``."""
 
 import ipaddress
 
 Endpoint = tuple[str, int]
-"""IP number and port."""
+"""IP address and port, as sockets take them."""
 MAX_PORT = 65_535
 
 
 def split(address: str) -> Endpoint:
-    """Return the endpoint that an address names.
+    """Return the endpoint of an address.
 
     :param address: ``IP:PORT``.
-    :raises ValueError: if what stands behind the last colon is no number.
+    :raises ValueError: if the text after the last colon is not a number.
     """
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 def is_address(address: str) -> bool:
-    """Tell whether a text is ``IP:PORT``, with an IPv4 number and a port that can be used."""
+    """Return whether a text is ``IP:PORT`` with a valid IPv4 address and a port from 1 on."""
     host, _, port = address.rpartition(":")
     is_number = port.isascii() and port.isdecimal() and len(port) <= len(str(MAX_PORT))
     if not is_number or not 0 < int(port) <= MAX_PORT:
--- a/src/spoolhead/_internal/utils/files.py
+++ b/src/spoolhead/_internal/utils/files.py
@@ -1,4 +1,4 @@
-"""Files that survive a crash: appended with sync, or replaced whole."""
+"""Crash-safe file operations: syncing folders, replacing files atomically, locking folders."""
 
 import contextlib
 import fcntl
@@ -9,9 +9,9 @@
 
 
 def sync_folder(path: pathlib.Path) -> None:
-    """Make the folder's entries durable.
+    """Sync a folder, so that new and renamed entries in it survive a crash.
 
-    :raises exceptions.DiskError: if the system refuses.
+    :raises exceptions.DiskError: if the operating system reports an error.
     """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
@@ -24,26 +24,30 @@
 
 
 def replace_file(path: pathlib.Path, data: bytes) -> None:
-    """Replace a file's content; after a crash either the old or the new one is there.
+    """Replace a file's content atomically: after a crash it has the old or the new content.
 
-    :raises exceptions.DiskError: if the system refuses; the old content then stays.
+    :raises exceptions.DiskError: if the operating system reports an error; the old content then
+        stays.
     """
-    draft = path.with_name(path.name + ".new")
+    temporary = path.with_name(path.name + ".new")
     try:
-        with draft.open("wb") as stream:
+        with temporary.open("wb") as stream:
             stream.write(data)
             stream.flush()
             os.fsync(stream.fileno())
-        os.replace(draft, path)
+        os.replace(temporary, path)
     except OSError as error:
         with contextlib.suppress(OSError):
-            draft.unlink(missing_ok=True)
+            temporary.unlink(missing_ok=True)
         raise exceptions.DiskError(f"{path}: {error.strerror}") from error
     sync_folder(path.parent)
 
 
 class FolderLock:
-    """Keeps a second process out of a data folder while this one lives."""
+    """Exclusive lock on a data folder, held until the process ends.
+
+    :raises exceptions.DiskError: if another process holds it, or the folder cannot be created.
+    """
 
     def __init__(self, folder: pathlib.Path) -> None:
         try:
--- a/src/spoolhead/_internal/utils/jsonc.py
+++ b/src/spoolhead/_internal/utils/jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments, and JSON from callers: duplicate names refused in both."""
+"""Parses JSON with comments; duplicate keys in an object are refused."""
 
 import json
 
@@ -13,13 +13,13 @@
 
 
 def parse_with_comments(text: str) -> expression.Result[object, fault.Fault]:
-    """Parse JSON that may hold comments and trailing commas.
+    """Parse JSON that may contain comments and trailing commas.
 
-    :param text: the file's text.
+    :param text: text of the file.
     :returns: the value, or a fault (``SETTINGS_UNREADABLE``) that names the line.
     """
-    # json5 takes about 20 s for each megabyte, and a table of 17,000 rows has several:
-    # a file without comments is read by the standard parser, which takes well under a second.
+    # json5 needs about 20 s for each megabyte, and a table of 17,000 rows has several megabytes.
+    # The standard parser reads a file without comments in well under a second.
     try:
         return expression.Ok(json.loads(text, object_pairs_hook=_make_object))
     except _DuplicateKeyError as error:
--- a/src/spoolhead/_internal/utils/log_losses.py
+++ b/src/spoolhead/_internal/utils/log_losses.py
@@ -1,4 +1,4 @@
-"""What became of requests and why some were lost or late, counted from log lines; no I/O."""
+"""Counts from log lines how requests ended and why some were lost or late. Performs no I/O."""
 
 import collections
 import enum
@@ -7,10 +7,10 @@
 from spoolhead._internal.utils import log_trace
 
 MAX_EXAMPLES = 5
-"""Ids kept of each cause, for ``spoolhead explain``."""
+"""Request ids kept for each cause, to be passed to ``spoolhead explain``."""
 DEPARTURE_WINDOW_S = 8.0
-"""Time after the notice of a departure within which a loss at that instance is put down to it:
-longer than any notice seen."""
+"""Time after the first notice of an instance's departure within which a loss at that instance is
+attributed to it. Longer than any notice period seen."""
 ROUTE_FIELD = "route"
 _DEPARTURE_TEXTS = frozenset(
     {
@@ -22,7 +22,7 @@
 
 
 class Cause(enum.Enum):
-    """What became of a request."""
+    """Outcome of a request, with the cause of a loss or delay."""
 
     IN_TIME = "answered in time"
     LATE_AFTER_WAIT = "late: waited for room at the entry"
@@ -40,11 +40,11 @@
 
 
 class Count:
-    """Requests of one route with one cause.
+    """Number of requests of one route with one cause.
 
-    :ivar requests: how many.
-    :ivar events: events that they had passed on.
-    :ivar examples: ids of the first.
+    :ivar requests: number of requests.
+    :ivar events: stream events that they had passed on.
+    :ivar examples: ids of the first requests.
     """
 
     __slots__ = ("events", "examples", "requests")
@@ -55,7 +55,7 @@
         self.examples: list[str] = []
 
     def add(self, request_id: str, events: int) -> None:
-        """Count one request."""
+        """Count a request."""
         self.requests += 1
         self.events += events
         if len(self.examples) < MAX_EXAMPLES:
@@ -63,18 +63,18 @@
 
 
 class _ObservedState:
-    """When instances were first said to leave, and when halls were silent, by process."""
+    """When departures of instances were first noticed, and when each process saw silent halls."""
 
     def __init__(self) -> None:
         self._noticed_s: dict[str, float] = {}
         self._silent_s: dict[str, list[tuple[float, bool]]] = {}
 
-    def note(self, line: log_trace.Line) -> None:
+    def record_line(self, line: log_trace.Line) -> None:
         if line.text in _DEPARTURE_TEXTS:
             self._noticed_s.setdefault(str(line.fields.get("upstream")), line.time_s)
         elif line.text in ("hall is silent", "hall is heard again"):
-            known = self._silent_s.setdefault(line.process, [])
-            known.append((line.time_s, line.text == "hall is silent"))
+            changes = self._silent_s.setdefault(line.process, [])
+            changes.append((line.time_s, line.text == "hall is silent"))
 
     def may_be_leaving(self, instance_id: str, now_s: float) -> bool:
         noticed_s = self._noticed_s.get(instance_id)
@@ -89,41 +89,41 @@
 
 
 def count(lines: Iterable[log_trace.Line]) -> dict[tuple[str, Cause], Count]:
-    """Count ended requests by route and cause.
+    """Count requests by route and cause.
 
     :param lines: lines of all entries, in any order.
     """
-    beliefs = _ObservedState()
+    observed = _ObservedState()
     requests: dict[str, list[log_trace.Line]] = collections.defaultdict(list)
     for line in sorted(lines, key=lambda item: item.time_s):
-        beliefs.note(line)
+        observed.record_line(line)
         request_id = line.fields.get("request")
         if request_id:
             requests[str(request_id)].append(line)
     counts: dict[tuple[str, Cause], Count] = collections.defaultdict(Count)
-    for request_id, story in requests.items():
-        route = next((str(x.fields[ROUTE_FIELD]) for x in story if ROUTE_FIELD in x.fields), "")
-        counts[route, _get_cause(story, beliefs)].add(request_id, _get_events(story))
+    for request_id, own in requests.items():
+        route = next((str(x.fields[ROUTE_FIELD]) for x in own if ROUTE_FIELD in x.fields), "")
+        counts[route, _get_cause(own, observed)].add(request_id, _get_event_count(own))
     return dict(counts)
 
 
-def _get_cause(story: Sequence[log_trace.Line], beliefs: _ObservedState) -> Cause:
-    end = next((line for line in story if line.text in log_trace.END_TEXTS), None)
+def _get_cause(own: Sequence[log_trace.Line], observed: _ObservedState) -> Cause:
+    end = next((line for line in own if line.text in log_trace.END_TEXTS), None)
     if end is None:
         return Cause.NO_END
     if end.text == "answered":
-        return _get_answer_cause(story, end)
-    if beliefs.is_any_hall_silent(end.process, end.time_s):
+        return _get_answer_cause(own, end)
+    if observed.is_any_hall_silent(end.process, end.time_s):
         return Cause.CUT_HALL
     if end.text == "refused":
         return Cause.REFUSED
     if end.text == "caller left":
         return Cause.LEFT
-    return _get_failure_cause(story, end, beliefs)
+    return _get_failure_cause(own, end, observed)
 
 
-def _get_answer_cause(story: Sequence[log_trace.Line], end: log_trace.Line) -> Cause:
-    texts = {line.text for line in story}
+def _get_answer_cause(own: Sequence[log_trace.Line], end: log_trace.Line) -> Cause:
+    texts = {line.text for line in own}
     if end.fields.get("is_late"):
         return Cause.LATE_AFTER_WAIT if "waits for room" in texts else Cause.LATE_FIRST
     if end.fields.get("has_long_pause"):
@@ -132,20 +132,20 @@
 
 
 def _get_failure_cause(
-    story: Sequence[log_trace.Line], end: log_trace.Line, beliefs: _ObservedState
+    own: Sequence[log_trace.Line], end: log_trace.Line, observed: _ObservedState
 ) -> Cause:
-    places = [line for line in story if line.text in ("attempt", "run goes on elsewhere")]
-    if not places:
+    attempts = [line for line in own if line.text in ("attempt", "run goes on elsewhere")]
+    if not attempts:
         return Cause.LOST
-    last = places[-1]
-    if not beliefs.may_be_leaving(str(last.fields.get("upstream")), end.time_s):
+    last = attempts[-1]
+    if not observed.may_be_leaving(str(last.fields.get("upstream")), end.time_s):
         return Cause.LOST
-    since = {line.text for line in story if line.time_s >= last.time_s}
-    if "copy failed" in since:
+    later_texts = {line.text for line in own if line.time_s >= last.time_s}
+    if "copy failed" in later_texts:
         return Cause.CUT_COPY_REFUSED
-    return Cause.CUT_COPY_LATE if "copy ordered" in since else Cause.CUT_NOT_COPIED
+    return Cause.CUT_COPY_LATE if "copy ordered" in later_texts else Cause.CUT_NOT_COPIED
 
 
-def _get_events(story: Sequence[log_trace.Line]) -> int:
-    events = [line.fields["events"] for line in story if "events" in line.fields]
+def _get_event_count(own: Sequence[log_trace.Line]) -> int:
+    events = [line.fields["events"] for line in own if "events" in line.fields]
     return max((item for item in events if isinstance(item, int)), default=0)
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -1,4 +1,4 @@
-"""The story of one request, gathered from log lines; no I/O."""
+"""Collects the log lines that explain one request. Performs no I/O."""
 
 import datetime
 import json
@@ -6,8 +6,8 @@
 
 CONTEXT_BEFORE_S = 3.0
 CONTEXT_AFTER_S = 0.5
-"""What a process believed from three seconds before a request to half a second after it: an
-instance leaves within two seconds of its notice."""
+"""Lines about the state of a process are collected from three seconds before a request to half a
+second after it: an instance leaves within two seconds of its notice."""
 END_TEXTS = frozenset({"answered", "refused", "failed", "caller left"})
 PROCESS_TEXTS = frozenset(
     {
@@ -30,16 +30,17 @@
     }
 )
 LASTING_STATE_TEXT = "evacuated halls are known"
-"""What a process wrote of this last holds for any time after."""
+"""The state that a line with this text gives holds until the process writes the next one, so it
+is collected regardless of its age."""
 _INSTANCE_FIELDS = ("upstream", "holder", "source", "target")
 _COMMON = frozenset({"time", "level", "logger", "text"})
 
 
 class Line:
-    """One log line.
+    """A parsed log line.
 
-    :ivar process: who wrote it, as far as its file or what stands before it tells.
-    :ivar time_s: when, in seconds since the epoch by that process's clock.
+    :ivar process: process that wrote it, from the prefix of the line or the name of its file.
+    :ivar time_s: Unix time by that process's clock, in seconds.
     :ivar text: its text.
     :ivar fields: its other fields.
     """
@@ -54,10 +55,11 @@
 
 
 class RequestTrace:
-    """What is known of a request.
+    """Log lines that explain a request.
 
-    :ivar own: lines of the request, in order of time.
-    :ivar beliefs: lines of the same processes about what decided it, in order of time.
+    :ivar own: lines of the request itself, by time.
+    :ivar beliefs: lines of the same processes about instances, halls and keepers that influenced
+        it, by time; after the lasting state of each process.
     """
 
     __slots__ = ("beliefs", "own")
@@ -68,14 +70,15 @@
 
     @property
     def has_end(self) -> bool:
-        """Whether a line tells how the request ended."""
+        """Whether one of the lines states how the request ended."""
         return any(line.text in END_TEXTS for line in self.own)
 
 
 def read_line(process: str, text: str) -> Line | None:
-    """Read a line; None where it is none of ours.
+    """Parse a line; None if it is not a log line of this system.
 
-    :param process: who wrote it, unless a collector put a name before the JSON object.
+    :param process: process that wrote it, unless a log collector put a name before the JSON
+        object.
     """
     prefix, brace, rest = text.partition("{")
     try:
@@ -85,17 +88,17 @@
     except (ValueError, KeyError, TypeError):
         return None
     words = prefix.split()
-    kept = {name: value for name, value in fields.items() if name not in _COMMON}
-    return Line(words[-1] if words else process, time_s, message, kept)
+    others = {name: value for name, value in fields.items() if name not in _COMMON}
+    return Line(words[-1] if words else process, time_s, message, others)
 
 
 def build_trace(lines: Iterable[Line], request_id: str) -> RequestTrace:
-    """Gather a request's story.
+    """Collect the lines that explain a request.
 
     :param lines: lines of all processes, in any order.
     """
-    known = sorted(lines, key=lambda line: line.time_s)
-    own = [line for line in known if line.fields.get("request") == request_id]
+    ordered = sorted(lines, key=lambda line: line.time_s)
+    own = [line for line in ordered if line.fields.get("request") == request_id]
     if not own:
         return RequestTrace([], [])
     processes = {line.process for line in own}
@@ -104,21 +107,21 @@
     }
     from_s = own[0].time_s - CONTEXT_BEFORE_S
     to_s = own[-1].time_s + CONTEXT_AFTER_S
-    standing = {
+    lasting_state = {
         line.process: line
-        for line in known
+        for line in ordered
         if line.text == LASTING_STATE_TEXT and line.process in processes and line.time_s < from_s
     }
-    beliefs = list(standing.values())
-    beliefs += [
+    context = list(lasting_state.values())
+    context += [
         line
-        for line in known
+        for line in ordered
         if line.process in processes
         and from_s <= line.time_s <= to_s
         and "request" not in line.fields
         and _is_about(line, involved)
     ]
-    return RequestTrace(own, beliefs)
+    return RequestTrace(own, context)
 
 
 def _is_about(line: Line, involved: set[str]) -> bool:
--- a/src/spoolhead/_internal/utils/logs.py
+++ b/src/spoolhead/_internal/utils/logs.py
@@ -1,6 +1,6 @@
-"""Log output: one JSON object a line, or a line for people.
+"""Log output as JSON lines or as plain text.
 
-A record may carry ``fields``, a mapping of typed values; both formats print them.
+A record may have the attribute ``fields``, a mapping of names to values. Both formats write them.
 """
 
 import datetime
@@ -15,14 +15,14 @@
 from spoolhead._internal.utils import clocks
 
 MAX_LINES_PER_S = 400
-"""Lines a second in the long run: some ten for each of the 13 requests a second that an entry
-has at the target size, and room for a burst; about 100 KB a second."""
+"""Sustained rate of lines. Allows about ten for each of the 13 requests a second that an entry has
+at the target size, with room for bursts; about 100 KB a second."""
 MAX_BURST_LINES = 2_000
-"""Lines that may come at once: what a whole hall's departure makes an entry say."""
+"""Maximum burst: the lines that an entry writes when a whole hall departs."""
 
 
 class JsonFormatter(logging.Formatter):
-    """Formats a record as one JSON object."""
+    """Formats a record as a JSON object on one line."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line."""
@@ -39,10 +39,10 @@
 
 
 class TextFormatter(logging.Formatter):
-    """Formats a record for people."""
+    """Formats a record as plain text."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, or several where there is a traceback."""
+        """Return the line, followed by the lines of a traceback."""
         fields = getattr(record, "fields", {})
         parts = [_get_time(record), record.levelname, record.name, record.getMessage()]
         parts.extend(f"{name}={get_text(value)}" for name, value in fields.items())
@@ -53,12 +53,13 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines without ever waiting for whoever reads them.
+    """Writes lines without ever blocking on the reader.
 
-    Lines beyond a rate, and lines that the reader's pipe has no room for, are dropped and
-    counted; the count is told in a line of its own as soon as there is room.
+    Lines above the rate limit, and lines that do not fit into the pipe, are dropped and counted.
+    The count is logged as soon as a line can be written again. Errors are exempt from the rate
+    limit.
 
-    :param stream: where the lines go.
+    :param stream: stream that the lines are written to.
     """
 
     def __init__(self, stream: IO[str]) -> None:
@@ -71,7 +72,7 @@
         self._dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's line, or count it as dropped."""
+        """Write a record's line, or drop and count it."""
         if not self._try_acquire_credit(record):
             self._dropped += 1
             return
@@ -82,9 +83,9 @@
             self._dropped += 1
 
     def _report_dropped(self) -> bool:
-        note = logging.LogRecord(__name__, logging.WARNING, "", 0, "log lines dropped", (), None)
-        note.fields = {"count": self._dropped}
-        if not self._write(self.format(note)):
+        record = logging.LogRecord(__name__, logging.WARNING, "", 0, "log lines dropped", (), None)
+        record.fields = {"count": self._dropped}
+        if not self._write(self.format(record)):
             return False
         self._dropped = 0
         return True
@@ -101,20 +102,20 @@
 
     def _write(self, line: str) -> bool:
         data = f"{line}\n".encode("utf-8", "replace")
-        # A pipe that is writable takes this much without waiting.
+        # A writable pipe accepts PIPE_BUF bytes without blocking.
         for start in range(0, len(data), select.PIPE_BUF):
             if not self._poll.poll(0):
                 return False
             try:
                 os.write(self._descriptor, data[start : start + select.PIPE_BUF])
             except OSError:
-                # A log that cannot be written must not stop the service; the loss is counted.
+                # A log that cannot be written must not stop the service; the line is counted.
                 return False
         return True
 
 
 def set_up(log: settings.LogSettings) -> None:
-    """Send all log records where and in the format that the settings name."""
+    """Configure the root logger with the output, format and level of the settings."""
     handler = BoundedHandler(sys.stdout if log.output == "stdout" else sys.stderr)
     handler.setFormatter(JsonFormatter() if log.format == "json" else TextFormatter())
     root = logging.getLogger()
@@ -128,5 +129,5 @@
 
 
 def get_text(value: object) -> str:
-    """Return a field's value as it stands in a line for people."""
+    """Return a field's value as the text format writes it."""
     return value if isinstance(value, str) else json.dumps(value, default=str)
--- a/src/spoolhead/_internal/utils/metrics.py
+++ b/src/spoolhead/_internal/utils/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by statsd, gathered in the process and sent once an interval.
+"""Statsd metrics, aggregated in the process and sent once an interval.
 
-A packet for each token would cost more than the token. So counts are summed, and times go
-into histograms whose quantiles are sent as gauges.
+A packet for each token would cost more than relaying the token. So counters are summed, and
+durations go into histograms whose quantiles are sent as gauges.
 """
 
 import collections
@@ -21,7 +21,7 @@
 
 
 class Metric(enum.StrEnum):
-    """Names of the metrics; their table is in ``docs/METRICS.md``."""
+    """Names of the metrics, described in ``docs/METRICS.md``."""
 
     STALL_MS = "stall_ms"
     FIRST_TOKEN_MS = "first_token_ms"
@@ -52,15 +52,15 @@
     def count(self, metric: Metric, amount: int = 1, *, kind: str = "") -> None:
         """Add to a counter.
 
-        :param kind: put behind the name, to tell kinds apart.
+        :param kind: suffix of the metric's name, to count kinds separately.
         """
         name = f"{metric}.{kind}" if kind else str(metric)
         self._counts[name] = self._counts.get(name, 0) + amount
 
     def time(self, metric: Metric, duration_ms: float) -> None:
         """Record a duration in milliseconds."""
-        # Once for each token: counting whole milliseconds costs a tenth of what recording into
-        # a histogram does, and one second's durations have few different values.
+        # Called for each token: counting whole milliseconds costs a tenth of recording them in a
+        # histogram, and the durations of one second have few distinct values.
         times = self._times.get(metric)
         if times is None:
             times = self._times[metric] = collections.Counter()
@@ -71,7 +71,7 @@
         self._gauges[metric] = value
 
     def send(self, pipeline: statsd.client.base.PipelineBase) -> None:
-        """Send what was gathered and begin anew.
+        """Send all values, and reset counters and durations. Gauges stay.
 
         :param pipeline: an open pipeline of a statsd client.
         """
@@ -88,12 +88,12 @@
 def _send_times(
     pipeline: statsd.client.base.PipelineBase, name: str, times: collections.Counter[int]
 ) -> None:
-    recorded = histogram.HdrHistogram(1, _MAX_DURATION_MS, _SIGNIFICANT_DIGITS)
+    durations = histogram.HdrHistogram(1, _MAX_DURATION_MS, _SIGNIFICANT_DIGITS)
     for duration_ms, count in times.items():
-        recorded.record_value(duration_ms, count)
-    pipeline.incr(f"{name}.count", recorded.get_total_count())
+        durations.record_value(duration_ms, count)
+    pipeline.incr(f"{name}.count", durations.get_total_count())
     for percent in _QUANTILES:
-        pipeline.gauge(f"{name}.p{percent}", recorded.get_value_at_percentile(percent))
+        pipeline.gauge(f"{name}.p{percent}", durations.get_value_at_percentile(percent))
 
 
 class Sender:
@@ -104,6 +104,6 @@
         self._client = statsd.StatsClient(host=config.host, port=config.port, prefix=config.prefix)
 
     def send(self) -> None:
-        """Send what was gathered; a lost packet is lost."""
+        """Send all values; packets that get lost are not sent again."""
         with self._client.pipeline() as pipeline:
             self._metrics.send(pipeline)
--- a/src/spoolhead/_internal/utils/programs.py
+++ b/src/spoolhead/_internal/utils/programs.py
@@ -1,4 +1,4 @@
-"""Runs a program with the settings of a file that may change while it runs."""
+"""Runs a program and reloads its settings file when it changes."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -8,24 +8,24 @@
 
 
 class Program(Protocol):
-    """A program that runs until it is told to stop."""
+    """A program that runs until it is stopped by a signal."""
 
     loop: loops.Loop
 
     def apply_settings(self, config: Any) -> None:
-        """Take over changed settings."""
+        """Apply changed settings."""
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until stopped."""
 
 
 def run(path: str, read: Callable[[str], Any], make: Callable[[Any], Program]) -> None:
-    """Run a program until it is told to stop.
+    """Run a program until it is stopped.
 
-    :param path: its settings file.
-    :param read: reads that file.
-    :param make: makes the program from its settings.
-    :raises exceptions.SpoolheadError: if it cannot start.
+    :param path: path of its settings file.
+    :param read: reads and parses that file.
+    :param make: creates the program from its settings.
+    :raises exceptions.SpoolheadError: if the program cannot start.
     """
     config = read(path)
     logs.set_up(config.log)
--- a/src/spoolhead/_internal/utils/prometheus_metrics.py
+++ b/src/spoolhead/_internal/utils/prometheus_metrics.py
@@ -1,7 +1,4 @@
-"""Counters and latency histograms of a program, served as text.
-
-The format is Prometheus's text exposition format.
-"""
+"""Counters, gauges and latency histograms of a program, in Prometheus's text exposition format."""
 
 from http import HTTPStatus
 
@@ -14,33 +11,34 @@
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
 LATENCY_BUCKETS_MS = (5, 10, 25, 50, 100, 180, 250, 400, 800, 1_500, 1_800, 3_000, 6_000, 40_000)
-"""Upper bounds: objectives and good pauses of routes in use among customary steps."""
+"""Upper bounds of the buckets: the objectives and good pauses of the routes in use, among customary
+steps."""
 
 
 class PrometheusMetrics:
-    """The figures of one process."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
         self._registry = registry.CollectorRegistry(auto_describe=False)
 
     def make_counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
-        """Return a new counter.
+        """Register a new counter and return it.
 
-        :param text: what it counts.
+        :param text: description of the counter.
         """
         return prometheus_client.Counter(name, text, labels, registry=self._registry)
 
     def make_gauge(self, name: str, text: str) -> prometheus_client.Gauge:
-        """Return a new gauge.
+        """Register a new gauge and return it.
 
-        :param text: what it shows.
+        :param text: description of the gauge.
         """
         return prometheus_client.Gauge(name, text, registry=self._registry)
 
     def make_histogram(self, name: str, text: str, *labels: str) -> prometheus_client.Histogram:
-        """Return a new histogram of milliseconds.
+        """Register a new histogram of durations in milliseconds and return it.
 
-        :param text: what it measures.
+        :param text: description of the histogram.
         """
         return prometheus_client.Histogram(
             name, text, labels, registry=self._registry, buckets=LATENCY_BUCKETS_MS
@@ -49,7 +47,7 @@
     def serve(
         self, loop: loops.Loop, config: settings.GatewaySettings | settings.QuorumKeeperSettings
     ) -> None:
-        """Serve the figures where a program's settings say, if they do."""
+        """Serve the metrics at the port in the settings, if they name one."""
         if config.metrics_port is None:
             return
         small_server.SmallServer(
@@ -60,7 +58,7 @@
         ).register(loop)
 
     def answer(self, request: request_reader.WireRequest) -> small_server.SmallAnswer:
-        """Answer a request for the figures."""
+        """Return the answer to a request for the metrics."""
         del request
         body = prometheus_client.generate_latest(self._registry)
         return small_server.SmallAnswer(HTTPStatus.OK, body, CONTENT_TYPE)
--- a/src/spoolhead/_internal/utils/row_changes.py
+++ b/src/spoolhead/_internal/utils/row_changes.py
@@ -1,13 +1,13 @@
-"""What differs between two lists of packed rows, each named by its first value."""
+"""Differences between two lists of packed rows. The first value of a row is its key."""
 
 Row = list[object]
 
 
 class RowChanges:
-    """What leads from one list to another.
+    """Changes from one list to another.
 
-    :ivar changed: rows that are new or differ.
-    :ivar gone: names of rows that are not in the second list.
+    :ivar changed: rows that are new or different in the second list.
+    :ivar gone: keys of rows that are missing in the second list.
     """
 
     __slots__ = ("changed", "gone")
@@ -18,7 +18,7 @@
 
 
 def compare(before: list[Row], after: list[Row]) -> RowChanges:
-    """Return what differs between two lists."""
-    known = {row[0]: row for row in before}
-    changed = [row for row in after if known.pop(row[0], None) != row]
-    return RowChanges(changed, list(known))
+    """Return the changes from one list to another."""
+    remaining = {row[0]: row for row in before}
+    changed = [row for row in after if remaining.pop(row[0], None) != row]
+    return RowChanges(changed, list(remaining))
--- a/src/spoolhead/_internal/utils/settings_watch.py
+++ b/src/spoolhead/_internal/utils/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes over changed settings, on a signal and without one."""
+"""Reloads a settings file on SIGHUP and when it changes."""
 
 import logging
 import os
@@ -11,18 +11,18 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 1.0
-"""Pause between looks at the file; a change of the keepers is due within seconds."""
+"""Interval between checks of the file; a change of the keepers must take effect within seconds."""
 
 _SettingsT = TypeVar("_SettingsT")
 
 
 class SettingsWatch(Generic[_SettingsT]):
-    """Watches one settings file.
+    """Watches a settings file.
 
-    :param loop: root of the program.
-    :param path: the file.
-    :param read: reads it; raises :class:`exceptions.SettingsError` for one that is no good.
-    :param take: gets the changed settings.
+    :param loop: event loop of the program.
+    :param path: path of the file.
+    :param read: reads the file; raises :class:`exceptions.SettingsError` if it is not valid.
+    :param on_change: called with the new settings.
     """
 
     def __init__(
@@ -30,17 +30,17 @@
         loop: loops.Loop,
         path: str,
         read: Callable[[str], _SettingsT],
-        take: Callable[[_SettingsT], None],
+        on_change: Callable[[_SettingsT], None],
     ) -> None:
         self._path = path
         self._read = read
-        self._take = take
+        self._on_change = on_change
         self._file_state = self._read_file_state()
         loop.on_reload = self.reload
         loop.scheduler.call_every(CHECK_INTERVAL_S, self._check)
 
     def reload(self) -> None:
-        """Read the file; settings that are no good change nothing."""
+        """Read the file again; settings that are not valid are logged and ignored."""
         self._file_state = self._read_file_state()
         try:
             config = self._read(self._path)
@@ -48,7 +48,7 @@
             logger.error("settings not taken over: %s", error)
             return
         logger.info("settings read again", extra={"fields": {"path": self._path}})
-        self._take(config)
+        self._on_change(config)
 
     def _check(self) -> None:
         if self._read_file_state() != self._file_state:
@@ -56,8 +56,8 @@
 
     def _read_file_state(self) -> tuple[int, int, int]:
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError as error:
-            logger.debug("settings file: %s", error)
+            logger.debug("settings file cannot be read: %s", error)
             return (0, 0, 0)
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
