--- a/src/spoolhead/_internal/network/__init__.py
+++ b/src/spoolhead/_internal/network/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, the event loop and the protocols between processes."""
+"""Event loop, sockets, HTTP connections and the protocols between processes."""
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -1,9 +1,9 @@
-"""Callers' HTTP connections: checked requests in, answers out.
+"""HTTP server for callers: accepts connections, checks requests and sends answers.
 
-Bytes from callers go through :mod:`~spoolhead._internal.network.request_reader`. Each complete
-request is then handed, one at a time for each connection, to the HTTP library as a plain head
-of our own making, so its parser never sees a caller's bytes; the library gives it back as its
-``request`` event with a response object. Answers are written straight to the socket.
+Bytes from callers are parsed by :mod:`~spoolhead._internal.network.request_reader`. For each
+complete request, one at a time per connection, the HTTP library is given a fixed request head, so
+its parser never sees bytes from callers. The library then fires a ``request`` event with a
+response object. Answers are written directly to the socket.
 """
 
 import collections
@@ -30,10 +30,11 @@
 SWEEP_INTERVAL_S = 0.25
 LINGER_TIMEOUT_S = 1.0
 MAX_LINGER_BYTES = 2_097_152
-"""Time for which, and bytes up to which, a refused caller is still read: what was on its way when
-the refusal was sent fits many times over."""
+"""Limits on reading from a caller after its request was refused. Both leave ample room for the
+bytes that were in flight when the refusal was sent."""
 SEND_BUFFER_BYTES = 131_072
-"""Bytes that the kernel keeps for a caller that does not read, before ours are counted."""
+"""Socket send buffer: bytes that the kernel buffers for a caller that does not read. Only bytes
+beyond it are buffered, and counted, in this process."""
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _LIBRARY_REQUEST = b"POST / HTTP/1.1\r\nHost: spoolhead\r\nContent-Length: 0\r\n\r\n"
@@ -41,14 +42,14 @@
 
 
 class Caller:
-    """The caller's side of one request.
+    """A request from a caller, and the means to send its answer.
 
-    :ivar request: what was asked.
-    :ivar remote: the caller's IP number.
-    :ivar on_gone: called once if the connection ends before the answer does.
+    :ivar request: the request.
+    :ivar remote: IP address of the caller.
+    :ivar on_gone: called once if the connection ends before the answer is complete.
     :ivar is_gone: the connection has ended.
     :ivar is_started: the head of the answer has been sent.
-    :ivar is_finished: the answer is complete, or was given up.
+    :ivar is_finished: the answer is complete or was aborted.
     """
 
     __slots__ = (
@@ -81,11 +82,11 @@
         self.is_finished = False
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a complete answer.
+        """Send a complete answer; ignored if the caller is gone or has its answer.
 
         :param status: HTTP status.
-        :param headers: headers besides length and connection.
-        :param body: the body; not sent in answer to HEAD.
+        :param headers: headers other than Content-Length and Connection.
+        :param body: the body; omitted in the answer to a HEAD request.
         """
         if self.is_gone or self.is_finished:
             return
@@ -98,9 +99,11 @@
         self._finish()
 
     def start_stream(self, status: int, headers: Headers, first: bytes = b"") -> None:
-        """Send the head of an answer whose length is not known.
+        """Send the head of an answer of unknown length.
 
-        :param first: its first bytes, sent along.
+        The body is chunked for HTTP/1.1; for HTTP/1.0 it ends with the connection.
+
+        :param first: first bytes of the body, sent together with the head.
         """
         if self.is_gone or self.is_finished:
             return
@@ -115,16 +118,16 @@
         self._front.send(self._connection, self._get_head_bytes() + self._frame(first))
 
     def send_part(self, data: bytes) -> int:
-        """Send a part of a started stream.
+        """Send a part of the body after :meth:`start_stream`.
 
-        :returns: bytes that wait for the caller to read; -1 if the caller is gone.
+        :returns: unsent bytes in this process's buffer; -1 if the caller is gone.
         """
         if self.is_gone or self.is_finished:
             return -1
         return self._front.send(self._connection, self._frame(data))
 
     def end_stream(self) -> None:
-        """End a started stream as complete."""
+        """Mark the body after :meth:`start_stream` as complete."""
         if self.is_gone or self.is_finished:
             return
         if self._response.chunked:
@@ -132,7 +135,7 @@
         self._finish()
 
     def abort(self) -> None:
-        """Close the connection, so that the answer reads as cut off."""
+        """Close the connection, so that the caller sees an incomplete answer."""
         self.is_finished = True
         self._front.close(self._connection)
 
@@ -158,7 +161,7 @@
 
     def _get_head_bytes(self) -> bytes:
         response = self._response
-        # The library's own preparation would add a length of 0 to a chunked answer.
+        # The library's own code would add a Content-Length of 0 to a chunked answer.
         return bytes(response) + bytes(response.headers)
 
     def _finish(self) -> None:
@@ -168,10 +171,18 @@
 
 
 class _Connection:
-    """One caller's connection.
-
-    :ivar deadline_s: monotonic time by which the awaited bytes must have come; None while a
-        request is being served.
+    """A connection from a caller.
+
+    :ivar waiting: complete requests that are not being served yet.
+    :ivar waiting_bytes: size of their bodies.
+    :ivar current: request that is being served.
+    :ivar phase: part of a request that the deadline is for.
+    :ivar deadline_s: monotonic time by which the awaited bytes must arrive; None while a request
+        is being served.
+    :ivar is_closing: no further requests are served.
+    :ivar must_linger: the last request was refused, so incoming bytes are read and discarded
+        before the socket is closed.
+    :ivar lingered_bytes: bytes that were read and discarded.
     """
 
     __slots__ = (
@@ -206,12 +217,12 @@
 
 
 class CallerFront(circuits.BaseComponent):
-    """Listens for callers and hands their requests to the entry.
+    """Listens for callers and passes their requests to the entry.
 
-    :param loop: root of the program.
-    :param config: the entry's settings.
-    :param on_request: called with each request's caller side.
-    :param on_bad_request: called with the caller side of a request that cannot be served and why.
+    :param loop: event loop of the program.
+    :param config: settings of the entry.
+    :param on_request: called with each request.
+    :param on_bad_request: called with a request that cannot be served and the reason.
     """
 
     channel = "web"
@@ -242,7 +253,7 @@
 
     @property
     def host(self) -> str:
-        """IP number that it listens on."""
+        """IP address that it listens on."""
         return self._server.host
 
     @property
@@ -257,18 +268,18 @@
 
     @property
     def is_closing_after_answers(self) -> bool:
-        """Whether each connection ends after its next answer."""
+        """Whether each connection is closed after its next answer."""
         return self._is_closing_after_answers
 
     @property
     def connection_count(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._connections)
 
     def set_bounds(self, bounds: route_table.CallerBounds) -> None:
-        """Take over what the route table says of new connections.
+        """Apply the limits of the route table to new connections.
 
-        :param bounds: a bound of 0 leaves the one in the settings.
+        :param bounds: a bound of 0 stands for the one in the settings.
         """
         limits = self._configured_limits
         self._limits = dataclasses.replace(
@@ -280,14 +291,14 @@
         )
 
     def close_after_answers(self, enabled: bool = True) -> None:
-        """End each connection after its next answer; new ones are still taken.
+        """Close each connection after its next answer; new connections are still accepted.
 
         :param enabled: False to keep connections open again.
         """
         self._is_closing_after_answers = enabled
 
     def close_when_idle(self) -> None:
-        """Take no further connections, and end each open one after its present request."""
+        """Stop listening, and close each open connection after its current requests."""
         self._server.stop_listening()
         for connection in list(self._connections.values()):
             connection.is_closing = True
@@ -297,7 +308,7 @@
     def send(self, connection: _Connection, data: bytes) -> int:
         """Send bytes to a caller.
 
-        :returns: bytes that wait for the caller to read; -1 if it is gone.
+        :returns: unsent bytes in this process's buffer; -1 if the caller is gone.
         """
         return self._server.send_now(connection.sock, data)
 
@@ -306,7 +317,10 @@
         self._server.close_now(connection.sock)
 
     def finish(self, connection: _Connection, *, close: bool) -> None:
-        """End the present request of a connection and begin the next."""
+        """Finish the current request of a connection and begin the next one.
+
+        :param close: close the connection instead.
+        """
         connection.current = None
         self._library._clients.pop(connection.sock, None)
         if close or connection.is_closing and not connection.waiting:
@@ -317,8 +331,8 @@
         self._begin_next(connection)
 
     def _end(self, connection: _Connection) -> None:
-        # Closing a socket that holds unread bytes resets the connection, and the caller may
-        # lose the refusal that was just sent. So a refused caller's bytes are read for a while.
+        # Closing a socket with unread bytes resets the connection, and the caller may lose the
+        # refusal that was just sent. So the bytes of a refused caller are read for a while.
         if not connection.must_linger or self._server.get_unsent_bytes(connection.sock):
             self._server.close_after_send(connection.sock)
             return
@@ -329,7 +343,7 @@
     @circuits.handler("connect", channel="callers")
     def _on_connect(self, sock: socket.socket, remote: str, _port: int) -> None:
         if len(self._connections) >= self._limits.connections:
-            logger.warning("connection of %s closed: too many are open", remote)
+            logger.warning("connection from %s closed: too many connections", remote)
             self._server.close_now(sock)
             return
         connection = _Connection(sock, remote, self._limits)
@@ -378,8 +392,8 @@
 
     @circuits.handler("read", priority=1.0)
     def _on_library_read(self, event: circuits.Event, sock: socket.socket, _data: bytes) -> None:
-        # The caller may have left since the event was fired; the library asks the socket for
-        # its peer and would raise. The end of the connection is taken note of elsewhere.
+        # The caller may have disconnected since the event was fired. The library would then raise
+        # when it asks the socket for its peer. The disconnect event handles the disconnection.
         try:
             sock.getpeername()
         except OSError:
@@ -422,11 +436,11 @@
         return caller
 
     def _refuse_bytes(self, connection: _Connection, item: fault.Fault) -> None:
-        # A request before the bad bytes may still be running. Its answer is worth more than a
-        # refusal of what follows it, so the connection ends after that answer instead.
+        # An earlier request may still be running. Its answer is more important than the refusal
+        # of the bytes after it, so the connection is closed after that answer instead.
         connection.is_closing = True
         connection.waiting.clear()
-        logger.info("bytes of %s refused: %s", connection.remote, item)
+        logger.info("request from %s refused: %s", connection.remote, item)
         if connection.current is not None:
             return
         wire = request_reader.WireRequest()
@@ -449,7 +463,7 @@
         if phase is connection.phase and connection.deadline_s is not None and not restart:
             return
         connection.phase = phase
-        connection.deadline_s = clocks.get_s() + _get_wait_ms(self._limits, phase) / 1000
+        connection.deadline_s = clocks.get_s() + _get_timeout_ms(self._limits, phase) / 1000
 
     def _sweep(self) -> None:
         now_s = clocks.get_s()
@@ -464,7 +478,7 @@
             self._refuse_bytes(connection, fault.Fault(codes.ResultCode.REQUEST_TOO_SLOW, text))
 
 
-def _get_wait_ms(limits: settings.CallerLimits, phase: request_reader.Phase) -> int:
+def _get_timeout_ms(limits: settings.CallerLimits, phase: request_reader.Phase) -> int:
     match phase:
         case request_reader.Phase.IDLE:
             return limits.idle_ms
--- a/src/spoolhead/_internal/network/direct_poller.py
+++ b/src/spoolhead/_internal/network/direct_poller.py
@@ -1,8 +1,7 @@
-"""Poller that can call a function for a readable socket instead of firing an event.
+"""Poller that calls a function for a readable socket instead of firing an event.
 
-Firing and handling one event costs about as much as the whole relay of a token. Reads from
-upstreams are the one place with so many of them that it counts; everything else goes the event
-library's way.
+Firing and handling an event costs about as much as relaying a token. Only reads from upstreams are
+frequent enough for this to matter; all other sockets use the event library's events.
 """
 
 import select
@@ -15,9 +14,9 @@
 
 
 class DirectPoller(pollers.EPoll):
-    """EPoll with direct readers.
+    """EPoll that supports direct readers.
 
-    :param before_dispatch: called before anything that has arrived is handled.
+    :param before_dispatch: called before each event of a socket is handled.
     """
 
     def __init__(self, before_dispatch: Callable[[], None] = lambda: None) -> None:
@@ -26,16 +25,16 @@
         self._direct: dict[socket.socket, Reader] = {}
 
     def add_direct_reader(self, source: object, sock: socket.socket, reader: Reader) -> None:
-        """Call a function whenever a socket can be read.
+        """Call a function whenever a socket is readable.
 
-        :param source: component whose channel gets the socket's other events.
+        :param source: component whose channel receives the socket's other events.
         :param reader: called with the socket.
         """
         self._direct[sock] = reader
         self.addReader(source, sock)
 
     def discard(self, fd: socket.socket) -> None:
-        """Forget a socket."""
+        """Stop polling a socket."""
         self._direct.pop(fd, None)
         super().discard(fd)
 
--- a/src/spoolhead/_internal/network/direct_server.py
+++ b/src/spoolhead/_internal/network/direct_server.py
@@ -1,9 +1,8 @@
-"""TCP server that hands bytes to the kernel at once.
+"""TCP server that writes to sockets immediately.
 
-The event library writes through one event a chunk, which costs several times the rest of a
-relayed token. :meth:`DirectServer.send_now` tries the kernel first and leaves to the library's
-write handler only what the kernel did not take. Both use the library's buffer of the socket,
-so bytes keep their order.
+The event library fires an event for each written chunk, which costs several times the rest of
+relaying a token. :meth:`DirectServer.send_now` writes to the socket first and leaves only the rest
+to the library's write handler. Both use the library's buffer of the socket, so bytes stay in order.
 """
 
 import errno
@@ -18,12 +17,12 @@
 
 
 class DirectServer(sockets.TCPServer):
-    """Listening socket and its accepted connections.
+    """A listening socket and its accepted connections.
 
-    :param bind: IP number and port to listen on.
+    :param bind: IP address and port to listen on.
     :param channel: channel of its ``connect``, ``read`` and ``disconnect`` events.
-    :param send_buffer_bytes: bytes that the kernel may keep for one connection that does not read;
-        None leaves it to the kernel, which may keep several megabytes.
+    :param send_buffer_bytes: size of the kernel's send buffer of a connection; None for the
+        kernel's default, which may buffer several megabytes for a peer that does not read.
     """
 
     socket_options = [
@@ -43,9 +42,9 @@
     def send_now(self, sock: socket.socket, data: bytes) -> int:
         """Send bytes on an accepted connection.
 
-        :param sock: the connection.
+        :param sock: socket of the connection.
         :param data: the bytes, at least one.
-        :returns: bytes now waiting for the kernel; -1 if the connection is gone.
+        :returns: unsent bytes in this process's buffer; -1 if the connection is closed.
         """
         if sock not in self._buffers and sock.fileno() < 0:
             return -1
@@ -67,41 +66,41 @@
         return self._unsent_bytes[sock]
 
     def get_unsent_bytes(self, sock: socket.socket) -> int:
-        """Return how many bytes wait for the kernel on a connection."""
+        """Return the number of unsent bytes in the buffer of a connection."""
         return self._unsent_bytes.get(sock, 0)
 
     def close_after_send(self, sock: socket.socket) -> None:
-        """Close a connection once what waits for the kernel is sent."""
+        """Close a connection after its buffer has been sent."""
         if sock.fileno() >= 0:
             self.close(sock)
 
     def close_now(self, sock: socket.socket) -> None:
-        """Close a connection and drop what was not sent."""
+        """Close a connection and discard its buffer."""
         self._close(sock)
 
     def stop_listening(self) -> None:
-        """Take no further connections; those that are open stay."""
+        """Close the listening socket; open connections stay."""
         if self._sock is not None:
             self._close(self._sock)
 
     def _accept(self) -> Iterator[object]:
-        # The library accepts in a task that runs after the event, when a planned stop may have
-        # closed the listener.
+        # The library accepts in a task that runs after the event. By then, a planned stop may have
+        # closed the listening socket.
         if self._sock is not None:
             yield from super()._accept()
 
     @circuits.handler("_write", priority=1)
     def _on_write(self, sock: socket.socket) -> None:
-        # An event queued before the connection was closed would make the library keep a buffer
-        # for the dead socket for ever.
+        # For an event that was queued before the connection was closed, the library would create
+        # a buffer that is never removed.
         if sock.fileno() >= 0:
             super()._on_write(sock)
 
     def _write(self, sock: socket.socket, data: bytes) -> None:
         super()._write(sock, data)
         if sock in self._buffers:
-            left = sum(len(chunk) for chunk in self._buffers[sock])
-            self._unsent_bytes[sock] = left
+            unsent_bytes = sum(len(chunk) for chunk in self._buffers[sock])
+            self._unsent_bytes[sock] = unsent_bytes
 
     def _close(self, sock: socket.socket) -> None:
         self._unsent_bytes.pop(sock, None)
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -1,9 +1,9 @@
-"""Outgoing TCP connections, many in one component.
+"""Outgoing TCP connections that share one component.
 
-The event library's client is one component for each connection and polls while it connects.
-Registering a component makes the library look up all handlers again, which grows with the
-number of connections. Here all of them share one component and one channel, and connecting
-waits in the poller.
+The event library's client needs a component for each connection and polls while connecting. Each
+registration of a component makes the library look up all handlers again, at a cost that grows with
+the number of connections. Here all connections share one component and one channel, and the poller
+reports when a connection is established.
 """
 
 import collections
@@ -23,34 +23,37 @@
 
 READ_BYTES = 65_536
 CLOSED_CLEANLY = "closed by the other side"
-"""Reason of a loss that is an orderly end and not a reset."""
+"""Reason passed to :meth:`LinkUser.on_lost` after an orderly close, as opposed to a reset."""
 CONNECT_TIMEOUT = "connecting took too long"
 REFUSED = os.strerror(errno.ECONNREFUSED)
-"""Reason of a loss where a machine answers and no process listens at the port."""
+"""Reason passed to :meth:`LinkUser.on_lost` if the machine is up and no process listens at the
+port."""
 _RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
 class LinkUser(Protocol):
-    """What the owner of a link is told."""
+    """Callbacks of the component that uses a link."""
 
     def on_connected(self) -> None:
-        """The connection is made."""
+        """Called when the connection is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes arrived."""
+        """Called with received bytes."""
 
     def on_lost(self, reason: str) -> None:
-        """The connection is over, or was never made; nothing follows."""
+        """Called when the connection has ended or could not be made; the last call."""
 
 
 class Link:
-    """One outgoing connection.
+    """An outgoing connection.
 
     :ivar address: ``IP:PORT`` of the other side.
-    :ivar is_connected: the connection was made.
-    :ivar is_closed: the connection is over.
-    :ivar sent_bytes: bytes that the kernel has taken.
-    :ivar user: who is told of it; may be exchanged on an idle link.
+    :ivar connect_timer: ends the attempt to connect after its timeout.
+    :ivar is_connected: the connection was established.
+    :ivar is_closed: the connection has ended.
+    :ivar sent_bytes: bytes that were written to the socket.
+    :ivar sock: its socket.
+    :ivar user: receives the callbacks; may be replaced on an idle link.
     """
 
     __slots__ = (
@@ -77,7 +80,7 @@
         self.sent_bytes = 0
 
     def send(self, data: bytes) -> None:
-        """Send bytes, at once as far as the kernel takes them.
+        """Send bytes; those that cannot be written immediately are buffered.
 
         :param data: the bytes; ignored on a closed link.
         """
@@ -88,13 +91,13 @@
             self.flush()
 
     def close(self) -> None:
-        """Close the connection; the user is not told."""
+        """Close the connection without calling the user."""
         self._owner.drop(self)
 
     def flush(self) -> bool:
-        """Give the kernel what waits.
+        """Write buffered bytes to the socket.
 
-        :returns: whether nothing waits any more.
+        :returns: whether the buffer is empty.
         """
         while self._unsent:
             data = self._unsent[0]
@@ -117,8 +120,8 @@
 class Links(circuits.BaseComponent):
     """All outgoing connections of a program.
 
-    :param loop: root of the program.
-    :param channel: channel that the poller's events for them use.
+    :param loop: event loop of the program.
+    :param channel: channel of the poller's events for the connections.
     """
 
     def __init__(self, loop: loops.Loop, *, channel: str) -> None:
@@ -129,11 +132,11 @@
         self._writing: set[socket.socket] = set()
 
     def open(self, address: str, user: LinkUser, *, connect_ms: int) -> Link:
-        """Begin a connection.
+        """Start connecting.
 
         :param address: ``IP:PORT`` to connect to.
-        :param user: who is told; never from within this call.
-        :param connect_ms: time for the connection to be made.
+        :param user: receives the callbacks; never called before this method returns.
+        :param connect_ms: timeout for connecting.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -151,18 +154,18 @@
         return link
 
     def abort(self, link: Link, reason: str) -> None:
-        """Close a link and tell its user why."""
+        """Close a link and call its user's ``on_lost`` with the reason."""
         if link.is_closed:
             return
         self.drop(link)
         link.user.on_lost(reason)
 
     def abort_later(self, link: Link, reason: str) -> None:
-        """Close a link in the next turn, so that a user is not told while it sends."""
+        """Abort a link in the next turn of the loop, so that no callback runs while a user sends."""
         self._scheduler.call_later(0, lambda: self.abort(link, reason))
 
     def drop(self, link: Link) -> None:
-        """Close a link without telling its user."""
+        """Close a link without calling its user."""
         if link.is_closed:
             return
         link.is_closed = True
@@ -174,7 +177,7 @@
         link.sock.close()
 
     def set_write_interest(self, link: Link, wanted: bool) -> None:
-        """Say whether the poller should tell when the kernel takes more bytes."""
+        """Set whether the poller reports when the socket of a link is writable."""
         if wanted and link.sock not in self._writing:
             self._writing.add(link.sock)
             self._poller.addWriter(self, link.sock)
--- a/src/spoolhead/_internal/network/loop.py
+++ b/src/spoolhead/_internal/network/loop.py
@@ -1,4 +1,4 @@
-"""The root of a program: event loop, poller, timers, signals and stray exceptions."""
+"""The event loop of a program, with its poller, timers, signal and exception handlers."""
 
 import logging
 import signal
@@ -12,34 +12,34 @@
 
 
 class Loop(circuits.BaseComponent):
-    """Root component of each program.
+    """Root component of a program.
 
-    The default poller stops at 1,024 descriptors, so EPoll is registered before any socket.
+    The default poller is limited to 1,024 descriptors, so EPoll is registered before any socket.
 
-    :param on_stop: called once on SIGTERM or SIGINT; the program ends when it calls
-        :meth:`finish`.
-    :ivar poller: the poller that sockets register with.
-    :ivar scheduler: monotonic timers.
-    :ivar on_reload: called on SIGHUP; None to take no notice of it.
-    :ivar exceptions: exceptions that reached the loop since the start.
+    :param on_stop: called once on SIGTERM or SIGINT; the program ends when :meth:`finish` is
+        called.
+    :ivar poller: poller that sockets are registered with.
+    :ivar scheduler: timers.
+    :ivar on_reload: called on SIGHUP; None to ignore the signal.
+    :ivar exceptions: number of exceptions that reached the loop since the start.
     """
 
     channel = "loop"
 
     def __init__(self, on_stop: Callable[[], None]) -> None:
         super().__init__()
-        made = scheduler.Scheduler()
-        self.poller = direct_poller.DirectPoller(made.run_overdue).register(self)
-        self.scheduler = made.register(self)
+        timers = scheduler.Scheduler()
+        self.poller = direct_poller.DirectPoller(timers.run_overdue).register(self)
+        self.scheduler = timers.register(self)
         self.exceptions = 0
         self.on_reload: Callable[[], None] | None = None
         self._on_stop = on_stop
         self._stopping = False
-        # Without a handler the signal would end the program.
+        # Without a handler, SIGHUP would terminate the program.
         signal.signal(signal.SIGHUP, self._signal_handler)
 
     def finish(self) -> None:
-        """End the program after the present turn, with exit code 0."""
+        """End the program after the current turn of the loop, with exit code 0."""
         self.stop()
 
     @circuits.handler("signal", channel="*", priority=10)
--- a/src/spoolhead/_internal/network/messages.py
+++ b/src/spoolhead/_internal/network/messages.py
@@ -1,7 +1,8 @@
-"""Messages between spoolhead's own processes, and their form on the wire.
+"""Messages between spoolhead's processes, and their encoding.
 
-A message is a msgpack array: its tag, then its fields in order. Each class lists its fields
-with their types; what does not fit them is refused. Values of rows travel as plain maps.
+A message is encoded as a msgpack array: its tag, then its fields in order. Each class lists its
+fields with their types; messages with other types are refused. Values of rows are sent as plain
+maps.
 """
 
 import dataclasses
@@ -18,7 +19,7 @@
 
 
 class MessageError(Exception):
-    """Raised when bytes of another process are not a message of this protocol."""
+    """Raised when bytes from another process are not a message of this protocol."""
 
 
 def _message(cls: type) -> type:
@@ -27,10 +28,10 @@
 
 @_message
 class Challenge:
-    """First message of the accepting side: what the other side must sign.
+    """First message of the accepting side.
 
     :ivar protocol: version of this protocol.
-    :ivar nonce: random bytes.
+    :ivar nonce: random bytes for the connecting side to sign.
     """
 
     protocol: int
@@ -42,9 +43,9 @@
     """First message of the connecting side.
 
     :ivar role: ``entry`` or ``operator``.
-    :ivar name: its name.
+    :ivar name: name of the connecting process.
     :ivar nonce: random bytes for the accepting side to sign.
-    :ivar proof: keyed digest of the challenge's nonce, the role and the name.
+    :ivar proof: HMAC of the challenge's nonce, this nonce, the role and the name.
     """
 
     role: str
@@ -55,10 +56,10 @@
 
 @_message
 class Welcome:
-    """The accepting side knows the shared key too.
+    """Answer to a valid hello; proves that the accepting side knows the shared key too.
 
-    :ivar name: its name.
-    :ivar proof: keyed digest of the hello's nonce and the name.
+    :ivar name: name of the accepting process.
+    :ivar proof: HMAC of the hello's nonce and the name.
     """
 
     name: str
@@ -67,14 +68,14 @@
 
 @_message
 class Heartbeat:
-    """Sent when there was nothing else to send for a while."""
+    """Sent at intervals, so that the other side notices a broken connection."""
 
 
 @_message
 class Follow:
-    """An entry asks for the table and every change to come.
+    """An entry subscribes to the table and its changes.
 
-    :ivar log_id: log of the copy that it has; empty for none.
+    :ivar log_id: id of the log that its copy of the table comes from; empty for none.
     :ivar version: version of that copy.
     """
 
@@ -84,7 +85,7 @@
 
 @_message
 class Snapshot:
-    """The whole table.
+    """The complete table.
 
     :ivar log_id: id of the keeper's log.
     :ivar version: version of the table.
@@ -98,7 +99,7 @@
 
 @_message
 class ChangeMade:
-    """One accepted change.
+    """A committed change of the table.
 
     :ivar log_id: id of the keeper's log.
     :ivar change: the packed change.
@@ -110,9 +111,9 @@
 
 @_message
 class InForce:
-    """An entry has a version in force.
+    """An entry reports the version of the table that it has in force.
 
-    :ivar version: that version.
+    :ivar version: the version.
     """
 
     version: int
@@ -120,9 +121,9 @@
 
 @_message
 class Current:
-    """The follower has the newest version.
+    """Tells a follower that it has received the newest version.
 
-    :ivar version: that version.
+    :ivar version: the version.
     """
 
     version: int
@@ -130,10 +131,10 @@
 
 @_message
 class Introduce:
-    """An entry tells its keeper where it stands.
+    """An entry sends its location to its keeper.
 
-    :ivar hall: its hall.
-    :ivar address: ``IP:PORT`` at which its neighbours reach it.
+    :ivar hall: hall of the entry.
+    :ivar address: ``IP:PORT`` where the other entries of the hall can reach it.
     """
 
     hall: str
@@ -144,7 +145,7 @@
 class Members:
     """The entries that follow the table.
 
-    :ivar entries: for each its name, hall and address.
+    :ivar entries: for each entry its name, hall and address.
     """
 
     entries: list
@@ -152,10 +153,10 @@
 
 @_message
 class Reports:
-    """Load reports that an entry has fetched, for its neighbours in the hall.
+    """Load reports that an entry has fetched, sent to the other entries of its hall.
 
-    :ivar items: for each upstream its name, running, waiting, tokens used, tokens in all,
-        preemptions, and the report's age in milliseconds.
+    :ivar items: for each upstream its name, running and waiting requests, used and total tokens,
+        preemptions, and the age of the report in milliseconds.
     """
 
     items: list
@@ -163,7 +164,7 @@
 
 @_message
 class Contents:
-    """Records of contents that may end upstreams; between an entry and a keeper, either way.
+    """Records of contents that may crash upstreams; sent by entries and by keepers.
 
     :ivar items: the records, packed by :mod:`spoolhead._internal.models.content_record`.
     """
@@ -173,11 +174,11 @@
 
 @_message
 class HoldContent:
-    """An operator has a content held, or lets it go.
+    """An operator's order to hold a content or to release it.
 
     :ivar request: number that the answer repeats.
-    :ivar content_id: name of the content.
-    :ivar is_held: it is to be held.
+    :ivar content_id: id of the content.
+    :ivar is_held: True to hold the content, False to release it.
     """
 
     request: int
@@ -187,7 +188,7 @@
 
 @_message
 class GetContents:
-    """An operator asks for the records of contents that may end upstreams.
+    """An operator's request for the records of contents that may crash upstreams.
 
     :ivar request: number that the answer repeats.
     """
@@ -197,10 +198,10 @@
 
 @_message
 class ContentsAnswer:
-    """The records that a keeper knows.
+    """Answer to :class:`GetContents`.
 
     :ivar request: number of the question.
-    :ivar items: the records, as in :class:`Contents`.
+    :ivar items: the records that the keeper has, as in :class:`Contents`.
     """
 
     request: int
@@ -212,9 +213,9 @@
     """An operator's edit.
 
     :ivar request: number that the answer repeats.
-    :ivar edit_id: the same in every resend.
-    :ivar author: who makes the edit.
-    :ivar time_ms: when, in milliseconds since 1970.
+    :ivar edit_id: id of the edit; the same in each retry.
+    :ivar author: author of the edit.
+    :ivar time_ms: Unix time of the edit, in milliseconds since 1970.
     :ivar edits: packed row edits.
     """
 
@@ -227,11 +228,11 @@
 
 @_message
 class ProposeAnswer:
-    """What became of an edit.
+    """Answer to :class:`Propose`.
 
     :ivar request: number of the question.
     :ivar code: result code.
-    :ivar version: version of the change where it was accepted, else of the table.
+    :ivar version: version of the change if it was accepted, else of the table.
     :ivar faults: for each fault its path and text.
     :ivar conflicts: for each changed row its sheet, name, version and value.
     """
@@ -245,7 +246,7 @@
 
 @_message
 class GetTable:
-    """An operator asks for the rows.
+    """An operator's request for the table.
 
     :ivar request: number that the answer repeats.
     """
@@ -255,7 +256,7 @@
 
 @_message
 class TableAnswer:
-    """The rows, as in :class:`Snapshot`.
+    """Answer to :class:`GetTable`: the complete table, as in :class:`Snapshot`.
 
     :ivar request: number of the question.
     :ivar log_id: id of the keeper's log.
@@ -271,10 +272,10 @@
 
 @_message
 class GetHistory:
-    """An operator asks for the last changes.
+    """An operator's request for the latest changes.
 
     :ivar request: number that the answer repeats.
-    :ivar limit: how many at most.
+    :ivar limit: maximum number of changes.
     """
 
     request: int
@@ -283,10 +284,10 @@
 
 @_message
 class HistoryAnswer:
-    """Changes, newest first.
+    """Answer to :class:`GetHistory`.
 
     :ivar request: number of the question.
-    :ivar changes: packed changes.
+    :ivar changes: packed changes, newest first.
     """
 
     request: int
@@ -295,7 +296,7 @@
 
 @_message
 class GetStatus:
-    """An operator asks a process how it is.
+    """An operator's request for the status of a process.
 
     :ivar request: number that the answer repeats.
     """
@@ -305,10 +306,10 @@
 
 @_message
 class StatusAnswer:
-    """How a process is.
+    """Answer to :class:`GetStatus`.
 
     :ivar request: number of the question.
-    :ivar status: fields by name, for people and scripts.
+    :ivar status: status fields by name, for people and scripts.
     """
 
     request: int
@@ -317,7 +318,7 @@
 
 @_message
 class GetDecision:
-    """An operator asks an entry why it decided as it did.
+    """An operator's request for an entry's decisions on a caller's request.
 
     :ivar request: number that the answer repeats.
     :ivar request_id: id of the caller's request.
@@ -329,10 +330,11 @@
 
 @_message
 class DecisionAnswer:
-    """The decisions on one request; none if the entry remembers none.
+    """Answer to :class:`GetDecision`.
 
     :ivar request: number of the question.
-    :ivar decisions: fields of each decision by name, oldest first.
+    :ivar decisions: fields of each decision by name, oldest first; empty if the entry has none on
+        record.
     """
 
     request: int
@@ -341,10 +343,10 @@
 
 @_message
 class ClaimOnce:
-    """An entry asks to run a request that may run only once.
+    """An entry claims a request that may run only once, before it runs it.
 
     :ivar request: number that the answer repeats.
-    :ivar key: the sender's key, unique to its workspace and service.
+    :ivar key: the caller's idempotency key, made unique to its workspace and service.
     :ivar fingerprint: digest of the request.
     """
 
@@ -355,13 +357,13 @@
 
 @_message
 class ClaimAnswer:
-    """What became of a claim.
+    """Answer to :class:`ClaimOnce`.
 
     :ivar request: number of the question.
     :ivar state: value of :class:`spoolhead.coordination.once_journal.ClaimState`, or ``failed``.
-    :ivar status: HTTP status of the kept answer; 0 for none.
-    :ivar content_type: its Content-Type.
-    :ivar body: its body.
+    :ivar status: HTTP status of the stored answer; 0 for none.
+    :ivar content_type: Content-Type of the stored answer.
+    :ivar body: body of the stored answer.
     """
 
     request: int
@@ -375,11 +377,11 @@
 class FinishOnce:
     """An entry reports the end of a claimed request.
 
-    :ivar key: the key.
-    :ivar ran: ``yes``, ``no`` or ``unknown``; ``no`` gives the key back.
-    :ivar status: HTTP status of the answer; 0 where it is not kept.
-    :ivar content_type: its Content-Type.
-    :ivar body: its body.
+    :ivar key: key of the claim.
+    :ivar ran: whether the request ran: ``yes``, ``no`` or ``unknown``; ``no`` releases the key.
+    :ivar status: HTTP status of the answer; 0 if it is not to be stored.
+    :ivar content_type: Content-Type of the answer.
+    :ivar body: body of the answer.
     """
 
     key: str
@@ -391,9 +393,9 @@
 
 @_message
 class FinishNoted:
-    """The end of a claimed request is durable, so the entry need not report it again.
+    """Acknowledges a :class:`FinishOnce` that is durable, so the entry need not send it again.
 
-    :ivar key: the key.
+    :ivar key: key of the claim.
     """
 
     key: str
@@ -401,7 +403,7 @@
 
 Message = object
 
-# Fields are checked with isinstance, so their types must be plain classes.
+# Types of fields must be plain classes, since values are checked with isinstance.
 CLASSES: dict[int, type] = {
     1: Challenge,
     2: Hello,
@@ -441,16 +443,16 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message's bytes."""
+    """Return the encoded form of a message."""
     cls = type(message)
     fields = [getattr(message, name) for name in _FIELDS[cls]]
     return msgpack.packb([_TAGS[cls], *fields])
 
 
 def decode(value: object) -> Message:
-    """Make a message from an unpacked array.
+    """Return the message that an unpacked array stands for.
 
-    :raises MessageError: if it is none of this protocol.
+    :raises MessageError: if it is not a message of this protocol.
     """
     if not isinstance(value, list) or not value or not isinstance(value[0], int):
         raise MessageError("not a message")
@@ -467,15 +469,16 @@
 
 
 class MessageReader:
-    """Cuts a stream of bytes into messages."""
+    """Incremental decoder for a stream of messages."""
 
     def __init__(self) -> None:
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES, strict_map_key=True)
 
     def feed(self, data: bytes) -> list[Message]:
-        """Take bytes and return the messages they complete.
+        """Add bytes and return the messages that they complete.
 
-        :raises MessageError: if they are not of this protocol; the stream is then useless.
+        :raises MessageError: if the bytes are not of this protocol; the stream must then be
+            closed.
         """
         try:
             self._unpacker.feed(data)
@@ -485,7 +488,7 @@
 
 
 def get_code(value: int) -> codes.ResultCode:
-    """Return the result code with a number; ``PEER_PROTOCOL`` for a number without one."""
+    """Return the result code for a number; ``PEER_PROTOCOL`` if there is none."""
     try:
         return codes.ResultCode(value)
     except ValueError:
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -1,4 +1,4 @@
-"""Questions of the command line to other spoolhead processes, one after another."""
+"""Blocking client by which the command line sends requests to other spoolhead processes."""
 
 import secrets
 import socket
@@ -17,11 +17,11 @@
 
 
 class PeerCall:
-    """A connection to one process for questions and answers.
+    """A connection to a process, for one request at a time.
 
     :param address: ``IP:PORT`` of the process.
-    :param config: shared key and time-out.
-    :raises exceptions.PeerError: if it cannot be reached or does not know the shared key.
+    :param config: settings with the shared key and the timeout.
+    :raises exceptions.PeerError: if the process cannot be reached or does not know the shared key.
     """
 
     def __init__(self, address: str, config: settings.OperatorSettings) -> None:
@@ -45,7 +45,7 @@
         """Send a question and return its answer.
 
         :param kind: class of the answer.
-        :raises exceptions.PeerError: if no such answer comes in time.
+        :raises exceptions.PeerError: if no answer of this class arrives within the timeout.
         """
         self._send(question)
         return self._receive(kind)
@@ -102,9 +102,9 @@
 
 
 def open_to_any(addresses: Sequence[str], config: settings.OperatorSettings) -> PeerCall:
-    """Open a connection to the first of several equal processes that answers.
+    """Connect to the first of several equivalent processes that answers.
 
-    :raises exceptions.PeerError: of the last one, if none answers.
+    :raises exceptions.PeerError: if none answers; the error is that of the last one.
     """
     for address in addresses[:-1]:
         try:
--- a/src/spoolhead/_internal/network/peer_client.py
+++ b/src/spoolhead/_internal/network/peer_client.py
@@ -1,4 +1,4 @@
-"""Connecting side of a stream to another spoolhead process: connects again by itself."""
+"""Client side of a stream to another spoolhead process; reconnects automatically."""
 
 import logging
 import random
@@ -14,13 +14,14 @@
 
 
 class PeerTiming:
-    """Times of a stream.
-
-    :ivar connect_ms: time for a connection to be made.
-    :ivar first_retry_ms: pause before the first new try; it doubles with each.
-    :ivar longest_retry_ms: longest such pause.
-    :ivar heartbeat_ms: time between two heartbeats.
-    :ivar silence_ms: silence after which a stream counts as dead; a few heartbeats.
+    """Timeouts and intervals of a stream.
+
+    :ivar connect_ms: timeout for connecting.
+    :ivar first_retry_ms: delay before the first reconnection attempt; it doubles with each.
+    :ivar longest_retry_ms: maximum delay between reconnection attempts.
+    :ivar heartbeat_ms: interval between heartbeats.
+    :ivar silence_ms: time without received bytes after which the stream is closed; a few
+        heartbeats.
     """
 
     __slots__ = (
@@ -51,32 +52,32 @@
 
 
 class PeerClientUser(Protocol):
-    """What the owner of a client is told."""
+    """Callbacks of the component that uses a client."""
 
     def on_peer_ready(self) -> None:
-        """Both sides have proved the shared key."""
+        """Called when the handshake is complete."""
 
     def on_peer_message(self, message: messages.Message) -> None:
-        """A message arrived."""
+        """Called with each received message."""
 
     def on_peer_lost(self) -> None:
-        """The stream is over; the client connects again, maybe to another address."""
+        """Called when the stream has ended; the client reconnects, maybe to another address."""
 
 
 class PeerClient:
-    """A stream to one of several equal processes.
+    """A stream to one of several equivalent processes.
 
-    The addresses are tried in turn, from a random one on, so that the clients of a fleet
-    spread.
+    The addresses are tried in turn, starting with a random one, so that the clients of a fleet
+    are spread over the processes.
 
-    :param loop: root of the program.
-    :param outgoing: the program's outgoing connections.
-    :param addresses: ``IP:PORT`` of each process that will do.
-    :param role: this process's role.
-    :param name: this process's name.
+    :param loop: event loop of the program.
+    :param outgoing: outgoing connections of the program.
+    :param addresses: ``IP:PORT`` of each process.
+    :param role: role of this process.
+    :param name: name of this process.
     :param shared_key: secret that the fleet's processes share.
-    :param user: is told what happens.
-    :param timing: times of the stream.
+    :param user: receives the callbacks.
+    :param timing: timeouts and intervals of the stream.
     """
 
     def __init__(
@@ -115,16 +116,16 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` of the process it talks to, or last tried."""
+        """``IP:PORT`` of the process that it is connected or connecting to; empty for none."""
         return self._link.address if self._link is not None else ""
 
     @property
     def heard_s(self) -> float:
-        """Monotonic time of the last bytes of the other side, in seconds."""
+        """Monotonic time at which the last bytes were received, in seconds."""
         return self._heard_s
 
     def close(self) -> None:
-        """End the stream for good."""
+        """Close the stream without reconnecting."""
         self._is_closed = True
         self.is_ready = False
         self._heartbeat_timer.cancel()
@@ -135,7 +136,7 @@
     def send(self, message: messages.Message) -> bool:
         """Send a message.
 
-        :returns: False if there is no stream just now, so that nothing was sent.
+        :returns: False if there is no stream, so that nothing was sent.
         """
         if not self.is_ready or self._link is None:
             return False
@@ -143,16 +144,16 @@
         return True
 
     def reconnect(self, reason: str) -> None:
-        """Give up the present stream and try the next address."""
+        """Close the current stream and connect to the next address."""
         if self._link is not None:
             self._outgoing.abort(self._link, reason)
 
     def on_connected(self) -> None:
-        """Wait for the challenge."""
+        """Start the silence timeout; the other side sends the first message."""
         self._heard_s = clocks.get_s()
 
     def on_data(self, data: bytes) -> None:
-        """Take bytes of the other side."""
+        """Handle received bytes."""
         self._heard_s = clocks.get_s()
         try:
             for message in self._reader.feed(data):
@@ -161,14 +162,15 @@
         except messages.MessageError as error:
             self.reconnect(str(error))
         except Exception:
-            # What follows on this stream builds on the message; a new one begins with all that
-            # is known. The longest pause keeps one that always fails from being asked for often.
+            # Later messages of this stream depend on the failed one; a new stream begins with
+            # the complete state. The maximum delay avoids frequent reconnections if the message
+            # fails each time.
             self._retry_s = self._timing.longest_retry_ms / 1000
             self.reconnect("a message could not be handled")
             raise
 
     def on_lost(self, reason: str) -> None:
-        """Plan the next try, a little later each time."""
+        """Schedule a reconnection, with exponential backoff and jitter."""
         logger.info("stream to %s lost: %s", self.address, reason)
         was_ready, self.is_ready = self.is_ready, False
         self._link = None
@@ -196,11 +198,11 @@
         elif isinstance(message, messages.Welcome):
             self._handle_welcome(message)
         else:
-            raise messages.MessageError("neither challenge nor welcome")
+            raise messages.MessageError("message before the handshake is complete")
 
     def _answer_challenge(self, challenge: messages.Challenge) -> None:
         if challenge.protocol != messages.PROTOCOL_VERSION:
-            raise messages.MessageError(f"protocol version {challenge.protocol}")
+            raise messages.MessageError(f"unsupported protocol version {challenge.protocol}")
         self._nonce = secrets.token_bytes(handshake.NONCE_BYTES)
         hello = handshake.make_hello(
             self._shared_key, challenge, role=self._role, name=self._name, nonce=self._nonce
@@ -210,7 +212,7 @@
 
     def _handle_welcome(self, welcome: messages.Welcome) -> None:
         if not handshake.check_welcome(self._shared_key, self._nonce, welcome):
-            raise messages.MessageError("a welcome without the shared key")
+            raise messages.MessageError("welcome does not prove the shared key")
         self.is_ready = True
         self._retry_s = self._timing.first_retry_ms / 1000
         self._user.on_peer_ready()
--- a/src/spoolhead/_internal/network/peer_server.py
+++ b/src/spoolhead/_internal/network/peer_server.py
@@ -1,4 +1,4 @@
-"""Accepting side of the streams between spoolhead's own processes."""
+"""Server side of the streams between spoolhead's processes."""
 
 import logging
 import secrets
@@ -20,11 +20,11 @@
 
 
 class PeerSession:
-    """One accepted connection.
+    """An accepted connection.
 
-    :ivar role: what the other side said it is; empty until it has proved the shared key.
-    :ivar name: the other side's name.
-    :ivar heard_s: monotonic time of the last bytes, in seconds.
+    :ivar role: role of the peer, from its hello; empty until it has proved the shared key.
+    :ivar name: name of the peer.
+    :ivar heard_s: monotonic time at which the last bytes were received, in seconds.
     """
 
     __slots__ = ("_server", "heard_s", "name", "nonce", "reader", "role", "sock")
@@ -39,35 +39,35 @@
         self.heard_s = clocks.get_s()
 
     def send(self, message: messages.Message) -> None:
-        """Send a message; dropped if the connection is gone."""
+        """Send a message; dropped if the connection is closed."""
         self._server.send(self, messages.encode(message))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send the bytes of a message, made once for several sessions."""
+        """Send an encoded message; saves encoding it for each session."""
         self._server.send(self, data)
 
 
 class PeerService(Protocol):
-    """What a program does with the messages it gets."""
+    """Callbacks of the component that serves the peers."""
 
     def on_opened(self, session: PeerSession) -> None:
-        """A peer has proved the shared key."""
+        """Called when a peer has proved the shared key."""
 
     def on_message(self, session: PeerSession, message: messages.Message) -> None:
-        """A message arrived."""
+        """Called with each received message."""
 
     def on_closed(self, session: PeerSession) -> None:
-        """A session is over."""
+        """Called when a session has ended."""
 
 
 class PeerServer(circuits.BaseComponent):
     """Listens for other spoolhead processes.
 
-    :param loop: root of the program.
-    :param bind: IP number and port.
-    :param name: this process's name.
+    :param loop: event loop of the program.
+    :param bind: IP address and port to listen on.
+    :param name: name of this process.
     :param shared_key: secret that the fleet's processes share.
-    :param service: gets the messages.
+    :param service: receives the callbacks.
     """
 
     channel = "peers"
@@ -96,14 +96,15 @@
         return f"{self._server.host}:{self._server.port}"
 
     def send(self, session: PeerSession, data: bytes) -> None:
-        """Send bytes on a session; a peer that does not read is dropped."""
+        """Send bytes on a session; the connection of a peer that does not read is closed."""
         if session.sock not in self._sessions:
             return
         try:
             unsent_bytes = self._server.send_now(session.sock, data)
         except Exception:
-            # One peer must not keep those behind it from being told; it comes back and asks.
-            logger.exception("peer %s cannot be sent to; its connection is closed", session.name)
+            # A failure with one peer must not keep a broadcast from the other peers. This peer
+            # reconnects and requests the current state.
+            logger.exception("cannot send to peer %s; its connection is closed", session.name)
             self._server.close_now(session.sock)
             return
         if unsent_bytes > MAX_UNSENT_BYTES:
@@ -135,7 +136,8 @@
             logger.warning("peer %s: %s; its connection is closed", session.name or "?", error)
             self._server.close_now(sock)
         except Exception:
-            # A follower that could not be taken in would live on and be told nothing.
+            # Otherwise a follower whose registration failed would stay connected and receive
+            # nothing.
             self._server.close_now(sock)
             raise
 
@@ -145,9 +147,9 @@
                 self._service.on_message(session, message)
             return
         if not isinstance(message, messages.Hello):
-            raise messages.MessageError("no hello")
+            raise messages.MessageError("first message is not a hello")
         if not handshake.check_hello(self._shared_key, session.nonce, message):
-            raise messages.MessageError("a hello without the shared key")
+            raise messages.MessageError("hello does not prove the shared key")
         session.role = message.role
         session.name = message.name
         session.send(handshake.make_welcome(self._shared_key, message, self._name))
@@ -155,11 +157,11 @@
 
     def _keep_alive(self) -> None:
         now_s = clocks.get_s()
-        beat = messages.encode(messages.Heartbeat())
+        heartbeat = messages.encode(messages.Heartbeat())
         for session in list(self._sessions.values()):
-            limit_s = SILENCE_TIMEOUT_S if session.role else HELLO_TIMEOUT_S
-            if now_s - session.heard_s > limit_s and session.role != "operator":
+            timeout_s = SILENCE_TIMEOUT_S if session.role else HELLO_TIMEOUT_S
+            if now_s - session.heard_s > timeout_s and session.role != "operator":
                 logger.warning("peer %s is silent; its connection is closed", session.name or "?")
                 self._server.close_now(session.sock)
             elif session.role:
-                self.send(session, beat)
+                self.send(session, heartbeat)
--- a/src/spoolhead/_internal/network/request_reader.py
+++ b/src/spoolhead/_internal/network/request_reader.py
@@ -1,9 +1,8 @@
-"""Callers' bytes cut into whole requests, strictly and within bounds; no sockets, no clock.
+"""Strict HTTP request parser with bounds on the size of requests. Performs no I/O.
 
-The HTTP library's own parser lets through what must be refused: two ways of stating a length,
-heads of any size, a second request lost behind the first, and escapes in header values that it
-turns into line ends. So bytes pass through here first, and only a complete request that has
-been checked goes on.
+The HTTP library's own parser is too lenient: it accepts conflicting lengths and heads of any size,
+loses pipelined requests, and turns escapes in header values into line ends. So bytes from callers
+are parsed here first, and only complete requests that were checked are passed on.
 """
 
 import enum
@@ -17,14 +16,16 @@
 Headers = Sequence[tuple[str, str]]
 
 MAX_RAW_BODY_RATIO = 4
-"""Bytes that may be spent on sending one byte of a chunked body, on the whole."""
+"""Maximum ratio of the bytes received for a body, with chunk framing and trailers, to the maximum
+size of the body."""
 
 READ_SLACK_BYTES = 65_536
-"""Bytes of a request's head or of its successor that one read may bring with the body."""
+"""Allowance for bytes of the head or of the next request that one read may return together with
+the body."""
 
 
 class Phase(enum.Enum):
-    """What a connection is waiting for."""
+    """Part of a request that a connection is waiting for."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -32,14 +33,14 @@
 
 
 class WireRequest:
-    """One complete request.
+    """A complete request.
 
-    :ivar method: its method.
+    :ivar method: HTTP method.
     :ivar target: path and query as sent.
     :ivar http_version: ``1.0`` or ``1.1``.
-    :ivar headers: names in lower case, with their values, in order.
-    :ivar body: its body, decoded from chunks where it was chunked.
-    :ivar keep_alive: the connection may serve another request.
+    :ivar headers: names in lower case and values, in order.
+    :ivar body: the body, without chunk framing.
+    :ivar keep_alive: the connection may be used for another request.
     """
 
     __slots__ = ("body", "headers", "http_version", "keep_alive", "method", "target")
@@ -53,15 +54,15 @@
         self.keep_alive = True
 
     def get_header(self, name: str) -> str | None:
-        """Return a header's value, the first where there are several.
+        """Return the first value of a header; None if it is missing.
 
-        :param name: its name in lower case.
+        :param name: name of the header in lower case.
         """
         return next((value for key, value in self.headers if key == name), None)
 
 
 class _ReaderError(Exception):
-    """Raised inside a parser callback to stop the parser; carries the fault."""
+    """Raised in a parser callback to stop the parser; holds the fault."""
 
     def __init__(self, code: codes.ResultCode, text: str) -> None:
         super().__init__(text)
@@ -69,12 +70,12 @@
 
 
 class RequestReader:
-    """Reads the requests of one connection.
+    """Incremental parser for the requests of one connection.
 
-    :param limits: bounds on head, body and pipelining.
-    :ivar phase: what is awaited next.
-    :ivar wants_continue: the caller waits for ``100 Continue`` before it sends the body; the
-        owner clears this.
+    :param limits: bounds on the head, the body and pipelining.
+    :ivar phase: part of a request that is expected next.
+    :ivar wants_continue: the caller waits for ``100 Continue`` before it sends the body; reset by
+        the owner of the reader.
     """
 
     def __init__(self, limits: settings.CallerLimits) -> None:
@@ -91,11 +92,11 @@
         self.wants_continue = False
 
     def feed(self, data: bytes) -> expression.Result[list[WireRequest], fault.Fault]:
-        """Take bytes.
+        """Parse received bytes.
 
         :param data: bytes in the order of arrival.
-        :returns: the requests that they complete, or a fault after which the connection is of
-            no further use.
+        :returns: the requests that they complete, or a fault after which the connection must be
+            closed.
         """
         try:
             began_in_body = self.phase is Phase.BODY
@@ -118,7 +119,7 @@
         return expression.Ok(complete)
 
     def on_message_begin(self) -> None:
-        """Begin a request; called by the parser."""
+        """Start a new request; called by the parser."""
         self._request = WireRequest()
         self._body = []
         self._head_bytes = 0
@@ -128,12 +129,12 @@
         self.phase = Phase.HEAD
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target; called by the parser."""
+        """Add a part of the target; called by the parser."""
         self._add_head_bytes(len(url))
         self._request.target += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; called by the parser, after the body for trailers too."""
+        """Add a header; called by the parser. Trailers after the body are ignored."""
         if self.phase is not Phase.HEAD:
             return
         self._add_head_bytes(len(name) + len(value) + 4)
@@ -157,7 +158,7 @@
         self.phase = Phase.BODY
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body; called by the parser."""
+        """Add a part of the body; called by the parser."""
         self._body_bytes += len(data)
         if self._body_bytes > self._limits.body_bytes:
             self._refuse_body()
@@ -174,14 +175,14 @@
             raise _ReaderError(codes.ResultCode.TOO_MANY_PIPELINED, "too many requests sent ahead")
 
     def _count_unfinished_head(self, fed_bytes: int) -> None:
-        # The parser keeps a header that is not yet whole to itself, so a header without an end
-        # would grow there unseen. So what was fed counts too, not only what came out.
+        # The parser buffers an incomplete header, so a header without an end would grow there
+        # unnoticed. Therefore bytes passed to the parser are counted as well as parsed ones.
         self._raw_head_bytes += fed_bytes
         if self._raw_head_bytes > self._limits.head_bytes:
             self._refuse_head()
 
     def _count_raw_body(self, fed_bytes: int) -> None:
-        # Chunk framing and trailers are no part of the body, yet cost the same to take in.
+        # Chunk framing and trailers are not part of the body, but cost as much to receive.
         self._raw_body_bytes += fed_bytes
         if self._raw_body_bytes > MAX_RAW_BODY_RATIO * self._limits.body_bytes + READ_SLACK_BYTES:
             self._refuse_body()
--- a/src/spoolhead/_internal/network/route_messages.py
+++ b/src/spoolhead/_internal/network/route_messages.py
@@ -1,6 +1,6 @@
-"""Messages between the keepers that agree and the entries that follow them.
+"""Messages between the keepers of a quorum, and between them and the entries that follow them.
 
-:mod:`~spoolhead._internal.network.messages` puts them on the wire.
+They are encoded by :mod:`~spoolhead._internal.network.messages`.
 """
 
 import dataclasses
@@ -12,10 +12,10 @@
 
 @_message
 class Subscribe:
-    """An entry asks a keeper for the route table, the instances and the fleet's processes.
+    """An entry subscribes to the route table, the instances and the processes of the fleet.
 
     :ivar hall: hall of the entry.
-    :ivar address: ``IP:PORT`` where the entry takes other entries' loads.
+    :ivar address: ``IP:PORT`` where the entry receives the loads of other entries.
     """
 
     hall: str
@@ -26,12 +26,12 @@
 class Fleet:
     """Processes of the fleet that a keeper knows.
 
-    :ivar hall: hall of the keeper itself.
+    :ivar hall: hall of the keeper.
     :ivar keepers: ``IP:PORT`` of each keeper.
-    :ivar is_whole: the entries are all that are connected; otherwise they are what changed since
-        the message before on the same stream.
-    :ivar entries: for each connected entry that is told, its name, hall and address.
-    :ivar gone: names of entries that are no longer connected.
+    :ivar is_whole: ``entries`` lists all connected entries; otherwise it lists the changes since
+        the previous message on the same stream.
+    :ivar entries: for each listed entry its name, hall and address.
+    :ivar gone: names of entries that have disconnected.
     """
 
     hall: str
@@ -45,9 +45,9 @@
 class RouteTableVersion:
     """Version of the newest route table that a keeper knows to be committed.
 
-    :ivar version: that version; 0 for none.
-    :ivar is_confirmed: a leader has told since the keeper's start that there was none newer;
-        otherwise it is what the keeper's disk held, and may be old.
+    :ivar version: the version; 0 for none.
+    :ivar is_confirmed: since the keeper's start, a leader has confirmed that there was no newer
+        version; otherwise the version comes from the keeper's disk and may be outdated.
     """
 
     version: int
@@ -56,12 +56,13 @@
 
 @_message
 class EvacuatedHalls:
-    """Which halls operators have evacuated, as far as a keeper knows; sent before the version of
-    the table.
+    """Halls that operators have evacuated, as known to a keeper.
 
-    :ivar revision: number of orders that led there.
-    :ivar halls: the halls.
-    :ivar is_confirmed: as for the version of the route table.
+    Sent before the version of the table.
+
+    :ivar revision: number of orders that were carried out.
+    :ivar halls: names of the halls.
+    :ivar is_confirmed: as in :class:`RouteTableVersion`.
     """
 
     revision: int
@@ -71,9 +72,9 @@
 
 @_message
 class GetRouteTable:
-    """An entry asks for the newest committed route table.
+    """An entry's request for the newest committed route table.
 
-    :ivar digest: digest of the document that it has; 0 for none.
+    :ivar digest: digest of the document that the entry has; 0 for none.
     """
 
     digest: int = 0
@@ -83,10 +84,10 @@
 class RouteTableDocument:
     """A committed route table.
 
-    :ivar version: its version.
-    :ivar packed: its bytes, as the operator sent them, packed by
-        :mod:`spoolhead._internal.utils.deflate`; or a packed difference.
-    :ivar base_digest: digest of the document that the difference is to; 0 for the whole.
+    :ivar version: version of the table.
+    :ivar packed: the document as the operator sent it, or a delta to it, compressed by
+        :mod:`spoolhead._internal.utils.deflate`.
+    :ivar base_digest: digest of the document that the delta applies to; 0 for a whole document.
     """
 
     version: int
@@ -98,11 +99,11 @@
 class InstanceList:
     """Upstream instances as the platform lists them.
 
-    :ivar reader_term: term of the keeper that read the list; a later reader's list wins.
+    :ivar reader_term: term of the keeper that read the list; the list with the higher term wins.
     :ivar sequence: number of the reading.
-    :ivar is_whole: what changed is all that is listed; otherwise it is what changed since the
-        message before on the same stream.
-    :ivar changed: packed instances that are new or listed otherwise than before.
+    :ivar is_whole: ``changed`` holds all listed instances; otherwise it holds the changes since
+        the previous message on the same stream.
+    :ivar changed: packed instances that are new or different.
     :ivar gone: ids of instances that are no longer listed.
     """
 
@@ -115,10 +116,10 @@
 
 @_message
 class ForwardTable:
-    """A keeper passes an operator's route table on to the leading keeper.
+    """An operator's route table, forwarded to the leading keeper.
 
     :ivar version: version of the table.
-    :ivar document: its bytes.
+    :ivar document: the table as the operator sent it.
     """
 
     version: int
@@ -127,9 +128,9 @@
 
 @_message
 class ForwardHallOrder:
-    """A keeper passes an operator's order on a hall on to the leading keeper.
+    """An operator's order on a hall, forwarded to the leading keeper.
 
-    :ivar order: the order as the log holds it.
+    :ivar order: the order, encoded as in the log.
     """
 
     order: bytes
@@ -137,9 +138,9 @@
 
 @_message
 class ConfirmRead:
-    """A keeper asks the leading keeper which version must be shown by a read that begins now.
+    """A keeper asks the leading keeper for the version that a read beginning now must return.
 
-    :ivar request: number of the question.
+    :ivar request: number that the answer repeats.
     """
 
     request: int
@@ -147,7 +148,7 @@
 
 @_message
 class KeeperAnswer:
-    """Answer of the leading keeper to another one.
+    """Answer of the leading keeper to another keeper.
 
     :ivar request: number of the question.
     :ivar is_sure: the table is committed, or the version is confirmed.
@@ -172,4 +173,4 @@
     70: EvacuatedHalls,
     71: ForwardHallOrder,
 }
-"""Tags of the messages on the wire."""
+"""Message classes by their tags."""
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -1,7 +1,8 @@
-"""Timers on the programs' clock.
+"""Timers on the clock of :mod:`~spoolhead._internal.utils.clocks`.
 
-The event library's own timer counts on the wall clock, which can be set back; a deadline or a
-lease must not move with it. A suspension of the machine counts: what came due in it runs first.
+The event library's own timers use the wall clock, which may be set back; deadlines and leases must
+not move with it. Time in which the machine is suspended counts: timers that expired meanwhile run
+before anything else.
 """
 
 import heapq
@@ -17,18 +18,18 @@
 logger = logging.getLogger(__name__)
 
 STALL_THRESHOLD_S = 0.5
-"""Lateness of a timer that is worth a line: many times what a busy loop shows, and enough to
-upset whoever counts on this process."""
-
+"""Delay of a timer from which it is logged: many times the delay in a busy loop, and long enough to
+affect the processes that rely on this one."""
 
 SUSPENSION_THRESHOLD_S = 0.05
-"""Difference between two looks at the clocks that is worth a line; both run alike otherwise."""
+"""Suspended time between two checks from which it is logged. Without a suspension, both clocks run
+at the same rate."""
 
 
 class Timer:
-    """A pending call.
+    """A scheduled call.
 
-    :ivar due_s: monotonic time of the call, in seconds.
+    :ivar due_s: time of the call by :func:`clocks.get_s`, in seconds.
     """
 
     __slots__ = ("_call", "due_s")
@@ -38,12 +39,12 @@
         self._call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Make sure the call does not happen any more."""
+        """Cancel the call; no effect after it was made."""
         self._call = None
 
     @property
     def is_cancelled(self) -> bool:
-        """Whether the call was cancelled or has happened."""
+        """Whether the call was cancelled or made."""
         return self._call is None
 
     def run(self) -> None:
@@ -54,7 +55,7 @@
 
 
 class RepeatingTimer:
-    """A call made again and again."""
+    """A call that is made at intervals."""
 
     __slots__ = ("_call", "_interval_s", "_scheduler", "_timer")
 
@@ -65,7 +66,7 @@
         self._timer = scheduler.call_later(interval_s, self._run)
 
     def cancel(self) -> None:
-        """Make sure that no further call happens."""
+        """Cancel all further calls."""
         self._call = None
         self._timer.cancel()
 
@@ -79,7 +80,7 @@
 
 
 class Scheduler(circuits.BaseComponent):
-    """Makes calls at monotonic times, from the event loop."""
+    """Makes scheduled calls from the event loop."""
 
     channel = "scheduler"
 
@@ -90,27 +91,27 @@
         self._suspended_s = clocks.get_s() - clocks.get_running_s()
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> Timer:
-        """Make a call after a delay.
+        """Schedule a call after a delay.
 
         :param delay_s: seconds from now; 0 for the next turn of the loop.
-        :param call: what to call; an exception in it is reported by the loop.
+        :param call: function to call; the loop logs exceptions that it raises.
         """
         timer = Timer(clocks.get_s() + delay_s, call)
         heapq.heappush(self._heap, (timer.due_s, next(self._counter), timer))
         return timer
 
     def call_every(self, interval_s: float, call: Callable[[], None]) -> "RepeatingTimer":
-        """Make a call again and again until the process ends or it is cancelled.
+        """Schedule a call at intervals until it is cancelled.
 
-        :param interval_s: seconds between the end of a call and the next.
+        :param interval_s: seconds between the end of a call and the next call.
         """
         return RepeatingTimer(self, interval_s, call)
 
     def run_overdue(self) -> None:
-        """Run what came due while the process stood still, before what has arrived is handled.
+        """Run timers that expired during a stall of the process, before received data is handled.
 
-        What was known may be long over by then: streams that would have been given up, instances
-        that are gone, deadlines.
+        The state of the process may be outdated by then: streams that have timed out, instances
+        that are gone, deadlines that have passed.
         """
         if self._heap and clocks.get_s() - self._heap[0][0] > STALL_THRESHOLD_S:
             self._run_due(None)
@@ -119,7 +120,7 @@
     def _on_generate_events(self, event: circuits.Event) -> None:
         self._record_suspension()
         if self._run_due(event):
-            # What the calls fired is already queued, so the poller must not wait this turn.
+            # Events that the calls fired are already queued, so the poller must not wait.
             event.reduce_time_left(0)
         elif self._heap:
             event.reduce_time_left(max(0.0, self._heap[0][0] - clocks.get_s()))
@@ -133,7 +134,7 @@
         self._suspended_s = suspended_s
 
     def _run_due(self, event: circuits.Event | None) -> bool:
-        """Run what is due; tells whether anything was."""
+        """Run due timers; return whether any was run."""
         now_s = clocks.get_s()
         late_s = now_s - self._heap[0][0] if self._heap else 0.0
         if late_s > STALL_THRESHOLD_S:
@@ -147,8 +148,8 @@
         return ran
 
     def _run(self, timer: Timer, event: circuits.Event | None) -> None:
-        # An exception that left the handler would leave the poller without the time of the
-        # next timer, and the program would sleep on until a byte came.
+        # If an exception left the handler, the poller would not learn the time of the next timer,
+        # and the program would sleep until data arrives.
         try:
             timer.run()
         except Exception as error:
--- a/src/spoolhead/_internal/network/small_server.py
+++ b/src/spoolhead/_internal/network/small_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for probes and figures: short answers on a port of its own."""
+"""Minimal HTTP server for health probes and metrics, on a separate port."""
 
 import socket
 from collections.abc import Callable
@@ -11,11 +11,11 @@
 
 
 class SmallAnswer:
-    """An answer.
+    """A complete HTTP answer.
 
     :ivar status: HTTP status.
-    :ivar content_type: type of the body; empty for none.
-    :ivar body: its body.
+    :ivar content_type: Content-Type of the body; empty for none.
+    :ivar body: the body.
     """
 
     __slots__ = ("body", "content_type", "status")
@@ -26,7 +26,7 @@
         self.content_type = content_type
 
     def pack(self) -> bytes:
-        """Return its bytes."""
+        """Return the answer as sent."""
         lines = [f"HTTP/1.1 {int(self.status)} {self.status.phrase}"]
         if self.content_type:
             lines.append(f"Content-Type: {self.content_type}")
@@ -35,11 +35,11 @@
 
 
 class SmallServer(circuits.BaseComponent):
-    """Listens on one port.
+    """HTTP server on one port.
 
-    :param bind: IP number and port.
+    :param bind: IP address and port to listen on.
     :param channel: channel of its events, unique in the program.
-    :param limits: bounds on requests.
+    :param limits: bounds on requests; connections of requests that exceed them are closed.
     :param answer: returns the answer to a request.
     """
 
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -1,9 +1,8 @@
-"""HTTP requests to upstreams over connections that are kept and used again.
+"""HTTP client for upstreams, with a pool of idle connections.
 
-The HTTP library's client gives an answer only once it is whole, and one at a time, so answers
-are parsed here by httptools. A connection is used again only after an answer that ended
-exactly where its framing said; anything else closes it, so that no late byte of one answer can
-be taken for another.
+The HTTP library's client returns only complete answers, one at a time, so answers are parsed here
+with httptools. A connection is reused only after an answer that ended exactly where its framing
+says. Otherwise it is closed, so that late bytes of one answer cannot be taken for the next one.
 """
 
 import collections
@@ -25,43 +24,46 @@
 
 
 class CallUser(Protocol):
-    """What the owner of a call is told; never from within :meth:`UpstreamCalls.open`."""
+    """Callbacks of the component that makes a call.
+
+    They are never called before :meth:`UpstreamCalls.open` returns.
+    """
 
     def on_answer_head(self, status: int, headers: Headers) -> None:
-        """The head of the answer is here; names are in lower case."""
+        """Called with the head of the answer; names of headers are in lower case."""
 
     def on_answer_body(self, data: bytes) -> None:
-        """A part of the body is here."""
+        """Called with each part of the body."""
 
     def on_answer_end(self) -> None:
-        """The answer is whole; nothing follows."""
+        """Called when the answer is complete; the last call."""
 
     def on_call_lost(self, reason: str) -> None:
-        """The call ended before its answer was whole; nothing follows."""
+        """Called when the call ended before its answer was complete; the last call."""
 
 
 class DiscardedAnswer:
-    """Owner of a call whose answer nobody waits for."""
+    """User of a call that ignores the answer."""
 
     def on_answer_head(self, status: int, headers: Headers) -> None:
-        """Pass over the head."""
+        """Ignore the head."""
 
     def on_answer_body(self, data: bytes) -> None:
-        """Pass over a part of the body."""
+        """Ignore a part of the body."""
 
     def on_answer_end(self) -> None:
-        """Pass over the end."""
+        """Ignore the end."""
 
     def on_call_lost(self, reason: str) -> None:
-        """Pass over the loss."""
+        """Ignore the loss."""
 
 
 def make_request(method: str, target: str, host: str, headers: Headers, body: bytes) -> bytes:
-    """Return the bytes of a request.
+    """Return an encoded request.
 
     :param target: path and query.
     :param host: value of the Host header.
-    :param headers: headers besides Host, length and connection.
+    :param headers: headers other than Host, Content-Length and Connection.
     """
     lines = [f"{method} {target} HTTP/1.1", f"host: {host}"]
     lines.extend(f"{name}: {value}" for name, value in headers)
@@ -71,11 +73,11 @@
 
 
 class UpstreamCall:
-    """One request to an upstream and its answer; the parser's callbacks are its methods.
+    """A request to an upstream and its answer. Its methods are the callbacks of the parser.
 
     :ivar address: ``IP:PORT`` of the upstream.
-    :ivar is_over: the answer ended, the call was lost, or it was cancelled.
-    :ivar has_head: the head of the answer has come.
+    :ivar is_over: the answer is complete, or the call was lost or cancelled.
+    :ivar has_head: the head of the answer was received.
     """
 
     def __init__(
@@ -108,23 +110,24 @@
 
     @property
     def may_have_arrived(self) -> bool:
-        """Whether the kernel took any byte of the request.
+        """Whether any byte of the request was written to the socket.
 
-        Until then the upstream provably cannot have acted on it.
+        If not, the upstream cannot have run it.
         """
         return self._link is not None and self._link.sent_bytes > self._sent_bytes_before
 
     @property
     def is_reused(self) -> bool:
-        """Whether it was sent on a connection that had carried another call.
+        """Whether it was sent on a connection that was used by a call before.
 
-        The other side may have dropped such a connection unseen, so its loss says nothing of it.
+        The upstream may have closed such a connection unnoticed, so its loss does not show that
+        the upstream is unhealthy.
         """
         return self._sent_bytes_before > 0
 
     @property
     def is_answer_complete(self) -> bool:
-        """Whether the answer ended where its framing said, and not with the connection."""
+        """Whether the answer ended where its framing says, and not with the connection."""
         return self._is_complete
 
     def begin(self, link: links.Link) -> None:
@@ -135,13 +138,13 @@
         link.send(self._request)
 
     def cancel(self) -> None:
-        """Close the connection; the user is told nothing more."""
+        """Close the connection without further calls of the user."""
         self.is_over = True
         if self._link is not None:
             self._link.close()
 
     def on_connected(self) -> None:
-        """Do nothing: the link sends what waits by itself."""
+        """Do nothing: the link sends its buffer by itself."""
 
     def on_data(self, data: bytes) -> None:
         """Parse bytes of the answer."""
@@ -167,13 +170,13 @@
             self._user.on_call_lost(reason)
 
     def on_message_begin(self) -> None:
-        """Note bytes after the answer; called by the parser."""
+        """Detect bytes after the end of the answer; called by the parser."""
         if self._is_complete:
             self._must_close_link = True
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; called by the parser, after the body for trailers too."""
+        """Add a header; called by the parser. Trailers after the body are ignored."""
         if not self.has_head:
             self._headers.append((name.decode("latin-1").lower(), value.decode("latin-1")))
 
@@ -199,10 +202,10 @@
             self._user.on_answer_body(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer; called by the parser."""
+        """Record the end of the answer; called by the parser."""
         if not self._is_informational:
             self._is_complete = True
-            # The parser knows the framing only until it leaves this callback.
+            # The parser reports this correctly only within this callback.
             self._may_reuse_link = self._parser.should_keep_alive() and not self._is_fresh
 
     def _finish(self) -> None:
@@ -223,20 +226,20 @@
 
 
 class _IdleUser:
-    """Owner of a link that carries no call: whatever happens on it ends it."""
+    """User of a link in the pool; closes it when data arrives."""
 
     def __init__(self, link: links.Link) -> None:
         self._link = link
 
     def on_connected(self) -> None:
-        """Cannot happen: only connected links become idle."""
+        """Never called: only connected links become idle."""
 
     def on_data(self, data: bytes) -> None:
-        """Close the link: nobody asked for these bytes."""
+        """Close the link: these bytes belong to no request."""
         self._link.close()
 
     def on_lost(self, reason: str) -> None:
-        """Do nothing; :meth:`UpstreamCalls.open` passes over closed links."""
+        """Do nothing; :meth:`UpstreamCalls.open` skips closed links."""
 
 
 class _IdleLink:
@@ -258,9 +261,9 @@
 class UpstreamCalls:
     """Makes requests to upstreams.
 
-    :param loop: root of the program.
-    :param outgoing: the program's outgoing connections.
-    :param config: bounds on connections and times.
+    :param loop: event loop of the program.
+    :param outgoing: outgoing connections of the program.
+    :param config: limits on connections, and timeouts.
     """
 
     def __init__(
@@ -281,15 +284,16 @@
         fresh: bool = False,
         is_head: bool = False,
     ) -> UpstreamCall:
-        """Begin a request.
+        """Start a request.
 
         :param address: ``IP:PORT`` of the upstream.
-        :param request: the request's bytes.
-        :param user: is told of the answer.
-        :param fresh: use a new connection, and close it afterwards. A kept one may just have been
-            closed by the upstream, and then nobody can tell whether the request was taken; and
-            what nobody uses again would only take the place of others' connections there.
-        :param is_head: the method is HEAD, whose answer has no body whatever its length says.
+        :param request: the encoded request.
+        :param user: receives the callbacks.
+        :param fresh: use a new connection, and close it afterwards. The upstream may just have
+            closed an idle connection, and then it is unknown whether the request was accepted.
+            The new connection is not kept: unused, it would count against the connections that
+            the upstream accepts from all entries.
+        :param is_head: the method is HEAD, whose answer has no body regardless of its length.
         """
         call = UpstreamCall(self, address, request, user, is_head=is_head, is_fresh=fresh)
         link = None if fresh else self._pop_idle(address)
@@ -299,7 +303,7 @@
         return call
 
     def release_link(self, link: links.Link) -> None:
-        """Keep a link whose answer ended cleanly."""
+        """Return a link to the pool after a complete answer; closed if the pool is full."""
         idle = self._idle.setdefault(link.address, collections.deque())
         if len(idle) >= self._config.idle_connections:
             link.close()
@@ -308,15 +312,15 @@
         idle.append(_IdleLink(link, clocks.get_s()))
 
     def finish_in_background(self, call: UpstreamCall) -> None:
-        """Let a call end whose answer is no longer needed, so that its link may be kept.
+        """Let a call whose answer is no longer needed finish, so that its link can be reused.
 
-        One that does not end within the time that idle connections are kept is cancelled.
+        A call that takes longer than the idle timeout of connections is cancelled.
         """
         if not call.is_over:
             self._background.append(_BackgroundCall(call, clocks.get_s()))
 
     def forget(self, address: str) -> None:
-        """Close the idle connections to an upstream that is no longer used."""
+        """Close the idle connections to an upstream that is no longer in use."""
         for item in self._idle.pop(address, ()):
             item.link.close()
 
--- a/src/spoolhead/_internal/utils/deflate.py
+++ b/src/spoolhead/_internal/utils/deflate.py
@@ -25,5 +25,5 @@
     except zlib.error as error:
         raise ValueError(f"document cannot be decompressed: {error}") from error
     if not unpacker.eof:
-        raise ValueError(f"document is truncated or exceeds {MAX_UNPACKED_BYTES} bytes")
+        raise ValueError("document is truncated or too large")
     return document
