--- a/src/spoolhead/_internal/models/__init__.py
+++ b/src/spoolhead/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small value types shared by the other packages; no I/O."""
+"""Value types shared by the other packages, with their encodings."""
--- a/src/spoolhead/_internal/models/decision.py
+++ b/src/spoolhead/_internal/models/decision.py
@@ -12,7 +12,7 @@
     :ivar request_id: id of the request.
     :ivar workspace: workspace of the request; empty if the API key is unknown.
     :ivar service: service of the request; empty if it is unknown.
-    :ivar action: the decision: ``run``, ``refuse``, ``retry``, ``resume``, ``end`` or the like.
+    :ivar action: the decision, such as ``run``, ``refuse``, ``retry``, ``resume``, ``end``.
     :ivar upstream: the chosen upstream; empty for none.
     :ivar code: result code.
     :ivar wait_ms: time since the request arrived.
--- a/src/spoolhead/_internal/models/permits.py
+++ b/src/spoolhead/_internal/models/permits.py
@@ -111,8 +111,15 @@
 
 def encode_permit_request(request: PermitRequest) -> bytes:
     """Return a request as a datagram."""
-    fields = [request.sender, request.hall, request.permit_id, request.turn, request.rank]
-    fields += [request.is_retry, request.workspace, request.wait_ms, request.is_final]
+    fields = [
+        request.sender,
+        request.hall,
+        request.permit_id,
+        request.turn,
+        request.rank,
+        request.is_retry,
+    ]
+    fields += [request.workspace, request.wait_ms, request.is_final]
     return msgpack.packb([REQUEST, *fields, rate_limit.pack([request.stated])])
 
 
--- a/src/spoolhead/platform/__init__.py
+++ b/src/spoolhead/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Adapter to the users' platform: its names, formats and calls; nothing here decides.
+"""Adapter to the users' platform: translates its names, formats and calls; makes no decisions.
 
-A change of settings may be signalled while a program is still starting, and the signal's default
-is to end the process. So it is ignored from here on, which is imported before the rest, until
-the program's loop takes it. What it would have told is read at the start anyway.
+SIGHUP, which signals changed settings, may arrive while a program is starting, and by default it
+terminates the process. So this package, which is imported first, ignores the signal until the
+program's event loop handles it. The program reads its settings at the start anyway.
 """
 
 import signal
--- a/src/spoolhead/platform/dialect.py
+++ b/src/spoolhead/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's messages, read into and written from the product's types."""
+"""Decodes and encodes the platform's messages."""
 
 import json
 import math
@@ -13,35 +13,35 @@
 
 _MISDIRECTED_STATUS = 421
 _MAX_COLD_DIGITS = 9
-"""Digits up to which the rest of a cold start is read: eleven days in milliseconds."""
+"""Maximum number of digits of the remaining time of a cold start; eleven days in milliseconds."""
 _REST_STATUSES = frozenset({429, 503})
-"""Statuses by which an instance turns a request away."""
+"""Statuses of answers in which Retry-After asks for a pause."""
 _YES = "1"
 _EVACUATION_METHODS = {"POST": True, "DELETE": False}
-"""Methods of an order on a hall, and whether it is evacuated from then on."""
+"""HTTP methods of an order on a hall, and whether the order evacuates the hall."""
 
 
 class Dialect:
-    """How callers, operators, instances and the list speak on the platform."""
+    """Dialect of the platform's callers, operators, instances and list of instances."""
 
     list_target = names.LIST_PATH
 
     def decode_table(
         self, document: bytes
     ) -> expression.Result[route_table.RouteTable, list[fault.Fault]]:
-        """Read a route table."""
+        """Decode a route table."""
         return tables.decode_table(document)
 
     def decode_instances(
         self, document: bytes
     ) -> expression.Result[dialects.InstancePage, fault.Fault]:
-        """Read a page of the list of instances."""
+        """Decode a page of the list of instances."""
         return tables.decode_instances(document)
 
     def read_order(
         self, wire: request_reader.WireRequest
     ) -> expression.Result[dialects.OperatorOrder, fault.Fault]:
-        """Read an operator's request."""
+        """Decode an operator's request."""
         path = wire.target.partition("?")[0]
         if path.startswith(names.EVACUATION_PATH):
             return _read_evacuation(wire.method, path.removeprefix(names.EVACUATION_PATH))
@@ -55,19 +55,19 @@
         return expression.Error(fault.Fault(codes.ResultCode.METHOD_NOT_ALLOWED, text))
 
     def is_ready_probe(self, wire: request_reader.WireRequest) -> bool:
-        """Tell whether a request is the balancer's readiness probe."""
+        """Return whether a request is the load balancer's readiness probe."""
         return wire.target.partition("?")[0] == names.READY_PATH
 
     def read_request(
         self, wire: request_reader.WireRequest
     ) -> expression.Result[dialects.RequestHead, fault.Fault]:
-        """Read the head of a caller's request."""
+        """Decode the head of a caller's request."""
         try:
             deadline = wire.get_header(names.DEADLINE)
             head = dialects.RequestHead(
                 request_id=wire.get_header(names.REQUEST_ID) or "",
                 host=wire.get_header("host") or "",
-                api_key=_get_key(wire.get_header("authorization")),
+                api_key=_get_api_key(wire.get_header("authorization")),
                 wait_ms=max(0, int(float(deadline))) if deadline else None,
                 headers=_get_passed_headers(wire),
                 generation=_read_generation(wire),
@@ -80,7 +80,7 @@
     def write_request(
         self, head: dialects.RequestHead, orders: dialects.AttemptOrders
     ) -> dialects.Headers:
-        """Return the headers of an attempt, besides Host and length."""
+        """Return the headers of an attempt other than Host and Content-Length."""
         headers = list(head.headers)
         headers.append((names.DEADLINE, str(orders.remaining_ms)))
         headers.append((names.EXPECTED_INSTANCE, orders.instance_id))
@@ -97,36 +97,36 @@
         return headers
 
     def read_answer(self, status: int, headers: dialects.Headers) -> dialects.AnswerHead:
-        """Read the head of an instance's answer."""
-        found = dict(headers)
+        """Decode the head of an instance's answer."""
+        values = dict(headers)
         hidden = {names.INSTANCE, names.LOAD, names.NOT_RUN, names.COLD, names.LIMIT}
         hidden |= {names.LEAVING, "date", "server"}
         hidden |= names.HOP_BY_HOP
         stated_limits = [value for name, value in headers if name == names.LIMIT]
         limit_per_s = _read_limit(stated_limits)
-        rest_text = found.get(names.RETRY_AFTER, "") if status in _REST_STATUSES else ""
+        rest_text = values.get(names.RETRY_AFTER, "") if status in _REST_STATUSES else ""
         rest_ms = _read_rest(rest_text)
         return dialects.AnswerHead(
             status=status,
             headers=[item for item in headers if item[0] not in hidden],
-            request_id=found.get(names.REQUEST_ID, ""),
-            is_signed=bool(found.get(names.SIGNATURE)),
-            has_not_run=names.NOT_RUN in found or status == _MISDIRECTED_STATUS,
+            request_id=values.get(names.REQUEST_ID, ""),
+            is_signed=bool(values.get(names.SIGNATURE)),
+            has_not_run=names.NOT_RUN in values or status == _MISDIRECTED_STATUS,
             is_misdirected=status == _MISDIRECTED_STATUS,
-            instance_id=found.get(names.INSTANCE, ""),
-            is_encoded=found.get("content-encoding", "identity") != "identity",
-            is_closing=found.get("connection", "").lower() == "close",
-            load=_read_load(found.get(names.LOAD, "")),
-            cold_ms=_read_cold(found.get(names.COLD)),
+            instance_id=values.get(names.INSTANCE, ""),
+            is_encoded=values.get("content-encoding", "identity") != "identity",
+            is_closing=values.get("connection", "").lower() == "close",
+            load=_read_load(values.get(names.LOAD, "")),
+            cold_ms=_read_cold(values.get(names.COLD)),
             limit_per_s=limit_per_s,
             is_limit_unreadable=bool(stated_limits) and limit_per_s is None,
             rest_ms=rest_ms,
             is_rest_unreadable=bool(rest_text) and rest_ms is None,
-            is_leaving=found.get(names.LEAVING, "").strip() == _YES,
+            is_leaving=values.get(names.LEAVING, "").strip() == _YES,
         )
 
     def write_refusal(self, request_id: str, retry_after_ms: int | None) -> dialects.Headers:
-        """Return the headers of an entry's own answer."""
+        """Return the headers of an answer that the entry itself creates."""
         headers: list[tuple[str, str]] = []
         if request_id:
             headers.append((names.REQUEST_ID, request_id))
@@ -135,14 +135,14 @@
         return headers
 
     def write_move(self, order: dialects.MoveOrder) -> dialects.UpstreamOrder:
-        """Return the order to move a run's memory."""
-        # The target is named like a version; it is the address of the other instance.
+        """Return the encoded order to copy the memory of a run."""
+        # In spite of its name, target_version holds the address of the other instance.
         value = {"id": order.request_id, "target_version": order.target_address}
         body = json.dumps(value).encode()
         return dialects.UpstreamOrder(method="POST", target=names.MOVE_PATH, body=body)
 
     def read_move(self, status: int, body: bytes) -> dialects.MoveAnswer:
-        """Read the answer to a move."""
+        """Decode the answer to such an order."""
         try:
             value = json.loads(body) if body else {}
         except ValueError:
@@ -151,7 +151,7 @@
         return dialects.MoveAnswer(status=status, handle=str(handle or ""))
 
     def write_release(self, handle: str) -> dialects.UpstreamOrder:
-        """Return the order to free a copy."""
+        """Return the encoded order to release a copy."""
         return dialects.UpstreamOrder(
             method="DELETE", target=f"{names.COPY_PATH}{handle}", body=b""
         )
@@ -169,15 +169,15 @@
     return expression.Ok(dialects.SetEvacuation(hall, is_evacuated=_EVACUATION_METHODS[method]))
 
 
-def _get_key(header: str | None) -> str:
+def _get_api_key(header: str | None) -> str:
     scheme, _, api_key = (header or "").partition(" ")
     return api_key.strip() if scheme.lower() == "bearer" else ""
 
 
 def _get_passed_headers(wire: request_reader.WireRequest) -> list[tuple[str, str]]:
     listed = wire.get_header("connection") or ""
-    one_connection = {name.strip().lower() for name in listed.split(",")}
-    dropped = names.HOP_BY_HOP | names.SYSTEM_HEADERS | one_connection
+    listed_names = {name.strip().lower() for name in listed.split(",")}
+    dropped = names.HOP_BY_HOP | names.SYSTEM_HEADERS | listed_names
     dropped |= {"authorization", names.DEADLINE}
     return [(name, value) for name, value in wire.headers if name not in dropped]
 
@@ -217,12 +217,12 @@
 
 
 def _read_limit(values: list[str]) -> float | None:
-    """Return the strictest of the limits that can be read; None if there is none."""
+    """Return the lowest of the limits that are valid numbers; None if there is none."""
     limits = [decimals.parse(value) for value in values]
     return min((limit for limit in limits if limit is not None), default=None)
 
 
 def _read_rest(text: str) -> int | None:
-    """Return milliseconds; None for what is no number of seconds, as a date."""
+    """Return the pause in milliseconds; None if the text is not a number of seconds."""
     seconds = decimals.parse(text)
     return math.ceil(seconds * 1000) if seconds is not None else None
--- a/src/spoolhead/platform/entry.py
+++ b/src/spoolhead/platform/entry.py
@@ -1,4 +1,4 @@
-"""Starts an entry on the platform."""
+"""Main program of an entry on the platform."""
 
 from spoolhead._internal.gateway import program
 from spoolhead.platform import dialect, node_file, starting
--- a/src/spoolhead/platform/keeper.py
+++ b/src/spoolhead/platform/keeper.py
@@ -1,4 +1,4 @@
-"""Starts a keeper on the platform."""
+"""Main program of a keeper on the platform."""
 
 from spoolhead._internal.quorum import keeper
 from spoolhead.platform import dialect, node_file, starting
--- a/src/spoolhead/platform/names.py
+++ b/src/spoolhead/platform/names.py
@@ -1,24 +1,24 @@
-"""The platform's names for headers, paths, settings and fields."""
+"""Names that the platform uses: headers, paths and an environment variable."""
 
 REQUEST_ID = "x-request-id"
 DEADLINE = "x-request-deadline"
-"""Milliseconds that the sender will wait, counted from the sending."""
+"""Milliseconds that the sender waits for the answer, counted from the time of sending."""
 PROMPT_PARTS = "x-prompt-prefix"
-"""All parts of the prompt, the last one included, in spite of the name."""
+"""All parts of the prompt, including the last one, in spite of the name."""
 MODEL = "x-model"
 TOKEN_USAGE = "x-token-usage"
-"""Tokens of the prompt and the most to generate, not what was used."""
+"""Tokens of the prompt and maximum number of tokens to generate; not the tokens used."""
 LENGTH_HINT = "length-hint"
 WORKSPACE = "x-tenant"
 EXPECTED_INSTANCE = "x-expected-replica"
 INSTANCE = "x-replica-id"
 LOAD = "x-replica-load"
 COLD = "x-cold-remaining"
-"""Milliseconds for which an instance stays cold, counted from its answer."""
+"""Remaining milliseconds for which an instance is cold, counted from its answer."""
 LIMIT = "server-limit"
 """Requests a second that an instance accepts from all entries together."""
 LEAVING = "server-leaving"
-"""1 in each answer of an instance that leaves."""
+"""1 in each answer of an instance that is leaving."""
 SIGNATURE = "x-response-signature"
 NOT_RUN = "x-not-executed"
 LAST_EVENT_ID = "last-event-id"
@@ -29,12 +29,12 @@
 PIN = "pin-ms"
 HOLD = "hold"
 URGENCY = "priority"
-"""0 is the most urgent, unlike what the name suggests."""
+"""0 is the most urgent, in spite of the name."""
 
 SYSTEM_HEADERS = frozenset(
     {WORKSPACE, EXPECTED_INSTANCE, RESUME_FROM, BACKUP_TO, FETCH_FROM, PIN, HOLD, URGENCY}
 )
-"""Headers that a caller may not pass on to an instance."""
+"""Headers that only the system sets; they are removed from callers' requests."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -52,12 +52,12 @@
         "upgrade",
     }
 )
-"""Headers that concern one connection only."""
+"""Hop-by-hop headers, which concern one connection only and are not passed on."""
 
 READY_PATH = "/spoolhead/readyz"
 TABLE_PATH = "/spoolhead/config"
 EVACUATION_PATH = "/spoolhead/evacuations/"
-"""Followed by the name of a hall."""
+"""Prefix of the path; the name of a hall follows."""
 LIST_PATH = "/replicas"
 MOVE_PATH = "/spoolhead/kv-move"
 COPY_PATH = "/spoolhead/kv-handle/"
--- a/src/spoolhead/platform/node_file.py
+++ b/src/spoolhead/platform/node_file.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the programs' own settings."""
+"""Reads the platform's settings file and translates it to the settings of the programs."""
 
 import os
 import pathlib
@@ -11,16 +11,17 @@
 from spoolhead.platform import names
 
 SHARED_KEY = "spoolhead-on-the-platform"
-"""The platform hands out no secret; this only keeps strangers from joining by mistake."""
+"""Not a secret, since the platform provides none; it only keeps processes of other systems from
+connecting by mistake."""
 CONNECT_MS = 400
-"""Time for a connection to an instance: a hundred round trips between halls, and less than half
-of the shortest objective, so that an unreachable instance leaves time for another."""
+"""Timeout for connecting to an instance: a hundred round trips between halls, and less than half of
+the shortest objective, so that after an unreachable instance there is time for another."""
 METRICS_PORT = 9_464
-"""Port of the figures, as deploy/system.toml names it; the settings name none."""
+"""Port of the metrics, as stated in deploy/system.toml; the settings file has no such field."""
 HUB_LINK_FRACTION = 0.1
-"""Part of a process's link that may carry what it tells others of their loads."""
+"""Fraction of a process's link bandwidth that may be used for sending loads to other processes."""
 DEFAULT_LINK_MBPS = 5.0
-"""Link of a process whose settings name none."""
+"""Link bandwidth of a process whose settings state none."""
 BYTES_PER_MBIT = 125_000
 _LOG = settings.LogSettings(output="stdout")
 
@@ -31,7 +32,7 @@
 
 
 def read_entry(path: str) -> settings.GatewaySettings:
-    """Read an entry's settings.
+    """Read the settings of an entry.
 
     :raises exceptions.SettingsError: if the file cannot be used.
     """
@@ -39,7 +40,7 @@
 
 
 def read_keeper(path: str) -> settings.QuorumKeeperSettings:
-    """Read a keeper's settings.
+    """Read the settings of a keeper.
 
     :raises exceptions.SettingsError: if the file cannot be used.
     """
@@ -117,6 +118,7 @@
 
 
 def _get_keepers(fields: dict[str, Any]) -> list[str]:
-    # Seeds are the operators' addresses; keepers speak to one another on the first free port.
+    # Seeds are the addresses for operators; keepers connect to each other on the first internal
+    # port.
     port = fields["internal_ports"][0]
     return [f"{endpoints.split(seed)[0]}:{port}" for seed in fields["seeds"]]
--- a/src/spoolhead/platform/pages.py
+++ b/src/spoolhead/platform/pages.py
@@ -1,14 +1,15 @@
-"""Takes a page of the list of instances apart into its entries, also where one spoils the page."""
+"""Parses a page of the list of instances, even if some of its entries are not valid JSON."""
 
 import json
 import math
 import re
 from typing import Any
 
-_ENTRY = re.compile(r'\{\s*"')
-_NEXT = re.compile(r'"next_token"\s*:\s*("(?:[^"\\]|\\.)*"|null)')
+_ENTRY_START = re.compile(r'\{\s*"')
+_NEXT_TOKEN = re.compile(r'"next_token"\s*:\s*("(?:[^"\\]|\\.)*"|null)')
 _MAX_INTEGER_DIGITS = 20
-"""Digits up to which a whole number is read; longer ones make no sense in any field."""
+"""Maximum number of digits of an integer; longer ones are valid in no field and read as infinity.
+"""
 
 
 def _read_int(text: str) -> float:
@@ -19,22 +20,23 @@
 
 
 def parse_page(page: bytes) -> Any:
-    """Return what a page says.
+    """Return the parsed page.
 
-    An entry whose bytes are not JSON costs the others nothing: they are found one by one. Bytes
-    that are no text stay in the texts as lone surrogates, which no good field holds.
+    If the page is not valid JSON, its entries are decoded one by one, so that a broken entry does
+    not affect the others. Bytes that are not valid UTF-8 are decoded to lone surrogates, which no
+    valid field contains.
 
-    :raises ValueError: if the page is not JSON and its end, which names the next one, is not
-        there either.
+    :raises ValueError: if the page is not valid JSON and also lacks the token of the next page at
+        its end.
     """
     text = page.decode("utf-8", errors="surrogateescape")
     try:
         return _DECODER.decode(text)
     except ValueError:
-        ends = list(_NEXT.finditer(text))
-        if not ends:
+        next_tokens = list(_NEXT_TOKEN.finditer(text))
+        if not next_tokens:
             raise
-    last = ends[-1]
+    last = next_tokens[-1]
     return {
         "instances": _scan_entries(text[: last.start()]),
         "next_token": json.loads(last[1]),
@@ -43,13 +45,13 @@
 
 def _scan_entries(text: str) -> list[object]:
     entries: list[object] = []
-    # The first brace is the page's own.
-    match = _ENTRY.search(text, 1)
+    # The first brace belongs to the page itself.
+    match = _ENTRY_START.search(text, 1)
     while match is not None:
         try:
             entry, end = _DECODER.raw_decode(text, match.start())
         except ValueError:
             entry, end = text[match.start() : match.end()], match.end()
         entries.append(entry)
-        match = _ENTRY.search(text, end)
+        match = _ENTRY_START.search(text, end)
     return entries
--- a/src/spoolhead/platform/starting.py
+++ b/src/spoolhead/platform/starting.py
@@ -1,4 +1,4 @@
-"""What both programs' starts on the platform share."""
+"""Common startup of both programs on the platform."""
 
 import sys
 from collections.abc import Callable
@@ -14,12 +14,12 @@
 
 
 def start(read: Callable[[str], Any], make: Callable[[Any], programs.Program]) -> None:
-    """Run a program with the settings file that the platform names.
+    """Run a program with the platform's settings file.
 
-    With ``--check`` the settings are only read, and what is wrong with them is printed.
+    With ``--check``, the settings are only read, and faults in them are printed.
 
     :param read: reads the settings.
-    :param make: makes the program from its settings.
+    :param make: creates the program from its settings.
     """
     path = node_file.get_path()
     try:
--- a/src/spoolhead/platform/tables.py
+++ b/src/spoolhead/platform/tables.py
@@ -1,4 +1,4 @@
-"""Reads the platform's route tables and its list of instances."""
+"""Decodes the platform's route tables and its list of instances."""
 
 import json
 import math
@@ -12,13 +12,13 @@
 from spoolhead.platform import names, pages
 
 MAX_NUMBER = 1e14
-"""Bound on numbers of the list: Unix times in milliseconds of the next thousand years fit, and no
-infinity."""
+"""Maximum number in the list: allows Unix times in milliseconds of the next thousand years, and
+excludes infinity."""
 MAX_TEXT_LENGTH = 256
-"""Bound on names of the list, in characters; those in use have a dozen."""
+"""Maximum length of a name in the list, in characters. Names in use have about a dozen."""
 MS_PER_S = 1_000
 _STATES = {"ready": False, "draining": True}
-"""States of an instance, and whether it leaves."""
+"""States of an instance, and whether it is leaving."""
 _KINDS = {
     "safe": route_table.RequestKind.REPEATABLE,
     "unsafe": route_table.RequestKind.ONCE,
@@ -27,7 +27,7 @@
 
 
 class _FieldError(Exception):
-    """Raised for a field that is missing or of another type; carries its path."""
+    """Raised for a field that is missing or not valid; the message has its path."""
 
 
 class _Fields:
@@ -88,9 +88,9 @@
 def decode_table(
     document: bytes,
 ) -> expression.Result[route_table.RouteTable, list[fault.Fault]]:
-    """Read a route table.
+    """Decode a route table.
 
-    :returns: the table, or what keeps it from being read.
+    :returns: the table, or the fault that prevents its decoding.
     """
     try:
         fields = _Fields(json.loads(document), "")
@@ -196,22 +196,22 @@
 
 
 def decode_instances(document: bytes) -> expression.Result[dialects.InstancePage, fault.Fault]:
-    """Read a page of the list of instances."""
+    """Decode a page of the list of instances."""
     try:
         fields = _Fields(pages.parse_page(document), "")
-        found = _read_entries(fields.get("instances", list))
+        page = _read_entries(fields.get("instances", list))
         next_target = ""
         if fields.has("next_token"):
             token = urllib.parse.quote(fields.get("next_token", str))
             next_target = f"{names.LIST_PATH}?page_token={token}"
-        found.next_target = next_target
-        return expression.Ok(found)
+        page.next_target = next_target
+        return expression.Ok(page)
     except (_FieldError, ValueError, RecursionError) as error:
         return expression.Error(fault.Fault(codes.ResultCode.PEER_PROTOCOL, str(error)))
 
 
 def _read_entries(entries: list[object]) -> dialects.InstancePage:
-    """Read the entries of a page; one that makes no sense costs none of the others."""
+    """Decode the entries of a page; entries that are not valid are returned as faults."""
     page = dialects.InstancePage([], "")
     for number, entry in enumerate(entries):
         try:
@@ -237,7 +237,7 @@
 
 
 def _read_state(fields: _Fields) -> bool:
-    """Tell whether an instance leaves; a state that is not known names none to use."""
+    """Return whether an instance is leaving; an entry with an unknown state is not valid."""
     is_leaving = _STATES.get(fields.get("state", str))
     if is_leaving is None:
         raise _FieldError("an instance is in an unknown state")
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""Starts a small fleet on this machine: keeper, entries and stand-ins, for trials and tests."""
+"""Runs a small fleet on this machine for tests and demonstrations: keeper, entries, stand-ins."""
 
 import contextlib
 import json
@@ -18,18 +18,19 @@
 SHARED_KEY = "only-for-trials-on-one-machine"
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 20.0
-POLL_S = 0.01
+POLL_INTERVAL_S = 0.01
 HOST = "127.0.0.1"
 
 
 class FleetError(Exception):
-    """Raised when a process does not do what it should in time."""
+    """Raised when a process does not reach an expected state in time."""
 
 
 def wait_for(check: Callable[[], object], what: str, timeout_s: float = START_TIMEOUT_S) -> object:
-    """Wait until a check returns something true, and return that.
+    """Wait until a check returns a true value, and return the value.
 
-    :raises FleetError: if it does not in time.
+    :param what: description of the check for the error message.
+    :raises FleetError: after the timeout.
     """
     deadline_s = time.monotonic() + timeout_s
     while True:
@@ -37,17 +38,17 @@
         if value:
             return value
         if time.monotonic() > deadline_s:
-            raise FleetError(f"waited in vain: {what}")
-        time.sleep(POLL_S)
+            raise FleetError(f"timed out waiting for {what}")
+        time.sleep(POLL_INTERVAL_S)
 
 
 class Process:
-    """One process, its output in a file."""
+    """A process whose output is written to a file."""
 
     def __init__(self, name: str, command: Sequence[str], folder: pathlib.Path) -> None:
         self.name = name
         self.log_path = folder / f"{name}.log"
-        # The tree's own source, so that a copy of the tree runs what it holds.
+        # Use the source of this tree, so that a copy of the tree runs its own code.
         paths = os.pathsep.join([str(TOOLS), str(TOOLS.parent / "src")])
         environment = {**os.environ, "PYTHONPATH": paths}
         with self.log_path.open("ab") as stream:
@@ -57,20 +58,20 @@
 
     @property
     def pid(self) -> int:
-        """Its process id."""
+        """Process id."""
         return self._process.pid
 
     @property
     def exit_code(self) -> int | None:
-        """Its exit code; None while it runs."""
+        """Exit code; None while the process runs."""
         return self._process.poll()
 
     def get_output(self) -> str:
-        """Return what it has printed so far."""
+        """Return its output so far."""
         return self.log_path.read_text(encoding="utf-8", errors="replace")
 
     def get_records(self) -> list[dict]:
-        """Return its log records, from lines of JSON."""
+        """Return its log records: all lines of output that are JSON objects."""
         records = []
         for line in self.get_output().splitlines():
             with contextlib.suppress(ValueError):
@@ -81,21 +82,21 @@
 
     def find_record(self, field: str) -> dict | None:
         """Return the last log record that has a field."""
-        found = [record for record in self.get_records() if field in record]
-        return found[-1] if found else None
+        matches = [record for record in self.get_records() if field in record]
+        return matches[-1] if matches else None
 
     def wait_for_record(self, field: str) -> dict:
-        """Wait for a log record that has a field and return the last such record."""
+        """Wait for a log record that has a field, and return the last one."""
 
         def _find() -> dict | None:
             if self.exit_code is not None:
-                raise FleetError(f"{self.name} ended:\n{self.get_output()}")
+                raise FleetError(f"{self.name} terminated:\n{self.get_output()}")
             return self.find_record(field)
 
         return wait_for(_find, f"{field} in the log of {self.name}")
 
     def wait_for_ready_line(self) -> dict[str, str]:
-        """Wait for a stand-in's ready line and return its fields."""
+        """Wait for the ready line of a stand-in, and return its fields."""
 
         def _find() -> str | None:
             lines = self.get_output().splitlines()
@@ -109,18 +110,21 @@
         self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its end."""
         self._process.kill()
         self._process.wait()
 
     def stop(self) -> int:
-        """Ask it to stop and return its exit code; it is killed if it does not in time."""
+        """Send SIGTERM and return the exit code.
+
+        :raises FleetError: if the process does not stop in time; it is killed then.
+        """
         if self.exit_code is None:
             self.send_signal(signal.SIGTERM)
         return self.wait()
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Wait for its end and return its exit code.
+        """Wait until the process ends, and return its exit code.
 
         :raises FleetError: if it does not end in time; it is killed then.
         """
@@ -132,9 +136,9 @@
 
 
 class Fleet:
-    """Processes and settings in one folder.
+    """A fleet of processes.
 
-    :param folder: where settings, data and output go.
+    :param folder: folder for settings, data and output.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -150,7 +154,7 @@
         self.stop_all()
 
     def stop_all(self) -> None:
-        """Stop everything, entries first; whatever does not stop is killed."""
+        """Stop all processes, the last started first; those that do not stop are killed."""
         for process in reversed(list(self.processes.values())):
             if process.exit_code is None:
                 process.send_signal(signal.SIGCONT)
@@ -160,21 +164,21 @@
                 process.wait(5.0)
 
     def start_engine(self, name: str, *options: str) -> Process:
-        """Start a model engine's stand-in."""
+        """Start a stand-in for a model engine."""
         return self._start_standin(name, "engine", options)
 
     def start_service(self, name: str, *options: str) -> Process:
-        """Start a plain service's stand-in."""
+        """Start a stand-in for a plain service."""
         return self._start_standin(name, "service", ("--name", name, *options))
 
     def start_proxy(self, name: str, target: str) -> "ProxyControl":
-        """Start a fault-injecting proxy before an address."""
+        """Start a fault-injecting proxy in front of an address."""
         process = self._start_standin(name, "proxy", ("--target", target))
         fields = process.wait_for_ready_line()
         return ProxyControl(process, self.addresses[name], int(fields["control"]))
 
     def start_keeper(self, name: str = "keeper-1", *, port: int = 0) -> Process:
-        """Start a keeper; its data folder lives on if it is started again."""
+        """Start a keeper; a keeper that is started again uses its previous data folder."""
         config = {
             "name": name,
             "hall": "hall-a",
@@ -197,7 +201,8 @@
     ) -> Process:
         """Start an entry that follows the keepers started so far.
 
-        :param launcher: command to use instead of the product's own, for comparisons.
+        :param changes: settings that differ from the defaults.
+        :param launcher: command to run instead of the entry's own program, for comparisons.
         """
         keepers = [self.addresses[item] for item in self.addresses if item.startswith("keeper")]
         config = {
@@ -218,7 +223,7 @@
         return process
 
     def write_operator_settings(self) -> pathlib.Path:
-        """Write settings for the operators' program and return the file."""
+        """Write the settings of the operators' program, and return the path of the file."""
         keepers = [self.addresses[item] for item in self.addresses if item.startswith("keeper")]
         config = {
             "keepers": keepers,
@@ -228,7 +233,7 @@
         return self._write("operator.json", config)
 
     def run_operator(self, *arguments: str) -> subprocess.CompletedProcess:
-        """Run the operators' program and return its exit code and output."""
+        """Run the operators' program, and return its exit code and output."""
         path = self.write_operator_settings()
         command = [sys.executable, "-m", "spoolhead._internal.cli.operator", *arguments]
         environment = {**os.environ, "SPOOLHEAD_SETTINGS": str(path), "COLUMNS": "200"}
@@ -237,9 +242,9 @@
         )
 
     def apply_table(self, table: Mapping[str, object]) -> None:
-        """Make a table the one in force everywhere.
+        """Apply a table and wait until it is in force at all entries.
 
-        :raises FleetError: if it is refused or not in force in time.
+        :raises FleetError: if the table is refused or not in force in time.
         """
         path = self._write("table.json", table)
         done = self.run_operator("apply", str(path), "--author", "fleet")
@@ -277,7 +282,7 @@
 
 
 class ProxyControl:
-    """Steers a fault-injecting proxy."""
+    """Controls a fault-injecting proxy."""
 
     def __init__(self, process: Process, address: str, control_port: int) -> None:
         self.process = process
@@ -285,7 +290,7 @@
         self._control_port = control_port
 
     def order(self, **faults: object) -> dict[str, int]:
-        """Send an order and return the bytes carried by direction."""
+        """Set faults, and return the number of bytes forwarded in each direction."""
         with socket.create_connection((HOST, self._control_port), 5.0) as sock:
             sock.sendall(json.dumps(faults).encode() + b"\n")
             return json.loads(sock.makefile().readline())
@@ -300,12 +305,12 @@
     services: Mapping[str, Sequence[str]] | None = None,
     workspace: Mapping[str, object] | None = None,
 ) -> dict[str, dict[str, object]]:
-    """Return a table with one workspace, one model and some plain services.
+    """Return a table with one workspace, one model and plain services.
 
-    :param addresses: address of each upstream by name.
-    :param api_key: key of the workspace.
-    :param engines: upstreams of the model.
-    :param services: upstreams of each plain service, whose POST is not to be repeated.
+    :param addresses: addresses of the upstreams by name.
+    :param api_key: API key of the workspace.
+    :param engines: names of the model's upstreams.
+    :param services: names of the upstreams of each plain service; POST must not be repeated there.
     :param workspace: columns of the workspace's row that differ from the defaults.
     """
     plain = services or {}
@@ -333,6 +338,6 @@
 
 
 def limit_file_size(pid: int, size_bytes: int | None) -> None:
-    """Limit the files that a process may write, or lift the limit."""
+    """Limit the size of the files that a process may write; None removes the limit."""
     size = resource.RLIM_INFINITY if size_bytes is None else size_bytes
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
--- a/tools/standins/__init__.py
+++ b/tools/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Small stand-ins for what spoolhead meets: a model engine, a plain service, a bad network.
+"""Stand-ins for the environment of spoolhead: model engine, plain service, platform, bad network.
 
-They use ``asyncio`` and parse HTTP themselves, on purpose: a fault in a library that the
-product uses must not hide behind the same fault on the other side.
+They use ``asyncio`` and their own HTTP parser on purpose: a bug in a library that spoolhead uses
+must not be hidden by the same bug on the other side.
 """
--- a/tools/standins/engine.py
+++ b/tools/standins/engine.py
@@ -1,14 +1,15 @@
-"""Stand-in for a model engine, behind the published OpenAI HTTP interface.
+"""Stand-in for a model engine with the published OpenAI HTTP interface.
 
-It batches continuously, and its key-value memory fills while it generates: then it preempts
-the last and least important generation, which starts again from its prompt and what it had.
-It keeps prompt prefixes in a limited cache, honours ``priority`` (lower first), numbers the
-events of a stream, resumes (``GET /v1/streams/ID`` with ``Last-Event-ID``), cancels, and
-reports its load late in Prometheus text under the names that vLLM publishes.
+It implements continuous batching. Its key-value cache fills up during generation; when it is full,
+the engine preempts the generation with the lowest priority that arrived last, which later restarts
+from its prompt and the tokens generated so far. It has a limited prefix cache, honours
+``priority`` (lower first), numbers the events of a stream, resumes streams
+(``GET /v1/streams/ID`` with ``Last-Event-ID``), cancels, and reports its load with a delay as
+Prometheus text under the names that vLLM uses.
 
 The text of token N of a generation is ``N `` and the stream's id names the generation, so a
-reader can tell that it got all tokens of one generation in order. ``[len=N]`` in a prompt sets
-the length of the answer, which is else drawn from a heavy-tailed distribution.
+reader can check that it received all tokens of one generation in order. ``[len=N]`` in a prompt
+sets the length of the answer; otherwise it is drawn from a heavy-tailed distribution.
 """
 
 import argparse
@@ -24,17 +25,17 @@
 from standins import http_server
 
 CRASH_MARKER = "[crash]"
-"""A prompt with this ends the engine that begins to run it."""
+"""An engine that runs a prompt with this text terminates."""
 CRASH_AFTER_S = 0.05
 CRASH_CODE = 3
-"""Exit code of an engine that ended so."""
+"""Exit code of an engine that was crashed this way."""
 LENGTH_MARKER = re.compile(r"\[len=(\d+)\]")
 BLOCK_TOKENS = 16
 BYTES_PER_TOKEN = 4
 
 
 class Generation:
-    """One answer in the making."""
+    """A generation and the events of its stream."""
 
     def __init__(self, ident: str, body: dict, prompt: str, length: int, is_chat: bool) -> None:
         self.ident = ident
@@ -53,16 +54,16 @@
         self.is_over = False
         self.is_cancelled = False
         self.readers = 0
-        self.left_at = time.monotonic()
-        self.news = asyncio.Event()
+        self.idle_since = time.monotonic()
+        self.updated = asyncio.Event()
 
     @property
     def held_tokens(self) -> int:
-        """Tokens of key-value memory while it runs."""
+        """Tokens in the key-value cache while it runs."""
         return self.prompt_tokens + self.generated
 
     def add_token(self) -> None:
-        """Generate one token, and the end of the stream after the last."""
+        """Generate one token, and end the stream after the last one."""
         text = f"{self.generated} "
         self.generated += 1
         is_last = self.generated >= self.length
@@ -75,7 +76,7 @@
         self.wake()
 
     def get_usage(self) -> dict:
-        """Usage as the interface reports it."""
+        """Return the token usage as the OpenAI interface reports it."""
         total = self.prompt_tokens + self.generated
         return {
             "prompt_tokens": self.prompt_tokens,
@@ -84,7 +85,7 @@
         }
 
     def make_answer(self) -> dict:
-        """The whole answer as the interface reports it."""
+        """Return the complete answer as the OpenAI interface reports it."""
         text = "".join(f"{number} " for number in range(self.generated))
         choice: dict = {"index": 0, "finish_reason": self.finish_reason}
         if self.is_chat:
@@ -96,9 +97,9 @@
         return {**base, "choices": [choice], "usage": self.get_usage()}
 
     def wake(self) -> None:
-        """Wake everybody who reads."""
-        self.news.set()
-        self.news = asyncio.Event()
+        """Wake all tasks that wait for events."""
+        self.updated.set()
+        self.updated = asyncio.Event()
 
     def _make_base(self) -> dict:
         kind = "chat.completion.chunk" if self.is_chat else "text_completion"
@@ -118,35 +119,35 @@
 
 
 class Engine:
-    """Scheduler, memory and interface."""
+    """Scheduler, key-value cache and HTTP interface of the engine."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self._options = options
-        self._random = random.Random(options.seed)
+        self._rng = random.Random(options.seed)
         self._waiting: list[Generation] = []
         self._running: list[Generation] = []
-        self._known: dict[str, Generation] = {}
+        self._generations: dict[str, Generation] = {}
         self._cached: dict[int, None] = {}
         self._counts = {"preemptions": 0, "cancelled": 0, "resumed": 0, "generations": 0}
         self._report = b""
-        self._work = asyncio.Event()
+        self._has_work = asyncio.Event()
 
     async def run_steps(self) -> None:
-        """Generate tokens, one step after another."""
+        """Generate tokens, step by step."""
         step_s = self._options.step_ms / 1000
         while True:
             if not self._waiting and not self._running:
-                self._work.clear()
-                await self._work.wait()
-            begun = time.monotonic()
+                self._has_work.clear()
+                await self._has_work.wait()
+            started = time.monotonic()
             prefill_tokens = self._admit()
             step = step_s + len(self._running) * self._options.sequence_us / 1e6
             step += prefill_tokens * self._options.prefill_us / 1e6
-            await asyncio.sleep(max(0.0, begun + step - time.monotonic()))
+            await asyncio.sleep(max(0.0, started + step - time.monotonic()))
             self._step()
 
     async def make_reports(self) -> None:
-        """Make load reports that show the state of a while ago."""
+        """Update the load report, which shows the state of ``--report-lag-ms`` before."""
         while True:
             report = self._make_report()
             await asyncio.sleep(self._options.report_lag_ms / 1000)
@@ -175,7 +176,10 @@
         prefill_tokens = 0
         while self._waiting and len(self._running) < self._options.max_batch:
             first = self._waiting[0]
-            if self._get_held() + first.held_tokens > self._options.kv_tokens and self._running:
+            if (
+                self._get_used_tokens() + first.held_tokens > self._options.kv_tokens
+                and self._running
+            ):
                 break
             self._running.append(self._waiting.pop(0))
             prefill_tokens += first.held_tokens - self._use_cache(first.prompt)
@@ -186,18 +190,18 @@
             generation.add_token()
             if generation.is_over:
                 self._running.remove(generation)
-                generation.left_at = time.monotonic()
-        while self._get_held() > self._options.kv_tokens and len(self._running) > 1:
+                generation.idle_since = time.monotonic()
+        while self._get_used_tokens() > self._options.kv_tokens and len(self._running) > 1:
             victim = max(self._running, key=lambda item: (item.priority, item.arrival))
             self._running.remove(victim)
             self._waiting.append(victim)
             self._counts["preemptions"] += 1
 
-    def _get_held(self) -> int:
+    def _get_used_tokens(self) -> int:
         return sum(generation.held_tokens for generation in self._running)
 
     def _use_cache(self, prompt: str) -> int:
-        """Tokens of the prompt found in the prefix cache; afterwards all of it is there."""
+        """Add a prompt to the prefix cache, and return how many of its tokens were cached."""
         size = BLOCK_TOKENS * BYTES_PER_TOKEN
         found = 0
         for end in range(size, len(prompt) + 1, size):
@@ -210,7 +214,7 @@
         return found
 
     def _make_report(self) -> bytes:
-        used = self._get_held() / self._options.kv_tokens
+        used = self._get_used_tokens() / self._options.kv_tokens
         blocks = self._options.kv_tokens // BLOCK_TOKENS
         lines = [
             f"vllm:num_requests_running {len(self._running)}",
@@ -232,14 +236,14 @@
         if CRASH_MARKER in prompt:
             asyncio.get_running_loop().call_later(CRASH_AFTER_S, os._exit, CRASH_CODE)
         marks = LENGTH_MARKER.findall(prompt)
-        drawn = int(self._random.lognormvariate(4.5, 1.0)) + 1
+        drawn = int(self._rng.lognormvariate(4.5, 1.0)) + 1
         length = int(marks[-1]) if marks else drawn
-        ident = request.headers.get("x-request-id") or f"{self._random.getrandbits(64):016x}"
+        ident = request.headers.get("x-request-id") or f"{self._rng.getrandbits(64):016x}"
         generation = Generation(ident, body, prompt, max(1, length), is_chat)
         self._counts["generations"] += 1
-        self._known[ident] = generation
+        self._generations[ident] = generation
         self._waiting.append(generation)
-        self._work.set()
+        self._has_work.set()
         if body.get("stream"):
             answer.start_events()
             await self._send_from(generation, 0, answer)
@@ -249,7 +253,7 @@
     async def _handle_resume(
         self, ident: str, request: http_server.Request, answer: http_server.Answer
     ) -> None:
-        generation = self._known.get(ident)
+        generation = self._generations.get(ident)
         if generation is None or generation.is_cancelled:
             answer.send_json(404, {"error": {"message": "no such generation"}})
             return
@@ -261,7 +265,7 @@
         await self._send_from(generation, replayed, answer)
 
     def _handle_cancel(self, ident: str, answer: http_server.Answer) -> None:
-        generation = self._known.get(ident)
+        generation = self._generations.get(ident)
         if generation is not None:
             self._cancel(generation)
         answer.send_json(200, {"cancelled": generation is not None})
@@ -270,10 +274,10 @@
         if generation.is_over:
             return
         generation.is_over = generation.is_cancelled = True
-        for held in (self._waiting, self._running):
-            if generation in held:
-                held.remove(generation)
-        generation.left_at = time.monotonic()
+        for queue in (self._waiting, self._running):
+            if generation in queue:
+                queue.remove(generation)
+        generation.idle_since = time.monotonic()
         self._counts["cancelled"] += 1
         generation.wake()
 
@@ -283,7 +287,7 @@
         generation.readers += 1
         try:
             while True:
-                news = generation.news
+                updated = generation.updated
                 ready = generation.events[index:]
                 if ready:
                     index += len(ready)
@@ -291,20 +295,20 @@
                 elif generation.is_over:
                     break
                 else:
-                    await news.wait()
+                    await updated.wait()
             answer.end_events()
         finally:
             generation.readers -= 1
-            generation.left_at = time.monotonic()
+            generation.idle_since = time.monotonic()
 
     async def _send_whole(self, generation: Generation, answer: http_server.Answer) -> None:
         generation.readers += 1
         try:
             while not generation.is_over:
-                await generation.news.wait()
+                await generation.updated.wait()
         finally:
             generation.readers -= 1
-            generation.left_at = time.monotonic()
+            generation.idle_since = time.monotonic()
         if generation.is_cancelled:
             answer.send_json(500, {"error": {"message": "cancelled"}})
         else:
@@ -312,11 +316,11 @@
 
     def _evict_abandoned(self) -> None:
         oldest = time.monotonic() - self._options.retain_ms / 1000
-        for ident, generation in list(self._known.items()):
-            if generation.readers or generation.left_at > oldest:
+        for ident, generation in list(self._generations.items()):
+            if generation.readers or generation.idle_since > oldest:
                 continue
             self._cancel(generation)
-            del self._known[ident]
+            del self._generations[ident]
 
 
 def parse_options(arguments: list[str]) -> argparse.Namespace:
--- a/tools/standins/http_server.py
+++ b/tools/standins/http_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the stand-ins."""
+"""Minimal HTTP/1.1 server for the stand-ins."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 
 
 class Request:
-    """A request: method, path, query, headers in lower case, body."""
+    """A request; names of headers are in lower case."""
 
     __slots__ = ("body", "headers", "method", "path", "query")
 
@@ -22,7 +22,7 @@
 
 
 class Answer:
-    """Writes one answer."""
+    """Writes the answer to one request."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self._writer = writer
@@ -30,28 +30,28 @@
     def send(
         self, status: int, body: bytes, *, content_type: str, headers: dict[str, str] | None = None
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         lines = [f"HTTP/1.1 {status} X", f"Content-Type: {content_type}"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         lines += [f"Content-Length: {len(body)}", "", ""]
         self._writer.write("\r\n".join(lines).encode() + body)
 
     def send_json(self, status: int, value: object) -> None:
-        """Send a JSON value."""
+        """Send a complete answer with a JSON body."""
         self.send(status, json.dumps(value).encode(), content_type="application/json")
 
     def start_events(self) -> None:
-        """Begin a stream of events."""
+        """Start an answer that is a stream of events."""
         head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         self._writer.write((head + "Transfer-Encoding: chunked\r\n\r\n").encode())
 
     async def send_events(self, data: bytes) -> None:
-        """Send a part of a stream."""
+        """Send events of a started stream."""
         self._writer.write(b"%x\r\n%b\r\n" % (len(data), data))
         await self._writer.drain()
 
     def end_events(self) -> None:
-        """End a stream."""
+        """End a started stream."""
         self._writer.write(b"0\r\n\r\n")
 
 
@@ -75,7 +75,7 @@
 
 
 class _Reader(asyncio.StreamReader):
-    """A reader that tells when the other side has gone, without being read."""
+    """Stream reader that detects the end of the connection without being read."""
 
     def __init__(self, limit: int) -> None:
         super().__init__(limit)
@@ -91,14 +91,14 @@
 
 
 async def serve(host: str, port: int, handler: Handler) -> asyncio.Server:
-    """Listen; each connection serves one request after another."""
+    """Listen at an address; the requests of a connection are served one after another."""
     return await asyncio.get_running_loop().create_server(
         _get_protocol_maker(handler), host, port, backlog=BACKLOG
     )
 
 
 async def serve_at(sock: socket.socket, handler: Handler) -> asyncio.Server:
-    """Listen at a bound socket."""
+    """Listen on a bound socket."""
     return await asyncio.get_running_loop().create_server(
         _get_protocol_maker(handler), sock=sock, backlog=BACKLOG
     )
--- a/tools/standins/platform.py
+++ b/tools/standins/platform.py
@@ -1,11 +1,11 @@
-"""Stand-in for the users' platform: its list of instances and the instances themselves.
-
-One process listens for the list and for every instance. A plain instance echoes; a model
-instance streams numbered events and lets a run go on at another instance from a copy. A test
-steers it by ``POST /_set`` at the list's address (``{"instance": .., "state": .., "dead": ..,
-"address": .., "limit": .., "rest": .., "leaving": ..}``) and reads ``GET /_runs`` and
-``GET /_arrivals``. A request whose body begins with :data:`CRASH_BODY` ends the instance that
-begins to run it; another one starts at the address a while later.
+"""Stand-in for the users' platform: the list of instances and the instances themselves.
+
+One process serves the list and all instances. A plain instance echoes requests; a model instance
+streams numbered events, and a run can continue at another instance from a copy. Tests control it
+by ``POST /_set`` at the address of the list (``{"instance": .., "state": .., "dead": ..,
+"address": .., "limit": .., "rest": .., "leaving": ..}``) and read ``GET /_runs``,
+``GET /_arrivals`` and ``GET /_ends``. A request whose body begins with :data:`CRASH_BODY` crashes
+the instance that runs it; after :data:`DOWN_S`, a new one starts at the address.
 """
 
 import argparse
@@ -21,22 +21,23 @@
 SIGNATURE = "X-Response-Signature"
 CRASH_BODY = b"end the instance"
 CRASH_AFTER_S = 0.1
-"""Time for which such a request runs."""
+"""Time for which such a request runs before the crash."""
 DOWN_S = 1.0
-"""Time after which another instance stands where one has ended."""
+"""Time between the crash of an instance and the start of the next one at its address."""
 
 
 class Instance:
-    """One instance.
+    """An instance of a service.
 
-    :ivar tasks: requests in hand, so that a dead instance cuts them off.
-    :ivar server: what listens at its address.
-    :ivar starts: processes that have served there.
-    :ivar listens: host and port at which it listens; its address may be that of a proxy.
-    :ivar is_down: the last one has ended under a request, and the next has not started.
+    :ivar tasks: tasks of requests in flight, which are cancelled when it crashes.
+    :ivar server: server that listens at its address.
+    :ivar starts: number of instances that have run at the address.
+    :ivar listens: host and port at which it listens; its listed address may be that of a proxy.
+    :ivar is_down: it has crashed, and the next instance has not started.
     :ivar limit: requests a second that it states in its answers; empty for none.
-    :ivar rest: seconds of rest that it asks for as it turns each request away; empty to take them.
-    :ivar says_leaving: it says in its answers that it leaves.
+    :ivar rest: pause in seconds that it asks for when it refuses each request; empty to accept
+        requests.
+    :ivar says_leaving: it states in its answers that it is leaving.
     """
 
     def __init__(self, name: str, service: str, address: str, zone: str) -> None:
@@ -59,13 +60,13 @@
 
     @property
     def stated_headers(self) -> dict[str, str]:
-        """What it says of itself in each answer to a request."""
+        """Headers about its own state in each answer."""
         headers = {"Server-Limit": self.limit} if self.limit else {}
         return headers | ({"Server-Leaving": "1"} if self.says_leaving else {})
 
     @property
-    def place(self) -> str:
-        """Name of the first process that served at the address."""
+    def base_name(self) -> str:
+        """Name of the first instance at the address."""
         return self.name.partition(".")[0]
 
     def describe(self) -> dict:
@@ -85,23 +86,23 @@
         return entry
 
     async def crash(self, platform: "Platform") -> None:
-        """End, and have another instance start at the address."""
+        """Crash, and start a new instance at the address after a while."""
         platform.ends.append({"instance": self.name, "at_s": time.monotonic()})
         self.is_down = True
         self.server.close()
-        # Bound and not listening: it refuses connections, and nobody else gets the port.
+        # A bound socket that does not listen refuses connections and reserves the port.
         sock = _bind(*self.listens)
         for task in list(self.tasks):
             task.cancel()
         await asyncio.sleep(DOWN_S)
         self.copies.clear()
         self.starts += 1
-        self.name = f"{self.place}.{self.starts}"
+        self.name = f"{self.base_name}.{self.starts}"
         self.is_down = False
         await platform.listen(self, sock)
 
     def start_again(self, started_ms: int) -> None:
-        """Forget all that ran here and take another start."""
+        """Restart under the same name, with a new start time and without previous state."""
         self.started_ms = started_ms
         self.copies.clear()
         for task in list(self.tasks):
@@ -109,7 +110,7 @@
 
 
 class Platform:
-    """The list and the instances."""
+    """The list of instances and the instances."""
 
     def __init__(self, step_ms: float) -> None:
         self._step_s = step_ms / 1000
@@ -122,7 +123,7 @@
         self.foreign: list[object] = []
 
     async def listen(self, instance: Instance, sock: socket.socket) -> None:
-        """Have an instance listen at a bound socket."""
+        """Let an instance listen on a bound socket."""
 
         def _handle(request, answer):
             return self.handle(instance, request, answer)
@@ -132,7 +133,7 @@
         instance.server = await http_server.serve_at(sock, _handle)
 
     async def handle_list(self, request: http_server.Request, answer: http_server.Answer) -> None:
-        """Answer at the list's address."""
+        """Answer a request at the address of the list."""
         if request.path == "/replicas":
             listed = [
                 item.describe()
@@ -168,7 +169,7 @@
     async def handle(
         self, instance: Instance, request: http_server.Request, answer: http_server.Answer
     ) -> None:
-        """Answer at an instance."""
+        """Answer a request at an instance."""
         if instance.is_dead or instance.is_down:
             raise ConnectionResetError
         task = asyncio.ensure_future(self._answer(instance, request, answer))
@@ -194,15 +195,15 @@
         elif request.headers.get("x-expected-replica") != instance.name:
             answer.send(421, b"", content_type="text/plain")
         else:
-            await self._take(instance, request, answer)
+            await self._accept(instance, request, answer)
 
-    async def _take(
+    async def _accept(
         self, instance: Instance, request: http_server.Request, answer: http_server.Answer
     ) -> None:
-        """Take a request that is meant for this instance."""
+        """Record the arrival of a request for this instance, and refuse or run it."""
         self.arrivals.append(
             {
-                "instance": instance.place,
+                "instance": instance.base_name,
                 "id": request.headers.get("x-request-id"),
                 "at_s": time.monotonic(),
             }
@@ -226,10 +227,10 @@
                 instance.copies.add(handle)
         answer.send_json(200, {"handle": handle, "made": 1})
 
-    def _note(self, instance: Instance, request: http_server.Request) -> None:
+    def _record_run(self, instance: Instance, request: http_server.Request) -> None:
         self._runs.append(
             {
-                "instance": instance.place,
+                "instance": instance.base_name,
                 "id": request.headers.get("x-request-id"),
                 "path": request.path,
                 "headers": request.headers,
@@ -249,7 +250,7 @@
     async def _echo(
         self, instance: Instance, request: http_server.Request, answer: http_server.Answer
     ) -> None:
-        self._note(instance, request)
+        self._record_run(instance, request)
         delay_ms = float(request.headers.get("x-delay-ms", "0"))
         if request.body.startswith(CRASH_BODY):
             delay_ms = 2_000 * CRASH_AFTER_S
@@ -269,7 +270,7 @@
                 answer.send(503, b"", content_type="text/plain")
                 return
             first = int(request.headers.get("last-event-id", "0")) + 1
-        self._note(instance, request)
+        self._record_run(instance, request)
         count = int(request.headers["x-token-usage"].split(",")[1])
         head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         head += f"X-Request-Id: {request.headers['x-request-id']}\r\n{SIGNATURE}: s\r\n"
@@ -284,7 +285,7 @@
 
 
 def _bind(host: str, port: int) -> socket.socket:
-    """Return a socket bound to an address, also while connections of a former one are open."""
+    """Return a socket bound to an address, even if connections of a previous one are open."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
--- a/tools/standins/proxy.py
+++ b/tools/standins/proxy.py
@@ -1,12 +1,12 @@
-"""A TCP proxy that makes a bad network: delay, stall, cut, drop after some bytes.
+"""Fault-injecting TCP proxy: delays, stalls, cuts and truncates connections.
 
-It is steered by lines of JSON on its control port. Each line sets the faults for one direction
-(``up`` towards the target, ``down`` from it) of present and future connections::
+It is controlled by lines of JSON on its control port. Each line sets the faults for one direction
+(``up`` towards the target, ``down`` from it) of current and future connections::
 
     {"direction": "down", "delay_ms": 50, "stall": false, "drop_after_bytes": null}
 
-``{"cut": true}`` closes every connection at once, ``{"refuse": true}`` also refuses new ones.
-Each line is answered by one with the bytes carried so far.
+``{"cut": true}`` resets all connections at once, ``{"refuse": true}`` refuses new ones. The answer
+to each line is a line with the number of bytes forwarded so far in each direction.
 """
 
 import argparse
@@ -17,21 +17,21 @@
 import sys
 
 CHUNK_BYTES = 65_536
-STALL_POLL_S = 0.01
+STALL_POLL_INTERVAL_S = 0.01
 
 
 class Faults:
-    """Faults of one direction."""
+    """Faults and byte count of one direction."""
 
     def __init__(self) -> None:
         self.delay_ms = 0.0
         self.stall = False
         self.drop_after_bytes: int | None = None
-        self.carried_bytes = 0
+        self.forwarded_bytes = 0
 
 
 class Proxy:
-    """Carries bytes between callers and one target."""
+    """Forwards connections to one target."""
 
     def __init__(self, target: str) -> None:
         self._host, _, port = target.rpartition(":")
@@ -40,8 +40,8 @@
         self._refuse = False
         self._writers: set[asyncio.StreamWriter] = set()
 
-    async def carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Carry one connection until either side ends it."""
+    async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Forward one connection until either side closes it."""
         if self._refuse:
             writer.transport.abort()
             return
@@ -65,11 +65,11 @@
                 item.close()
 
     async def control(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Take orders, one a line."""
+        """Handle orders from the control port, one a line."""
         while line := await reader.readline():
             self._apply_order(json.loads(line))
-            carried = {name: faults.carried_bytes for name, faults in self._faults.items()}
-            writer.write(json.dumps(carried).encode() + b"\n")
+            forwarded = {name: faults.forwarded_bytes for name, faults in self._faults.items()}
+            writer.write(json.dumps(forwarded).encode() + b"\n")
             await writer.drain()
         writer.close()
 
@@ -85,7 +85,7 @@
         faults.delay_ms = order.get("delay_ms", 0.0)
         faults.stall = order.get("stall", False)
         faults.drop_after_bytes = order.get("drop_after_bytes")
-        faults.carried_bytes = 0
+        faults.forwarded_bytes = 0
 
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, faults: Faults
@@ -94,23 +94,23 @@
             while data := await reader.read(CHUNK_BYTES):
                 await asyncio.sleep(faults.delay_ms / 1000)
                 while faults.stall:
-                    await asyncio.sleep(STALL_POLL_S)
+                    await asyncio.sleep(STALL_POLL_INTERVAL_S)
                 if faults.drop_after_bytes is not None:
-                    left = max(0, faults.drop_after_bytes - faults.carried_bytes)
+                    left = max(0, faults.drop_after_bytes - faults.forwarded_bytes)
                     data = data[:left]
-                faults.carried_bytes += len(data)
+                faults.forwarded_bytes += len(data)
                 writer.write(data)
                 await writer.drain()
-                if faults.carried_bytes == faults.drop_after_bytes:
-                    # The limit holds for one connection; what comes back later is carried.
+                if faults.forwarded_bytes == faults.drop_after_bytes:
+                    # The limit applies to one connection; later connections are forwarded.
                     faults.drop_after_bytes = None
                     return
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Carry until SIGTERM."""
+    """Forward connections until SIGTERM."""
     proxy = Proxy(options.target)
-    server = await asyncio.start_server(proxy.carry, options.host, options.port)
+    server = await asyncio.start_server(proxy.forward, options.host, options.port)
     control = await asyncio.start_server(proxy.control, options.host, 0)
     ports = [item.sockets[0].getsockname()[1] for item in (server, control)]
     print(f"ready port={ports[0]} control={ports[1]}", flush=True)
--- a/tools/standins/service.py
+++ b/tools/standins/service.py
@@ -1,8 +1,8 @@
-"""Stand-in for a plain service that records every run.
+"""Stand-in for a plain service that records every request.
 
-Each request is a run: its method, path, body and headers are recorded before it is answered.
-The query may ask for ``delay_ms`` before the answer, ``bytes`` of body, or a ``status``.
-``GET /_runs`` returns what was recorded, ``GET /metrics`` the load.
+The method, path, body and headers of a request are recorded before it is answered. The query may
+set ``delay_ms`` before the answer, the size of the body in ``bytes``, and the ``status``.
+``GET /_runs`` returns the recorded requests, ``GET /metrics`` the load.
 """
 
 import argparse
@@ -15,7 +15,7 @@
 
 
 class Service:
-    """Records and answers."""
+    """Records requests and answers them."""
 
     def __init__(self, name: str) -> None:
         self._name = name
--- a/tools/try_it.py
+++ b/tools/try_it.py
@@ -1,4 +1,4 @@
-"""What ``tools/try-it`` runs: a small fleet, one chat answer, one plain call."""
+"""Demonstration run by ``tools/try-it``: a small fleet, one chat answer, one plain call."""
 
 import argparse
 import http.client
@@ -19,7 +19,7 @@
 
 
 def start(running: fleet.Fleet, api_key: str) -> None:
-    """Start everything and put the table in force."""
+    """Start all processes and apply the table."""
     for name in ENGINES:
         running.start_engine(name, "--model", MODEL)
     running.start_service("countdesk-1")
@@ -74,7 +74,7 @@
 
 
 def print_decisions(running: fleet.Fleet) -> None:
-    """Print the entries' log lines for their decisions."""
+    """Print the decisions that the entries have logged."""
     print("decisions:")
     for name in ENTRIES:
         for record in running.processes[name].get_records():
@@ -98,7 +98,7 @@
 
 
 def main() -> int:
-    """Run the trial and return the exit code."""
+    """Run the demonstration and return the exit code."""
     parser = argparse.ArgumentParser(prog="try-it", description="Try spoolhead on this machine.")
     parser.add_argument("--stay", action="store_true", help="serve until SIGTERM")
     options = parser.parse_args()
--- a/tools/write_result_codes.py
+++ b/tools/write_result_codes.py
@@ -1,4 +1,4 @@
-"""Writes ``docs/RESULT_CODES.md`` from the list of result codes in the source."""
+"""Generates ``docs/RESULT_CODES.md`` from the list of result codes in the source."""
 
 import pathlib
 
@@ -23,11 +23,11 @@
 
 
 def make_page() -> str:
-    """Return the page's text."""
+    """Return the text of the page."""
     lines = []
-    for code, facts in codes.CODE_INFO.items():
-        status = int(facts.status) if facts.status is not None else "-"
-        lines.append(f"| {int(code)} | {code.name} | {status} | {facts.meaning} |")
+    for code, info in codes.CODE_INFO.items():
+        status = int(info.status) if info.status is not None else "-"
+        lines.append(f"| {int(code)} | {code.name} | {status} | {info.meaning} |")
     return HEAD + "\n".join(lines) + "\n"
 
 
--- a/tools/write_settings_page.py
+++ b/tools/write_settings_page.py
@@ -1,4 +1,4 @@
-"""Writes ``docs/SETTINGS.md`` from the settings types in the source."""
+"""Generates ``docs/SETTINGS.md`` from the settings classes in the source."""
 
 import dataclasses
 import pathlib
@@ -35,7 +35,7 @@
 
 
 def get_classes():
-    """Return the settings types, programs and parts, in the order of the source."""
+    """Return the settings classes of programs and of groups, in the order of the source."""
     return [
         item
         for item in vars(settings).values()
@@ -46,7 +46,7 @@
 
 
 def make_page():
-    """Return the page's text."""
+    """Return the text of the page."""
     return "\n".join([INTRODUCTION, *map(_make_section, get_classes())])
 
 
@@ -79,18 +79,18 @@
 
 
 def _get_section_reference(hint):
-    """Return where a group of settings is told; a setting of its own must have a meaning."""
+    """Return a reference to the section of a group of settings; empty for a single setting."""
     names = [cls.__name__ for cls in get_classes() if cls.__name__ in _get_type(hint)]
     return f"see {names[0]}" if names else ""
 
 
 def _unwrap(hint):
-    """Return a type without its annotations, and those."""
-    notes = []
+    """Return a type without its annotations, and the annotations."""
+    annotations = []
     while typing.get_origin(hint) is typing.Annotated:
         hint, *more = typing.get_args(hint)
-        notes += more
-    return hint, notes
+        annotations += more
+    return hint, annotations
 
 
 def _get_type(hint):
@@ -121,23 +121,23 @@
 
 
 def _get_bounds(hint):
-    plain, notes = _unwrap(hint)
+    plain, annotations = _unwrap(hint)
     texts = []
     if typing.get_origin(plain) in _UNIONS:
         texts += [_get_bounds(part) for part in typing.get_args(plain)]
-    for note in notes:
-        parts = note.metadata if isinstance(note, pydantic.fields.FieldInfo) else [note]
+    for item in annotations:
+        parts = item.metadata if isinstance(item, pydantic.fields.FieldInfo) else [item]
         texts += [_get_bound(part) for part in parts]
     return ", ".join(text for text in texts if text)
 
 
-def _get_bound(note):
+def _get_bound(item):
     signs = {"gt": "above", "ge": "at least", "lt": "below", "le": "at most"}
-    texts = [f"{text} {getattr(note, name)}" for name, text in signs.items() if hasattr(note, name)]
-    if getattr(note, "min_length", None):
-        texts.append(f"length {note.min_length} or more")
-    if getattr(note, "pattern", None):
-        texts.append("`" + note.pattern.replace("|", "\\|") + "`")
+    texts = [f"{text} {getattr(item, name)}" for name, text in signs.items() if hasattr(item, name)]
+    if getattr(item, "min_length", None):
+        texts.append(f"length {item.min_length} or more")
+    if getattr(item, "pattern", None):
+        texts.append("`" + item.pattern.replace("|", "\\|") + "`")
     return ", ".join(texts)
 
 
