--- a/tests/unit/test_clocks.py
+++ b/tests/unit/test_clocks.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended and goes on: ages, deadlines and timers count that time."""
+"""Ages, deadlines and timers count the time in which the machine is suspended."""
 
 import logging
 import pathlib
@@ -15,11 +15,11 @@
 from spoolhead._internal.utils import clocks
 
 SOURCES = pathlib.Path(__file__).parents[2] / "src"
-SUSPENDED_S = 1.5
+SUSPENSION_S = 1.5
 
 
 class Machine:
-    """A machine that can be suspended."""
+    """Simulates suspensions of the machine by patching ``time.clock_gettime``."""
 
     def __init__(self, monkeypatch):
         self._suspended_s = 0.0
@@ -41,19 +41,19 @@
 
 
 def _make_loop():
-    """Return a loop that ends after its first turn in which a timer is due."""
-    made = loops.Loop(lambda: None)
-    made.scheduler.call_later(0.05, made.finish)
-    return made
+    """Return a loop that ends after the first turn in which a timer of 0.05 s is due."""
+    loop = loops.Loop(lambda: None)
+    loop.scheduler.call_later(0.05, loop.finish)
+    return loop
 
 
 def test_no_program_counts_by_a_clock_that_leaves_suspension_out():
-    users = [
+    modules = [
         path.name
         for path in SOURCES.rglob("*.py")
         if re.search(r"time\.(monotonic|perf_counter)\b", path.read_text())
     ]
-    assert users == ["clocks.py"]
+    assert modules == ["clocks.py"]
 
 
 @pytest.mark.parametrize(
@@ -62,21 +62,23 @@
 def test_a_callers_deadline_does_not_wait_for_the_machine(machine, kind):
     setting = gateway_setting.Setting(kind)
     before_ms = setting.exchange.remaining_ms
-    machine.suspend(SUSPENDED_S)
-    assert setting.exchange.remaining_ms <= before_ms - SUSPENDED_S * 1000
+    machine.suspend(SUSPENSION_S)
+    assert setting.exchange.remaining_ms <= before_ms - SUSPENSION_S * 1000
 
 
 def test_what_is_passed_on_after_a_suspension_ends_with_the_callers_deadline(machine):
     setting = gateway_setting.Setting(route_table.RequestKind.REPEATABLE)
-    machine.suspend(SUSPENDED_S)
+    machine.suspend(SUSPENSION_S)
     setting.last.send()
     setting.last.lose()
     assert len(setting.calls.attempts) == 2
-    assert int(setting.last.get_header("x-request-deadline")) <= 2_000 - SUSPENDED_S * 1000
+    assert int(setting.last.get_header("x-request-deadline")) <= 2_000 - SUSPENSION_S * 1000
 
 
 def test_a_leader_that_was_suspended_leads_no_more_before_it_is_asked_anything():
-    """Its timer is due first; by the steady clock it would think that it was heard just now."""
+    """Its timer runs first. By the monotonic clock it would seem to have heard from the others
+    just now.
+    """
     group = consensus_group.Group(1)
     group.settle(2.0)
     (leader,) = [node for node in group.up() if node.consensus.is_leader]
@@ -92,10 +94,10 @@
     events = gateway_setting.make_events(1, 3)
     setting.last.answer(200, gateway_setting.SIGNED, events, whole=False)
     setting.leave(setting.last.address.removesuffix(":80"))
-    machine.suspend(SUSPENDED_S)
+    machine.suspend(SUSPENSION_S)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     assert len(setting.calls.attempts) == 2
-    assert int(setting.last.get_header("x-request-deadline")) <= 2_000 - SUSPENDED_S * 1000
+    assert int(setting.last.get_header("x-request-deadline")) <= 2_000 - SUSPENSION_S * 1000
 
 
 def test_news_of_a_hall_grows_old_while_the_machine_is_suspended(machine):
@@ -105,8 +107,8 @@
     ages = [shared_load.HallAge("hall-b", 0)]
     update = shared_load.Update(sequence=1, rows={}, ages=ages, alarms=[], counted=1)
     view.handle_update(update, clocks.get_s())
-    machine.suspend(SUSPENDED_S)
-    assert view.get_age_ms(clocks.get_s()) >= SUSPENDED_S * 1000
+    machine.suspend(SUSPENSION_S)
+    assert view.get_age_ms(clocks.get_s()) >= SUSPENSION_S * 1000
 
 
 def test_timers_that_came_due_meanwhile_run_at_once_and_the_log_tells(machine, caplog):
@@ -122,17 +124,17 @@
 
 
 def test_what_came_due_goes_before_what_has_arrived(machine):
-    """What was known is looked at anew before anything is served by it."""
+    """Guards against requests that are served with state that is outdated after a suspension."""
     ran = []
     loop = _make_loop()
-    here, there = socket.socketpair()
-    here.setblocking(False)
+    local, remote = socket.socketpair()
+    local.setblocking(False)
 
     def _read(sock):
         ran.append("bytes")
         sock.recv(10)
 
-    loop.poller.add_direct_reader(loop, here, _read)
+    loop.poller.add_direct_reader(loop, local, _read)
     loop.scheduler.call_later(0.4, lambda: ran.append("timer"))
 
     poller = loop.poller._poller
@@ -140,7 +142,7 @@
     class _Poller:
         def poll(self, *arguments):
             machine.suspend(5.0)
-            there.send(b"x")
+            remote.send(b"x")
             return poller.poll(*arguments)
 
         def __getattr__(self, name):
@@ -148,6 +150,6 @@
 
     loop.poller._poller = _Poller()
     loop.run()
-    here.close()
-    there.close()
+    local.close()
+    remote.close()
     assert ran[:2] == ["timer", "bytes"]
--- a/tests/unit/test_deploy_build.py
+++ b/tests/unit/test_deploy_build.py
@@ -1,4 +1,4 @@
-"""The build that puts the programs beside their libraries."""
+"""deploy/build compiles the programs and installs them beside their libraries."""
 
 import pathlib
 import shutil
@@ -7,18 +7,18 @@
 BUILD = pathlib.Path(__file__).parents[2] / "deploy" / "build"
 
 
-def _make(folder):
+def _make_tree(folder):
     (folder / "deploy").mkdir()
     (folder / "deploy" / "requirements.txt").touch()
     deps = folder / "target" / "deps"
     deps.mkdir(parents=True)
     (deps / ".installed").touch()
     shutil.copy(BUILD, folder / "deploy" / "build")
-    _write(folder, "VALUE = 1\n")
+    _write_source(folder, "VALUE = 1\n")
     return deps / "spoolhead"
 
 
-def _write(folder, text):
+def _write_source(folder, text):
     package = folder / "src" / "spoolhead"
     package.mkdir(parents=True, exist_ok=True)
     (package / "__init__.py").write_text(text)
@@ -30,9 +30,9 @@
 
 
 def test_the_programs_are_put_in_place_compiled_and_nothing_else_is_left(tmp_path):
-    programs = _make(tmp_path)
+    programs = _make_tree(tmp_path)
     for number in (1, 2):
-        _write(tmp_path, f"VALUE = {number}\n")
+        _write_source(tmp_path, f"VALUE = {number}\n")
         assert _build(tmp_path) == 0
         assert (programs / "__init__.py").read_text() == f"VALUE = {number}\n"
         (compiled,) = (programs / "__pycache__").iterdir()
@@ -42,9 +42,11 @@
 
 
 def test_a_build_that_fails_leaves_the_programs_as_they_were(tmp_path):
-    """Guards against a process that starts while its programs are gone."""
-    programs = _make(tmp_path)
+    """Guards against a failed build that removes the installed programs, so that a process that
+    starts meanwhile does not find them.
+    """
+    programs = _make_tree(tmp_path)
     assert _build(tmp_path) == 0
-    _write(tmp_path, "VALUE = = 2\n")
+    _write_source(tmp_path, "VALUE = = 2\n")
     assert _build(tmp_path) != 0
     assert (programs / "__init__.py").read_text() == "VALUE = 1\n"
--- a/tests/unit/test_direct_server.py
+++ b/tests/unit/test_direct_server.py
@@ -1,4 +1,4 @@
-"""The listening side of an entry's callers."""
+"""The TCP server that accepts callers' connections."""
 
 from spoolhead._internal.network import direct_server
 
--- a/tests/unit/test_disk_refusals.py
+++ b/tests/unit/test_disk_refusals.py
@@ -1,4 +1,4 @@
-"""A disk that refuses writes is told of once, and once more when it is over."""
+"""A series of refused writes is logged once when it begins and once when it ends."""
 
 import logging
 
--- a/tests/unit/test_document_delta.py
+++ b/tests/unit/test_document_delta.py
@@ -1,4 +1,4 @@
-"""Differences between documents give the newer one back, or an error, never a third one."""
+"""Applying a delta returns the new document or raises an error; never another document."""
 
 import json
 
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt names tests that there are, three at most."""
+"""KNOWN-RED.txt lists only tests that exist, and at most three."""
 
 import ast
 
--- a/tests/unit/test_logs.py
+++ b/tests/unit/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one JSON object each, bounded, and never waiting for whoever reads them."""
+"""Log lines are JSON objects, limited in rate, and written without blocking on the reader."""
 
 import errno
 import json
@@ -11,7 +11,7 @@
 
 
 class _Pipe:
-    """A pipe whose writing end stands for standard output."""
+    """A pipe whose write end replaces standard output."""
 
     def __init__(self):
         self.read_end, self.write_end = os.pipe()
@@ -33,10 +33,10 @@
 
 @pytest.fixture
 def pipe():
-    made = _Pipe()
-    yield made
-    os.close(made.read_end)
-    os.close(made.write_end)
+    pipe = _Pipe()
+    yield pipe
+    os.close(pipe.read_end)
+    os.close(pipe.write_end)
 
 
 def _make_handler(pipe):
@@ -62,12 +62,12 @@
     handler = _make_handler(pipe)
     for number in range(logs.MAX_BURST_LINES):
         handler.emit(_make_record("x" * 200, number=number))
-    kept = pipe.read_lines()
-    assert 0 < len(kept) < logs.MAX_BURST_LINES
+    written = pipe.read_lines()
+    assert 0 < len(written) < logs.MAX_BURST_LINES
     handler.emit(_make_record("late", level=logging.ERROR))
-    note, last = pipe.read_lines()
-    assert note["text"] == "log lines dropped"
-    assert note["count"] == logs.MAX_BURST_LINES - len(kept)
+    dropped, last = pipe.read_lines()
+    assert dropped["text"] == "log lines dropped"
+    assert dropped["count"] == logs.MAX_BURST_LINES - len(written)
     assert last["text"] == "late"
 
 
@@ -99,5 +99,5 @@
         patch.setattr(os, "write", _refuse)
         handler.emit(_make_record("lost"))
     handler.emit(_make_record("written"))
-    note, line = pipe.read_lines()
-    assert (note["count"], line["text"]) == (1, "written")
+    dropped, line = pipe.read_lines()
+    assert (dropped["count"], line["text"]) == (1, "written")
--- a/tests/unit/test_messages.py
+++ b/tests/unit/test_messages.py
@@ -1,3 +1,5 @@
+"""Encoding and decoding of messages between processes, the handshake, and stream tokens."""
+
 import typing
 
 import hypothesis
@@ -66,7 +68,7 @@
     position %= len(text)
     changed = text[:position] + chr(change) + text[position + 1 :]
     parsed = stream_token.parse_token(KEY, changed)
-    # The last character holds bits that are no part of the data.
+    # The last character contains bits that are not part of the data.
     if position < len(text) - 1 and changed != text:
         assert parsed is None
 
@@ -78,9 +80,9 @@
 
 def test_no_two_messages_share_a_tag():
     groups = (messages.CLASSES, route_messages.CLASSES, consensus_messages.CLASSES)
-    every = {**groups[0], **groups[1], **groups[2]}
-    own = set(groups[0]) - set(groups[1]) - set(groups[2])
-    assert len(every) == len(own) + len(groups[1]) + len(groups[2])
-    assert len(set(every.values())) == len(every)
-    for tag, cls in every.items():
+    all_classes = {**groups[0], **groups[1], **groups[2]}
+    own_tags = set(groups[0]) - set(groups[1]) - set(groups[2])
+    assert len(all_classes) == len(own_tags) + len(groups[1]) + len(groups[2])
+    assert len(set(all_classes.values())) == len(all_classes)
+    for tag, cls in all_classes.items():
         assert messages.CLASSES[tag] is cls
--- a/tests/unit/test_platform.py
+++ b/tests/unit/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's settings, tables, lists and headers read into the product's types."""
+"""The adapter decodes the platform's settings, route tables, lists of instances and headers."""
 
 import json
 
--- a/tests/unit/test_request_reader.py
+++ b/tests/unit/test_request_reader.py
@@ -1,3 +1,5 @@
+"""The parser of callers' requests accepts valid requests only and enforces the limits."""
+
 import hypothesis
 import pytest
 from hypothesis import strategies
--- a/tests/unit/test_result_codes.py
+++ b/tests/unit/test_result_codes.py
@@ -1,3 +1,5 @@
+"""docs/RESULT_CODES.md is up to date with the list of result codes."""
+
 import pathlib
 
 import write_result_codes
--- a/tests/unit/test_scheduler.py
+++ b/tests/unit/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Timers: a process that stood still says so."""
+"""A stall of the process is logged by its timers."""
 
 import logging
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,3 +1,5 @@
+"""Validation of settings files and of the table; every fault is reported with its path."""
+
 import json
 
 import pytest
--- a/tests/unit/test_settings_page.py
+++ b/tests/unit/test_settings_page.py
@@ -1,4 +1,4 @@
-"""The page of settings says what the types say."""
+"""docs/SETTINGS.md is up to date with the settings classes."""
 
 import dataclasses
 import pathlib
--- a/tests/unit/test_settings_watch.py
+++ b/tests/unit/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a program runs."""
+"""A changed settings file is applied while a program runs."""
 
 import pytest
 
@@ -11,10 +11,10 @@
     def __init__(self):
         self.on_reload = None
         self.scheduler = self
-        self.looks = []
+        self.checks = []
 
     def call_every(self, interval_s, call):
-        self.looks.append(call)
+        self.checks.append(call)
 
 
 def _read(path):
@@ -29,28 +29,28 @@
 def watched(tmp_path):
     path = tmp_path / "settings"
     path.write_text("one")
-    loop, taken = _Loop(), []
-    settings_watch.SettingsWatch(loop, str(path), _read, taken.append)
-    return path, loop, taken
+    loop, applied = _Loop(), []
+    settings_watch.SettingsWatch(loop, str(path), _read, applied.append)
+    return path, loop, applied
 
 
 def test_a_signal_reads_the_file_again(watched):
-    _, loop, taken = watched
+    _, loop, applied = watched
     loop.on_reload()
-    assert taken == ["one"]
+    assert applied == ["one"]
 
 
 def test_a_file_that_changes_without_a_signal_is_noticed_once(watched):
-    path, loop, taken = watched
+    path, loop, applied = watched
     path.write_text("another")
-    loop.looks[0]()
-    loop.looks[0]()
-    assert taken == ["another"]
+    loop.checks[0]()
+    loop.checks[0]()
+    assert applied == ["another"]
 
 
 def test_settings_that_are_no_good_change_nothing(watched):
-    path, loop, taken = watched
+    path, loop, applied = watched
     path.write_text("bad")
-    loop.looks[0]()
+    loop.checks[0]()
     loop.on_reload()
-    assert taken == []
+    assert applied == []
--- a/tests/unit/test_shared_load.py
+++ b/tests/unit/test_shared_load.py
@@ -1,4 +1,4 @@
-"""The datagrams that tell loads: what is written is read again, and nothing else is taken."""
+"""Datagrams that share loads decode to what was encoded; all other bytes raise ValueError."""
 
 import contextlib
 import math
@@ -131,10 +131,10 @@
         stated=strategies.builds(rate_limit.AgedLimit, strategies.just(7), _limit, _numbers),
     )
 )
-def test_an_ask_for_a_permit_is_read_as_written(ask):
-    read = shared_load.decode(permits.encode_permit_request(ask))
+def test_an_ask_for_a_permit_is_read_as_written(permit_request):
+    read = shared_load.decode(permits.encode_permit_request(permit_request))
     assert isinstance(read, permits.PermitRequest)
-    assert _get_values(read) == _get_values(ask)
+    assert _get_values(read) == _get_values(permit_request)
 
 
 @hypothesis.given(
--- a/tests/unit/test_upstream_calls.py
+++ b/tests/unit/test_upstream_calls.py
@@ -1,4 +1,4 @@
-"""Which connections to upstreams are used again, and which never."""
+"""Connections to upstreams are reused only after a complete answer with nothing after it."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 class _User:
     def __init__(self):
-        self.ends = 0
+        self.end_count = 0
         self.losses = []
 
     def on_answer_head(self, status, headers):
@@ -29,7 +29,7 @@
         pass
 
     def on_answer_end(self):
-        self.ends += 1
+        self.end_count += 1
 
     def on_call_lost(self, reason):
         self.losses.append(reason)
@@ -45,12 +45,12 @@
     return upstream_calls.UpstreamCalls(_Loop, outgoing, settings.UpstreamSettings())
 
 
-def _ask(calls, outgoing, answer=WHOLE, *, fresh=False):
+def _call(calls, outgoing, answer=WHOLE, *, fresh=False):
     user = _User()
     call = calls.open(ADDRESS, b"GET / HTTP/1.1\r\n\r\n", user, fresh=fresh)
     if answer is not None:
         outgoing.opened[-1].user.on_data(answer)
-        assert user.ends == 1
+        assert user.end_count == 1
     return call
 
 
@@ -64,8 +64,8 @@
     ids=["length", "empty", "chunked"],
 )
 def test_a_connection_is_used_again_after_a_whole_answer(calls, outgoing, answer):
-    assert not _ask(calls, outgoing, answer).is_reused
-    assert _ask(calls, outgoing).is_reused
+    assert not _call(calls, outgoing, answer).is_reused
+    assert _call(calls, outgoing).is_reused
     assert len(outgoing.opened) == 1
 
 
@@ -79,34 +79,34 @@
     ids=["close", "old version", "more than one answer"],
 )
 def test_a_connection_is_not_used_again_after_any_other(calls, outgoing, answer):
-    _ask(calls, outgoing, answer)
+    _call(calls, outgoing, answer)
     assert outgoing.opened[0].is_closed
-    assert not _ask(calls, outgoing).is_reused
+    assert not _call(calls, outgoing).is_reused
 
 
 def test_a_fresh_call_uses_no_kept_connection(calls, outgoing):
-    _ask(calls, outgoing)
-    assert not _ask(calls, outgoing, fresh=True).is_reused
+    _call(calls, outgoing)
+    assert not _call(calls, outgoing, fresh=True).is_reused
     assert len(outgoing.opened) == 2
 
 
 def test_the_connection_of_a_fresh_call_is_closed_after_its_answer(calls, outgoing):
-    """Upstreams bound the connections of all callers together, resting ones included."""
-    _ask(calls, outgoing, fresh=True)
+    """Upstreams limit the connections from all entries together, including idle ones."""
+    _call(calls, outgoing, fresh=True)
     assert outgoing.opened[0].is_closed
-    assert not _ask(calls, outgoing).is_reused
+    assert not _call(calls, outgoing).is_reused
 
 
 def test_a_kept_connection_that_ends_is_not_used_again(calls, outgoing):
-    _ask(calls, outgoing)
+    _call(calls, outgoing)
     link = outgoing.opened[0]
     link.is_closed = True
     link.user.on_lost(links.CLOSED_CLEANLY)
-    _ask(calls, outgoing)
+    _call(calls, outgoing)
     assert len(outgoing.opened) == 2
 
 
 def test_bytes_on_a_connection_without_a_call_end_it(calls, outgoing):
-    _ask(calls, outgoing)
+    _call(calls, outgoing)
     outgoing.opened[0].user.on_data(WHOLE)
     assert outgoing.opened[0].is_closed
