--- a/src/spoolhead/_internal/models/instances.py
+++ b/src/spoolhead/_internal/models/instances.py
@@ -70,12 +70,12 @@
 
     :param before: instances of the previous reading by id.
     """
-    kept: dict[str, Instance] = {}
+    chosen: dict[str, Instance] = {}
     for item in listed:
-        other = kept.get(item.instance_id)
+        other = chosen.get(item.instance_id)
         if other is None or _is_preferred(item, other, before.get(item.instance_id)):
-            kept[item.instance_id] = item
-    return list(kept.values())
+            chosen[item.instance_id] = item
+    return list(chosen.values())
 
 
 def _is_preferred(item: Instance, other: Instance, known: Instance | None) -> bool:
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -27,7 +27,7 @@
 
 Headers = Sequence[tuple[str, str]]
 
-SWEEP_INTERVAL_S = 0.25
+DEADLINE_CHECK_INTERVAL_S = 0.25
 LINGER_TIMEOUT_S = 1.0
 MAX_LINGER_BYTES = 2_097_152
 """Limits on reading from a caller after its request was refused. Both leave ample room for the
@@ -115,7 +115,7 @@
             self._response.close = True
             head["Connection"] = "close"
         self.is_started = True
-        self._front.send(self._connection, self._get_head_bytes() + self._frame(first))
+        self._front.send(self._connection, self._get_head_bytes() + self._encode_chunk(first))
 
     def send_part(self, data: bytes) -> int:
         """Send a part of the body after :meth:`start_stream`.
@@ -124,7 +124,7 @@
         """
         if self.is_gone or self.is_finished:
             return -1
-        return self._front.send(self._connection, self._frame(data))
+        return self._front.send(self._connection, self._encode_chunk(data))
 
     def end_stream(self) -> None:
         """Mark the body after :meth:`start_stream` as complete."""
@@ -139,7 +139,7 @@
         self.is_finished = True
         self._front.close(self._connection)
 
-    def _frame(self, data: bytes) -> bytes:
+    def _encode_chunk(self, data: bytes) -> bytes:
         if not data or not self._response.chunked:
             return data
         return b"%x\r\n%b\r\n" % (len(data), data)
@@ -246,7 +246,7 @@
             (config.host, config.port), channel="callers", send_buffer_bytes=SEND_BUFFER_BYTES
         ).register(self)
         self._library = http.HTTP(self, channel=self.channel).register(self)
-        loop.scheduler.call_every(SWEEP_INTERVAL_S, self._sweep)
+        loop.scheduler.call_every(DEADLINE_CHECK_INTERVAL_S, self._close_expired)
 
     secure = False
     display_banner = False
@@ -325,12 +325,12 @@
         self._library._clients.pop(connection.sock, None)
         if close or connection.is_closing and not connection.waiting:
             connection.is_closing = True
-            self._end(connection)
+            self._close_or_linger(connection)
             return
         self._set_deadline(connection, restart=True)
-        self._begin_next(connection)
+        self._serve_next(connection)
 
-    def _end(self, connection: _Connection) -> None:
+    def _close_or_linger(self, connection: _Connection) -> None:
         # Closing a socket with unread bytes resets the connection, and the caller may lose the
         # refusal that was just sent. So the bytes of a refused caller are read for a while.
         if not connection.must_linger or self._server.get_unsent_bytes(connection.sock):
@@ -374,7 +374,7 @@
             return
         result = connection.reader.feed(data)
         if result.is_error():
-            self._refuse_bytes(connection, result.error)
+            self._refuse_request(connection, result.error)
             return
         if connection.reader.wants_continue and connection.current is None:
             connection.reader.wants_continue = False
@@ -385,10 +385,10 @@
         if self._is_over_pipeline_limit(connection):
             text = "too many requests sent ahead"
             item = fault.Fault(codes.ResultCode.TOO_MANY_PIPELINED, text)
-            self._refuse_bytes(connection, item)
+            self._refuse_request(connection, item)
             return
         self._set_deadline(connection, restart=bool(result.ok))
-        self._begin_next(connection)
+        self._serve_next(connection)
 
     @circuits.handler("read", priority=1.0)
     def _on_library_read(self, event: circuits.Event, sock: socket.socket, _data: bytes) -> None:
@@ -418,7 +418,7 @@
     def _on_library_close(self, sock: socket.socket) -> None:
         self._server.close_after_send(sock)
 
-    def _begin_next(self, connection: _Connection) -> None:
+    def _serve_next(self, connection: _Connection) -> None:
         if connection.current is None and connection.waiting:
             connection.deadline_s = None
             self.fire(net_events.read(connection.sock, _LIBRARY_REQUEST), self.channel)
@@ -435,7 +435,7 @@
         connection.deadline_s = None
         return caller
 
-    def _refuse_bytes(self, connection: _Connection, item: fault.Fault) -> None:
+    def _refuse_request(self, connection: _Connection, item: fault.Fault) -> None:
         # An earlier request may still be running. Its answer is more important than the refusal
         # of the bytes after it, so the connection is closed after that answer instead.
         connection.is_closing = True
@@ -465,7 +465,7 @@
         connection.phase = phase
         connection.deadline_s = clocks.get_s() + _get_timeout_ms(self._limits, phase) / 1000
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         now_s = clocks.get_s()
         for connection in list(self._connections.values()):
             if connection.deadline_s is None or now_s < connection.deadline_s:
@@ -475,7 +475,7 @@
                 self._server.close_now(connection.sock)
                 continue
             text = f"the {connection.phase.value} of the request took too long"
-            self._refuse_bytes(connection, fault.Fault(codes.ResultCode.REQUEST_TOO_SLOW, text))
+            self._refuse_request(connection, fault.Fault(codes.ResultCode.REQUEST_TOO_SLOW, text))
 
 
 def _get_timeout_ms(limits: settings.CallerLimits, phase: request_reader.Phase) -> int:
--- a/src/spoolhead/_internal/network/direct_poller.py
+++ b/src/spoolhead/_internal/network/direct_poller.py
@@ -22,7 +22,7 @@
     def __init__(self, before_dispatch: Callable[[], None] = lambda: None) -> None:
         super().__init__()
         self._before_dispatch = before_dispatch
-        self._direct: dict[socket.socket, Reader] = {}
+        self._direct_readers: dict[socket.socket, Reader] = {}
 
     def add_direct_reader(self, source: object, sock: socket.socket, reader: Reader) -> None:
         """Call a function whenever a socket is readable.
@@ -30,17 +30,19 @@
         :param source: component whose channel receives the socket's other events.
         :param reader: called with the socket.
         """
-        self._direct[sock] = reader
+        self._direct_readers[sock] = reader
         self.addReader(source, sock)
 
     def discard(self, fd: socket.socket) -> None:
         """Stop polling a socket."""
-        self._direct.pop(fd, None)
+        self._direct_readers.pop(fd, None)
         super().discard(fd)
 
     def _process(self, fileno: int, event: int) -> None:
         self._before_dispatch()
-        reader = self._direct.get(self._map.get(fileno)) if event == select.EPOLLIN else None
+        reader = (
+            self._direct_readers.get(self._map.get(fileno)) if event == select.EPOLLIN else None
+        )
         if reader is None:
             super()._process(fileno, event)
             return
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -216,13 +216,13 @@
         link = self._links.get(sock)
         if link is None:
             return
-        number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self.abort(link, os.strerror(number) if number else CLOSED_CLEANLY)
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        self.abort(link, os.strerror(error_number) if error_number else CLOSED_CLEANLY)
 
     def _finish_connecting(self, link: Link) -> None:
-        number = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if number:
-            self.abort(link, os.strerror(number))
+        error_number = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            self.abort(link, os.strerror(error_number))
             return
         link.is_connected = True
         if link.connect_timer is not None:
--- a/src/spoolhead/_internal/network/loop.py
+++ b/src/spoolhead/_internal/network/loop.py
@@ -34,7 +34,7 @@
         self.exceptions = 0
         self.on_reload: Callable[[], None] | None = None
         self._on_stop = on_stop
-        self._stopping = False
+        self._is_stopping = False
         # Without a handler, SIGHUP would terminate the program.
         signal.signal(signal.SIGHUP, self._signal_handler)
 
@@ -47,9 +47,9 @@
         event.stop()
         if number == signal.SIGHUP and self.on_reload is not None:
             self.on_reload()
-        if number not in (signal.SIGTERM, signal.SIGINT) or self._stopping:
+        if number not in (signal.SIGTERM, signal.SIGINT) or self._is_stopping:
             return
-        self._stopping = True
+        self._is_stopping = True
         logger.info("stop requested by signal %d", number)
         self._on_stop()
 
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -33,7 +33,7 @@
             self._sock = socket.create_connection(endpoints.split(address), self._timeout_s)
         except OSError as error:
             raise self._make_error(codes.ResultCode.PEER_UNREACHABLE, str(error)) from error
-        self._shake_hands(config.shared_key)
+        self._perform_handshake(config.shared_key)
 
     def __enter__(self) -> "PeerCall":
         return self
@@ -50,7 +50,7 @@
         self._send(question)
         return self._receive(kind)
 
-    def _shake_hands(self, shared_key: str) -> None:
+    def _perform_handshake(self, shared_key: str) -> None:
         challenge = self._receive(messages.Challenge)
         nonce = secrets.token_bytes(handshake.NONCE_BYTES)
         hello = handshake.make_hello(
--- a/src/spoolhead/_internal/network/request_reader.py
+++ b/src/spoolhead/_internal/network/request_reader.py
@@ -87,7 +87,7 @@
         self._raw_head_bytes = 0
         self._body_bytes = 0
         self._raw_body_bytes = 0
-        self._complete: list[WireRequest] = []
+        self._complete_requests: list[WireRequest] = []
         self.phase = Phase.IDLE
         self.wants_continue = False
 
@@ -103,7 +103,7 @@
             self._parser.feed_data(data)
             if self.phase is Phase.BODY:
                 self._count_raw_body(len(data))
-            elif not began_in_body and not self._complete:
+            elif not began_in_body and not self._complete_requests:
                 self._count_unfinished_head(len(data))
         except httptools.HttpParserUpgrade:
             return self._fail(codes.ResultCode.MALFORMED_REQUEST, "upgrades are not served")
@@ -115,7 +115,7 @@
             return expression.Error(error.fault)
         except httptools.HttpParserError as error:
             return self._fail(_get_code(str(error)), str(error))
-        complete, self._complete = self._complete, []
+        complete, self._complete_requests = self._complete_requests, []
         return expression.Ok(complete)
 
     def on_message_begin(self) -> None:
@@ -168,10 +168,10 @@
         """Finish a request; called by the parser."""
         self._request.body = b"".join(self._body)
         self._body = []
-        self._complete.append(self._request)
+        self._complete_requests.append(self._request)
         self.phase = Phase.IDLE
         self.wants_continue = False
-        if len(self._complete) > self._limits.pipelined:
+        if len(self._complete_requests) > self._limits.pipelined:
             raise _ReaderError(codes.ResultCode.TOO_MANY_PIPELINED, "too many requests sent ahead")
 
     def _count_unfinished_head(self, fed_bytes: int) -> None:
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -32,24 +32,24 @@
     :ivar due_s: time of the call by :func:`clocks.get_s`, in seconds.
     """
 
-    __slots__ = ("_call", "due_s")
+    __slots__ = ("_callback", "due_s")
 
     def __init__(self, due_s: float, call: Callable[[], None]) -> None:
         self.due_s = due_s
-        self._call: Callable[[], None] | None = call
+        self._callback: Callable[[], None] | None = call
 
     def cancel(self) -> None:
         """Cancel the call; no effect after it was made."""
-        self._call = None
+        self._callback = None
 
     @property
     def is_cancelled(self) -> bool:
         """Whether the call was cancelled or made."""
-        return self._call is None
+        return self._callback is None
 
     def run(self) -> None:
         """Make the call, unless it was cancelled."""
-        call, self._call = self._call, None
+        call, self._callback = self._callback, None
         if call is not None:
             call()
 
@@ -57,25 +57,25 @@
 class RepeatingTimer:
     """A call that is made at intervals."""
 
-    __slots__ = ("_call", "_interval_s", "_scheduler", "_timer")
+    __slots__ = ("_callback", "_interval_s", "_scheduler", "_timer")
 
     def __init__(self, scheduler: "Scheduler", interval_s: float, call: Callable[[], None]) -> None:
         self._scheduler = scheduler
         self._interval_s = interval_s
-        self._call: Callable[[], None] | None = call
+        self._callback: Callable[[], None] | None = call
         self._timer = scheduler.call_later(interval_s, self._run)
 
     def cancel(self) -> None:
         """Cancel all further calls."""
-        self._call = None
+        self._callback = None
         self._timer.cancel()
 
     def _run(self) -> None:
         try:
-            if self._call is not None:
-                self._call()
+            if self._callback is not None:
+                self._callback()
         finally:
-            if self._call is not None:
+            if self._callback is not None:
                 self._timer = self._scheduler.call_later(self._interval_s, self._run)
 
 
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -272,7 +272,7 @@
         self._outgoing = outgoing
         self._config = config
         self._idle: dict[str, collections.deque[_IdleLink]] = {}
-        self._background: collections.deque[_BackgroundCall] = collections.deque()
+        self._background_calls: collections.deque[_BackgroundCall] = collections.deque()
         loop.scheduler.call_every(config.idle_ms / 1000, self._close_idle)
 
     def open(
@@ -317,7 +317,7 @@
         A call that takes longer than the idle timeout of connections is cancelled.
         """
         if not call.is_over:
-            self._background.append(_BackgroundCall(call, clocks.get_s()))
+            self._background_calls.append(_BackgroundCall(call, clocks.get_s()))
 
     def forget(self, address: str) -> None:
         """Close the idle connections to an upstream that is no longer in use."""
@@ -334,10 +334,10 @@
 
     def _close_idle(self) -> None:
         oldest_s = clocks.get_s() - self._config.idle_ms / 1000
-        while self._background and (
-            self._background[0].call.is_over or self._background[0].since_s < oldest_s
+        while self._background_calls and (
+            self._background_calls[0].call.is_over or self._background_calls[0].since_s < oldest_s
         ):
-            ending = self._background.popleft()
+            ending = self._background_calls.popleft()
             if not ending.call.is_over:
                 ending.call.cancel()
         for address, idle in list(self._idle.items()):
--- a/src/spoolhead/_internal/utils/deflate.py
+++ b/src/spoolhead/_internal/utils/deflate.py
@@ -2,7 +2,7 @@
 
 import zlib
 
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """The fastest level: a table of 1,640 routes (413 KB) shrinks to a tenth in a few milliseconds."""
 MAX_UNPACKED_BYTES = 16_777_216
 """Maximum size of an unpacked document: four times the largest that operators may send."""
@@ -10,7 +10,7 @@
 
 def pack(document: bytes) -> bytes:
     """Return a document in compressed form."""
-    return zlib.compress(document, LEVEL)
+    return zlib.compress(document, COMPRESSION_LEVEL)
 
 
 def unpack(packed: bytes) -> bytes:
--- a/src/spoolhead/_internal/utils/disk_refusals.py
+++ b/src/spoolhead/_internal/utils/disk_refusals.py
@@ -19,18 +19,18 @@
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
-        self._began_s: float | None = None
+        self._refused_since_s: float | None = None
 
     def record_refused(self, error: Exception) -> None:
         """Record a refused write; the first of a series is logged."""
-        if self._began_s is None:
-            self._began_s = clocks.get_s()
+        if self._refused_since_s is None:
+            self._refused_since_s = clocks.get_s()
             fields = {"path": str(self._path), "reason": str(error)}
             logger.error("disk refuses writes", extra={"fields": fields})
 
     def record_success(self) -> None:
         """Record a successful write; the first after refused ones is logged."""
-        if self._began_s is not None:
-            fields = {"lost_ms": int((clocks.get_s() - self._began_s) * 1000)}
+        if self._refused_since_s is not None:
+            fields = {"lost_ms": int((clocks.get_s() - self._refused_since_s) * 1000)}
             logger.warning("disk takes writes again", extra={"fields": fields})
-            self._began_s = None
+            self._refused_since_s = None
--- a/src/spoolhead/_internal/utils/jsonc.py
+++ b/src/spoolhead/_internal/utils/jsonc.py
@@ -36,8 +36,8 @@
     value = dict(pairs)
     if len(value) != len(pairs):
         names = [name for name, _ in pairs]
-        twice = next(name for name in names if names.count(name) > 1)
-        raise _DuplicateKeyError(f"the name {twice!r} stands twice in one object")
+        duplicate = next(name for name in names if names.count(name) > 1)
+        raise _DuplicateKeyError(f"the name {duplicate!r} stands twice in one object")
     return value
 
 
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -33,7 +33,7 @@
 """The state that a line with this text gives holds until the process writes the next one, so it
 is collected regardless of its age."""
 _INSTANCE_FIELDS = ("upstream", "holder", "source", "target")
-_COMMON = frozenset({"time", "level", "logger", "text"})
+_COMMON_FIELDS = frozenset({"time", "level", "logger", "text"})
 
 
 class Line:
@@ -88,7 +88,7 @@
     except (ValueError, KeyError, TypeError):
         return None
     words = prefix.split()
-    others = {name: value for name, value in fields.items() if name not in _COMMON}
+    others = {name: value for name, value in fields.items() if name not in _COMMON_FIELDS}
     return Line(words[-1] if words else process, time_s, message, others)
 
 
--- a/src/spoolhead/platform/dialect.py
+++ b/src/spoolhead/platform/dialect.py
@@ -69,7 +69,7 @@
                 host=wire.get_header("host") or "",
                 api_key=_get_api_key(wire.get_header("authorization")),
                 wait_ms=max(0, int(float(deadline))) if deadline else None,
-                headers=_get_passed_headers(wire),
+                headers=_get_end_to_end_headers(wire),
                 generation=_read_generation(wire),
                 last_event_id=wire.get_header(names.LAST_EVENT_ID) or "",
             )
@@ -174,7 +174,7 @@
     return api_key.strip() if scheme.lower() == "bearer" else ""
 
 
-def _get_passed_headers(wire: request_reader.WireRequest) -> list[tuple[str, str]]:
+def _get_end_to_end_headers(wire: request_reader.WireRequest) -> list[tuple[str, str]]:
     listed = wire.get_header("connection") or ""
     listed_names = {name.strip().lower() for name in listed.split(",")}
     dropped = names.HOP_BY_HOP | names.SYSTEM_HEADERS | listed_names
--- a/tests/functional/test_deadly_requests.py
+++ b/tests/functional/test_deadly_requests.py
@@ -180,7 +180,7 @@
             for name, port in self._ports.items():
                 code = self._fleet.processes[name].exit_code
                 if code is not None:
-                    self.ends += code == engine.CRASH_CODE
+                    self.ends += code == engine.CRASH_EXIT_CODE
                     self.is_told_to_stop.wait(0.5)
                     self._fleet.start_engine(name, "--model", calls.MODEL, "--port", port)
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -152,7 +152,7 @@
         target=end["instance"].partition(".")[0],
         kind="kill",
         began_s=end["at_s"],
-        ended_s=end["at_s"] + platform.DOWN_S,
+        ended_s=end["at_s"] + platform.RESTART_DELAY_S,
     )
 
 
--- a/tests/unit/test_document_delta.py
+++ b/tests/unit/test_document_delta.py
@@ -1,4 +1,4 @@
-"""Applying a delta returns the new document or raises an error; never another document."""
+"""Applying a delta returns the new document or raises an error; never a third document."""
 
 import json
 
--- a/tools/standins/engine.py
+++ b/tools/standins/engine.py
@@ -27,7 +27,7 @@
 CRASH_MARKER = "[crash]"
 """An engine that runs a prompt with this text terminates."""
 CRASH_AFTER_S = 0.05
-CRASH_CODE = 3
+CRASH_EXIT_CODE = 3
 """Exit code of an engine that was crashed this way."""
 LENGTH_MARKER = re.compile(r"\[len=(\d+)\]")
 BLOCK_TOKENS = 16
@@ -127,7 +127,7 @@
         self._waiting: list[Generation] = []
         self._running: list[Generation] = []
         self._generations: dict[str, Generation] = {}
-        self._cached: dict[int, None] = {}
+        self._prefix_cache: dict[int, None] = {}
         self._counts = {"preemptions": 0, "cancelled": 0, "resumed": 0, "generations": 0}
         self._report = b""
         self._has_work = asyncio.Event()
@@ -182,7 +182,7 @@
             ):
                 break
             self._running.append(self._waiting.pop(0))
-            prefill_tokens += first.held_tokens - self._use_cache(first.prompt)
+            prefill_tokens += first.held_tokens - self._cache_prompt(first.prompt)
         return prefill_tokens
 
     def _step(self) -> None:
@@ -200,17 +200,17 @@
     def _get_used_tokens(self) -> int:
         return sum(generation.held_tokens for generation in self._running)
 
-    def _use_cache(self, prompt: str) -> int:
+    def _cache_prompt(self, prompt: str) -> int:
         """Add a prompt to the prefix cache, and return how many of its tokens were cached."""
         size = BLOCK_TOKENS * BYTES_PER_TOKEN
         found = 0
         for end in range(size, len(prompt) + 1, size):
             key = hash(prompt[:end])
-            if self._cached.pop(key, 0) is None and found == (end // size - 1) * BLOCK_TOKENS:
+            if self._prefix_cache.pop(key, 0) is None and found == (end // size - 1) * BLOCK_TOKENS:
                 found += BLOCK_TOKENS
-            self._cached[key] = None
-        while len(self._cached) * BLOCK_TOKENS > self._options.prefix_cache_tokens:
-            del self._cached[next(iter(self._cached))]
+            self._prefix_cache[key] = None
+        while len(self._prefix_cache) * BLOCK_TOKENS > self._options.prefix_cache_tokens:
+            del self._prefix_cache[next(iter(self._prefix_cache))]
         return found
 
     def _make_report(self) -> bytes:
@@ -234,7 +234,7 @@
             return
         prompt = json.dumps(body["messages"]) if is_chat else str(body["prompt"])
         if CRASH_MARKER in prompt:
-            asyncio.get_running_loop().call_later(CRASH_AFTER_S, os._exit, CRASH_CODE)
+            asyncio.get_running_loop().call_later(CRASH_AFTER_S, os._exit, CRASH_EXIT_CODE)
         marks = LENGTH_MARKER.findall(prompt)
         drawn = int(self._rng.lognormvariate(4.5, 1.0)) + 1
         length = int(marks[-1]) if marks else drawn
--- a/tools/standins/http_server.py
+++ b/tools/standins/http_server.py
@@ -93,18 +93,18 @@
 async def serve(host: str, port: int, handler: Handler) -> asyncio.Server:
     """Listen at an address; the requests of a connection are served one after another."""
     return await asyncio.get_running_loop().create_server(
-        _get_protocol_maker(handler), host, port, backlog=BACKLOG
+        _make_protocol_factory(handler), host, port, backlog=BACKLOG
     )
 
 
 async def serve_at(sock: socket.socket, handler: Handler) -> asyncio.Server:
     """Listen on a bound socket."""
     return await asyncio.get_running_loop().create_server(
-        _get_protocol_maker(handler), sock=sock, backlog=BACKLOG
+        _make_protocol_factory(handler), sock=sock, backlog=BACKLOG
     )
 
 
-def _get_protocol_maker(handler: Handler) -> Callable[[], asyncio.StreamReaderProtocol]:
+def _make_protocol_factory(handler: Handler) -> Callable[[], asyncio.StreamReaderProtocol]:
 
     async def _serve_connection(reader: _Reader, writer: asyncio.StreamWriter) -> None:
         try:
--- a/tools/standins/platform.py
+++ b/tools/standins/platform.py
@@ -5,7 +5,7 @@
 by ``POST /_set`` at the address of the list (``{"instance": .., "state": .., "dead": ..,
 "address": .., "limit": .., "rest": .., "leaving": ..}``) and read ``GET /_runs``,
 ``GET /_arrivals`` and ``GET /_ends``. A request whose body begins with :data:`CRASH_BODY` crashes
-the instance that runs it; after :data:`DOWN_S`, a new one starts at the address.
+the instance that runs it; after :data:`RESTART_DELAY_S`, a new one starts at the address.
 """
 
 import argparse
@@ -22,7 +22,7 @@
 CRASH_BODY = b"end the instance"
 CRASH_AFTER_S = 0.1
 """Time for which such a request runs before the crash."""
-DOWN_S = 1.0
+RESTART_DELAY_S = 1.0
 """Time between the crash of an instance and the start of the next one at its address."""
 
 
@@ -91,10 +91,10 @@
         self.is_down = True
         self.server.close()
         # A bound socket that does not listen refuses connections and reserves the port.
-        sock = _bind(*self.listens)
+        sock = _bind_socket(*self.listens)
         for task in list(self.tasks):
             task.cancel()
-        await asyncio.sleep(DOWN_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         self.copies.clear()
         self.starts += 1
         self.name = f"{self.base_name}.{self.starts}"
@@ -116,7 +116,7 @@
         self._step_s = step_ms / 1000
         self._runs: list[dict] = []
         self._handles = 0
-        self._crashes: set[asyncio.Task] = set()
+        self._crash_tasks: set[asyncio.Task] = set()
         self.ends: list[dict] = []
         self.arrivals: list[dict] = []
         self.instances: dict[str, Instance] = {}
@@ -239,8 +239,8 @@
         )
         if request.body.startswith(CRASH_BODY):
             crash = asyncio.ensure_future(self._crash(instance))
-            self._crashes.add(crash)
-            crash.add_done_callback(self._crashes.discard)
+            self._crash_tasks.add(crash)
+            crash.add_done_callback(self._crash_tasks.discard)
 
     async def _crash(self, instance: Instance) -> None:
         await asyncio.sleep(CRASH_AFTER_S)
@@ -284,7 +284,7 @@
         answer.end_events()
 
 
-def _bind(host: str, port: int) -> socket.socket:
+def _bind_socket(host: str, port: int) -> socket.socket:
     """Return a socket bound to an address, even if connections of a previous one are open."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -300,7 +300,7 @@
     for item in options.instance:
         name, service, zone = item.split(":")
         instance = Instance(name, service, "", zone)
-        await platform.listen(instance, _bind(options.host, 0))
+        await platform.listen(instance, _bind_socket(options.host, 0))
         platform.instances[name] = instance
     print(f"ready port={ports[0]}", flush=True)
     stop = asyncio.Event()
--- a/tools/standins/proxy.py
+++ b/tools/standins/proxy.py
@@ -37,12 +37,12 @@
         self._host, _, port = target.rpartition(":")
         self._port = int(port)
         self._faults = {"up": Faults(), "down": Faults()}
-        self._refuse = False
+        self._is_refusing = False
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Forward one connection until either side closes it."""
-        if self._refuse:
+        if self._is_refusing:
             writer.transport.abort()
             return
         try:
@@ -75,7 +75,7 @@
 
     def _apply_order(self, order: dict) -> None:
         if "refuse" in order:
-            self._refuse = order["refuse"]
+            self._is_refusing = order["refuse"]
         if order.get("cut"):
             for writer in self._writers:
                 writer.transport.abort()
--- a/tools/write_settings_page.py
+++ b/tools/write_settings_page.py
@@ -84,7 +84,7 @@
     return f"see {names[0]}" if names else ""
 
 
-def _unwrap(hint):
+def _split_annotations(hint):
     """Return a type without its annotations, and the annotations."""
     annotations = []
     while typing.get_origin(hint) is typing.Annotated:
@@ -94,7 +94,7 @@
 
 
 def _get_type(hint):
-    plain, _ = _unwrap(hint)
+    plain, _ = _split_annotations(hint)
     if typing.get_origin(plain) in _UNIONS:
         return " or ".join(_get_type(part) for part in typing.get_args(plain))
     if typing.get_origin(plain) is list:
@@ -103,7 +103,7 @@
 
 
 def _get_unit(name, hint):
-    plain, _ = _unwrap(hint)
+    plain, _ = _split_annotations(hint)
     for suffix, unit in UNITS.items():
         if name == suffix or name.endswith(f"_{suffix}"):
             return unit
@@ -121,7 +121,7 @@
 
 
 def _get_bounds(hint):
-    plain, annotations = _unwrap(hint)
+    plain, annotations = _split_annotations(hint)
     texts = []
     if typing.get_origin(plain) in _UNIONS:
         texts += [_get_bounds(part) for part in typing.get_args(plain)]
