--- a/src/spoolhead/_internal/models/settings.py
+++ b/src/spoolhead/_internal/models/settings.py
@@ -189,8 +189,8 @@
     :ivar shared_key: secret that the fleet's processes share.
     :ivar instance_list: the platform's list of upstream instances.
     :ivar metrics_port: port that serves counters and histograms; None for none.
-    :ivar hub_bytes_per_s: maximum rate at which this keeper sends the loads of entries to each
-        other.
+    :ivar hub_bytes_per_s: maximum rate at which this keeper, as a hub, sends the entries' loads to
+        other processes.
     :ivar answer_ms: maximum wait for the other keepers before an operator is told that the
         outcome is unknown.
     """
@@ -224,8 +224,8 @@
     :ivar ready_host: IP address for the load balancer's readiness probe.
     :ivar ready_port: port for that probe.
     :ivar peer_port: UDP port for the loads of the fleet's entries.
-    :ivar hub_bytes_per_s: maximum rate at which this entry sends the loads of entries to each
-        other, if no keeper that does so can be reached.
+    :ivar hub_bytes_per_s: maximum rate at which this entry, as a hub, sends the entries' loads to
+        other processes; it is a hub only if no keeper can be reached to be one.
     :ivar keepers: ``IP:PORT`` of the peer ports of some keepers.
     :ivar shared_key: secret that the fleet's processes share.
     :ivar instance_list: the platform's list of upstream instances.
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -151,10 +151,10 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._lose(f"not a valid answer: {error}")
+            self._abort(f"not a valid answer: {error}")
             return
         except httptools.HttpParserUpgrade:
-            self._lose("an upgrade that was not asked for")
+            self._abort("an upgrade that was not asked for")
             return
         if self._is_complete and not self.is_over:
             self._finish()
@@ -205,7 +205,7 @@
         """Record the end of the answer; called by the parser."""
         if not self._is_informational:
             self._is_complete = True
-            # The parser reports this correctly only within this callback.
+            # The parser discards the framing after this callback.
             self._may_reuse_link = self._parser.should_keep_alive() and not self._is_fresh
 
     def _finish(self) -> None:
@@ -217,7 +217,7 @@
             link.close()
         self._user.on_answer_end()
 
-    def _lose(self, reason: str) -> None:
+    def _abort(self, reason: str) -> None:
         if self._link is not None:
             self._link.close()
         if not self.is_over:
@@ -337,9 +337,9 @@
         while self._background_calls and (
             self._background_calls[0].call.is_over or self._background_calls[0].since_s < oldest_s
         ):
-            ending = self._background_calls.popleft()
-            if not ending.call.is_over:
-                ending.call.cancel()
+            item = self._background_calls.popleft()
+            if not item.call.is_over:
+                item.call.cancel()
         for address, idle in list(self._idle.items()):
             while idle and idle[0].since_s < oldest_s:
                 idle.popleft().link.close()
