--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -1,9 +1,9 @@
-"""Outgoing TCP connections, many in one component.
+"""Outgoing TCP connections that share one component.
 
-The event library's client is one component for each connection and polls while it connects.
-Registering a component makes the library look up all handlers again, which grows with the
-number of connections. Here all of them share one component and one channel, and connecting
-waits in the poller.
+The event library's client needs a component for each connection and polls while connecting. Each
+registration of a component makes the library look up all handlers again, at a cost that grows with
+the number of connections. Here all connections share one component and one channel, and the poller
+reports when a connection is established.
 """
 
 import collections
@@ -23,34 +23,37 @@
 
 READ_BYTES = 65_536
 CLOSED_CLEANLY = "closed by the other side"
-"""Reason of a loss that is an orderly end and not a reset."""
+"""Reason passed to :meth:`LinkUser.on_lost` after an orderly close, as opposed to a reset."""
 CONNECT_TIMEOUT = "connecting took too long"
 REFUSED = os.strerror(errno.ECONNREFUSED)
-"""Reason of a loss where a machine answers and no process listens at the port."""
-_TRY_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
+"""Reason passed to :meth:`LinkUser.on_lost` if the machine is up and no process listens at the
+port."""
+_RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
 class LinkUser(Protocol):
-    """What the owner of a link is told."""
+    """Callbacks of the component that uses a link."""
 
     def on_connected(self) -> None:
-        """The connection is made."""
+        """Called when the connection is established."""
 
     def on_data(self, data: bytes) -> None:
-        """Bytes arrived."""
+        """Called with received bytes."""
 
     def on_lost(self, reason: str) -> None:
-        """The connection is over, or was never made; nothing follows."""
+        """Called when the connection has ended or could not be made; the last call."""
 
 
 class Link:
-    """One outgoing connection.
+    """An outgoing connection.
 
     :ivar address: ``IP:PORT`` of the other side.
-    :ivar is_connected: the connection was made.
-    :ivar is_closed: the connection is over.
-    :ivar sent_bytes: bytes that the kernel has taken.
-    :ivar user: who is told of it; may be exchanged on an idle link.
+    :ivar connect_timer: ends the attempt to connect after its timeout.
+    :ivar is_connected: the connection was established.
+    :ivar is_closed: the connection has ended.
+    :ivar sent_bytes: bytes that were written to the socket.
+    :ivar sock: its socket.
+    :ivar user: receives the callbacks; may be replaced on an idle link.
     """
 
     __slots__ = (
@@ -77,7 +80,7 @@
         self.sent_bytes = 0
 
     def send(self, data: bytes) -> None:
-        """Send bytes, at once as far as the kernel takes them.
+        """Send bytes; those that cannot be written immediately are buffered.
 
         :param data: the bytes; ignored on a closed link.
         """
@@ -88,37 +91,37 @@
             self.flush()
 
     def close(self) -> None:
-        """Close the connection; the user is not told."""
+        """Close the connection without calling the user."""
         self._owner.drop(self)
 
     def flush(self) -> bool:
-        """Give the kernel what waits.
+        """Write buffered bytes to the socket.
 
-        :returns: whether nothing waits any more.
+        :returns: whether the buffer is empty.
         """
         while self._unsent:
             data = self._unsent[0]
             try:
                 sent = self.sock.send(data)
             except OSError as error:
-                if error.errno in _TRY_AGAIN:
+                if error.errno in _RETRYABLE_ERRNOS:
                     break
-                self._owner.lose_later(self, os.strerror(error.errno or 0))
+                self._owner.abort_later(self, os.strerror(error.errno or 0))
                 return False
             self.sent_bytes += sent
             if sent < len(data):
                 self._unsent[0] = data[sent:]
                 break
             self._unsent.popleft()
-        self._owner.watch_writing(self, bool(self._unsent))
+        self._owner.set_write_interest(self, bool(self._unsent))
         return not self._unsent
 
 
 class Links(circuits.BaseComponent):
     """All outgoing connections of a program.
 
-    :param loop: root of the program.
-    :param channel: channel that the poller's events for them use.
+    :param loop: event loop of the program.
+    :param channel: channel of the poller's events for the connections.
     """
 
     def __init__(self, loop: loops.Loop, *, channel: str) -> None:
@@ -129,11 +132,11 @@
         self._writing: set[socket.socket] = set()
 
     def open(self, address: str, user: LinkUser, *, connect_ms: int) -> Link:
-        """Begin a connection.
+        """Start connecting.
 
         :param address: ``IP:PORT`` to connect to.
-        :param user: who is told; never from within this call.
-        :param connect_ms: time for the connection to be made.
+        :param user: receives the callbacks; never called before this method returns.
+        :param connect_ms: timeout for connecting.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
@@ -142,27 +145,27 @@
         self._links[sock] = link
         result = sock.connect_ex(endpoints.split(address))
         if result not in (0, errno.EINPROGRESS):
-            self.lose_later(link, os.strerror(result))
+            self.abort_later(link, os.strerror(result))
             return link
         link.connect_timer = self._scheduler.call_later(
-            connect_ms / 1000, lambda: self.lose(link, CONNECT_TIMEOUT)
+            connect_ms / 1000, lambda: self.abort(link, CONNECT_TIMEOUT)
         )
-        self.watch_writing(link, True)
+        self.set_write_interest(link, True)
         return link
 
-    def lose(self, link: Link, reason: str) -> None:
-        """Close a link and tell its user why."""
+    def abort(self, link: Link, reason: str) -> None:
+        """Close a link and call its user's ``on_lost`` with the reason."""
         if link.is_closed:
             return
         self.drop(link)
         link.user.on_lost(reason)
 
-    def lose_later(self, link: Link, reason: str) -> None:
-        """Close a link in the next turn, so that a user is not told while it sends."""
-        self._scheduler.call_later(0, lambda: self.lose(link, reason))
+    def abort_later(self, link: Link, reason: str) -> None:
+        """Abort a link in the next turn of the loop: its user must not be called while it sends."""
+        self._scheduler.call_later(0, lambda: self.abort(link, reason))
 
     def drop(self, link: Link) -> None:
-        """Close a link without telling its user."""
+        """Close a link without calling its user."""
         if link.is_closed:
             return
         link.is_closed = True
@@ -173,8 +176,8 @@
         self._poller.discard(link.sock)
         link.sock.close()
 
-    def watch_writing(self, link: Link, wanted: bool) -> None:
-        """Say whether the poller should tell when the kernel takes more bytes."""
+    def set_write_interest(self, link: Link, wanted: bool) -> None:
+        """Set whether the poller reports when the socket of a link is writable."""
         if wanted and link.sock not in self._writing:
             self._writing.add(link.sock)
             self._poller.addWriter(self, link.sock)
@@ -190,13 +193,13 @@
         try:
             data = sock.recv(READ_BYTES)
         except OSError as error:
-            if error.errno not in _TRY_AGAIN:
-                self.lose(link, os.strerror(error.errno or 0))
+            if error.errno not in _RETRYABLE_ERRNOS:
+                self.abort(link, os.strerror(error.errno or 0))
             return
         if data:
             link.user.on_data(data)
         else:
-            self.lose(link, CLOSED_CLEANLY)
+            self.abort(link, CLOSED_CLEANLY)
 
     @circuits.handler("_write")
     def _on_write(self, sock: socket.socket) -> None:
@@ -213,13 +216,13 @@
         link = self._links.get(sock)
         if link is None:
             return
-        number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        self.lose(link, os.strerror(number) if number else CLOSED_CLEANLY)
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        self.abort(link, os.strerror(error_number) if error_number else CLOSED_CLEANLY)
 
     def _finish_connecting(self, link: Link) -> None:
-        number = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if number:
-            self.lose(link, os.strerror(number))
+        error_number = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_number:
+            self.abort(link, os.strerror(error_number))
             return
         link.is_connected = True
         if link.connect_timer is not None:
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -1,4 +1,4 @@
-"""Questions of the command line to other spoolhead processes, one after another."""
+"""Blocking client by which the command line sends requests to other spoolhead processes."""
 
 import secrets
 import socket
@@ -17,23 +17,23 @@
 
 
 class PeerCall:
-    """A connection to one process for questions and answers.
+    """A connection to a process, for one request at a time.
 
     :param address: ``IP:PORT`` of the process.
-    :param config: shared key and time-out.
-    :raises exceptions.PeerError: if it cannot be reached or does not know the shared key.
+    :param config: settings with the shared key and the timeout.
+    :raises exceptions.PeerError: if the process cannot be reached or does not know the shared key.
     """
 
     def __init__(self, address: str, config: settings.OperatorSettings) -> None:
         self.address = address
         self._timeout_s = config.timeout_ms / 1000
         self._reader = messages.MessageReader()
-        self._arrived: list[messages.Message] = []
+        self._received: list[messages.Message] = []
         try:
             self._sock = socket.create_connection(endpoints.split(address), self._timeout_s)
         except OSError as error:
             raise self._make_error(codes.ResultCode.PEER_UNREACHABLE, str(error)) from error
-        self._shake_hands(config.shared_key)
+        self._perform_handshake(config.shared_key)
 
     def __enter__(self) -> "PeerCall":
         return self
@@ -45,12 +45,12 @@
         """Send a question and return its answer.
 
         :param kind: class of the answer.
-        :raises exceptions.PeerError: if no such answer comes in time.
+        :raises exceptions.PeerError: if no answer of this class arrives within the timeout.
         """
         self._send(question)
         return self._receive(kind)
 
-    def _shake_hands(self, shared_key: str) -> None:
+    def _perform_handshake(self, shared_key: str) -> None:
         challenge = self._receive(messages.Challenge)
         nonce = secrets.token_bytes(handshake.NONCE_BYTES)
         hello = handshake.make_hello(
@@ -74,8 +74,8 @@
     def _receive(self, kind: type[_MessageT]) -> _MessageT:
         deadline_s = clocks.get_s() + self._timeout_s
         while True:
-            while self._arrived:
-                message = self._arrived.pop(0)
+            while self._received:
+                message = self._received.pop(0)
                 if isinstance(message, kind):
                     return message
                 if not isinstance(message, messages.Heartbeat):
@@ -93,7 +93,7 @@
             text = "closed the connection"
             raise self._make_error(codes.ResultCode.PEER_UNREACHABLE, text)
         try:
-            self._arrived.extend(self._reader.feed(data))
+            self._received.extend(self._reader.feed(data))
         except messages.MessageError as error:
             raise self._make_error(codes.ResultCode.PEER_PROTOCOL, str(error)) from error
 
@@ -102,9 +102,9 @@
 
 
 def open_to_any(addresses: Sequence[str], config: settings.OperatorSettings) -> PeerCall:
-    """Open a connection to the first of several equal processes that answers.
+    """Connect to the first of several equivalent processes that answers.
 
-    :raises exceptions.PeerError: of the last one, if none answers.
+    :raises exceptions.PeerError: if none answers; the error is that of the last one.
     """
     for address in addresses[:-1]:
         try:
--- a/src/spoolhead/platform/tables.py
+++ b/src/spoolhead/platform/tables.py
@@ -1,4 +1,4 @@
-"""Reads the platform's route tables and its list of instances."""
+"""Decodes the platform's route tables and its list of instances."""
 
 import json
 import math
@@ -11,14 +11,14 @@
 from spoolhead._internal.utils import endpoints
 from spoolhead.platform import names, pages
 
-LARGEST_AMOUNT = 1e14
-"""Bound on numbers of the list: Unix times in milliseconds of the next thousand years fit, and no
-infinity."""
-LONGEST_TEXT = 256
-"""Bound on names of the list, in characters; those in use have a dozen."""
+MAX_NUMBER = 1e14
+"""Maximum number in the list: allows Unix times in milliseconds of the next thousand years, and
+excludes infinity."""
+MAX_TEXT_LENGTH = 256
+"""Maximum length of a name in the list, in characters. Names in use have about a dozen."""
 MS_PER_S = 1_000
 _STATES = {"ready": False, "draining": True}
-"""States of an instance, and whether it leaves."""
+"""States of an instance, and whether it is leaving."""
 _KINDS = {
     "safe": route_table.RequestKind.REPEATABLE,
     "unsafe": route_table.RequestKind.ONCE,
@@ -27,7 +27,7 @@
 
 
 class _FieldError(Exception):
-    """Raised for a field that is missing or of another type; carries its path."""
+    """Raised for a field that is missing or not valid; the message has its path."""
 
 
 class _Fields:
@@ -55,7 +55,7 @@
 
     def get_text(self, name: str) -> str:
         text = self.get(name, str)
-        if not 0 < len(text) <= LONGEST_TEXT or not text.isprintable():
+        if not 0 < len(text) <= MAX_TEXT_LENGTH or not text.isprintable():
             raise _FieldError(f"{self._path}{name} is empty, too long or not printable")
         return text
 
@@ -65,15 +65,15 @@
             raise _FieldError(f"{self._path}{name} is not an IP number and a port")
         return address
 
-    def get_natural(self, name: str) -> int:
+    def get_positive_int(self, name: str) -> int:
         number = self.get(name, int)
-        if not 0 < number <= LARGEST_AMOUNT:
+        if not 0 < number <= MAX_NUMBER:
             raise _FieldError(f"{self._path}{name} is out of range")
         return number
 
-    def get_amount(self, name: str) -> float:
+    def get_non_negative_float(self, name: str) -> float:
         number = self.get(name, float)
-        if not 0.0 <= number <= LARGEST_AMOUNT:
+        if not 0.0 <= number <= MAX_NUMBER:
             raise _FieldError(f"{self._path}{name} is out of range")
         return number
 
@@ -88,9 +88,9 @@
 def decode_table(
     document: bytes,
 ) -> expression.Result[route_table.RouteTable, list[fault.Fault]]:
-    """Read a route table.
+    """Decode a route table.
 
-    :returns: the table, or what keeps it from being read.
+    :returns: the table, or the fault that prevents its decoding.
     """
     try:
         fields = _Fields(json.loads(document), "")
@@ -196,22 +196,22 @@
 
 
 def decode_instances(document: bytes) -> expression.Result[dialects.InstancePage, fault.Fault]:
-    """Read a page of the list of instances."""
+    """Decode a page of the list of instances."""
     try:
-        fields = _Fields(pages.take_apart(document), "")
-        found = _read_entries(fields.get("instances", list))
+        fields = _Fields(pages.parse_page(document), "")
+        page = _read_entries(fields.get("instances", list))
         next_target = ""
         if fields.has("next_token"):
             token = urllib.parse.quote(fields.get("next_token", str))
             next_target = f"{names.LIST_PATH}?page_token={token}"
-        found.next_target = next_target
-        return expression.Ok(found)
+        page.next_target = next_target
+        return expression.Ok(page)
     except (_FieldError, ValueError, RecursionError) as error:
         return expression.Error(fault.Fault(codes.ResultCode.PEER_PROTOCOL, str(error)))
 
 
 def _read_entries(entries: list[object]) -> dialects.InstancePage:
-    """Read the entries of a page; one that makes no sense costs none of the others."""
+    """Decode the entries of a page; entries that are not valid are returned as faults."""
     page = dialects.InstancePage([], "")
     for number, entry in enumerate(entries):
         try:
@@ -229,15 +229,15 @@
         service=fields.get_text("service"),
         address=fields.get_address("address"),
         hall=fields.get_text("zone"),
-        slots=fields.get_natural("slots"),
+        slots=fields.get_positive_int("slots"),
         is_leaving=_read_state(fields),
-        cold_ms=math.ceil(fields.get_amount("cold_remaining_ms")),
-        started_ms=fields.get_natural("born") if fields.has("born") else 0,
+        cold_ms=math.ceil(fields.get_non_negative_float("cold_remaining_ms")),
+        started_ms=fields.get_positive_int("born") if fields.has("born") else 0,
     )
 
 
 def _read_state(fields: _Fields) -> bool:
-    """Tell whether an instance leaves; a state that is not known names none to use."""
+    """Return whether an instance is leaving; an entry with an unknown state is not valid."""
     is_leaving = _STATES.get(fields.get("state", str))
     if is_leaving is None:
         raise _FieldError("an instance is in an unknown state")
