--- a/src/spoolhead/_internal/cli/operator.py
+++ b/src/spoolhead/_internal/cli/operator.py
@@ -143,7 +143,7 @@
         sheet=sheet,
         name=name,
         assignments=assignments or [],
-        removes=remove,
+        is_removal=remove,
         expected_version=expected_version,
     )
     options = keepers.EditOptions(author=author, edit_id=edit_id, wait_ms=wait_ms, as_json=as_json)
@@ -163,7 +163,7 @@
 ) -> exit_codes.ExitCode:
     """Send nothing new to the upstreams of a hall; what runs there ends undisturbed."""
     options = keepers.EditOptions(author=author, edit_id=edit_id, wait_ms=wait_ms, as_json=as_json)
-    return evacuate.run(_read(settings_file), hall, withdraws=withdraw, options=options)
+    return evacuate.run(_read(settings_file), hall, is_withdrawal=withdraw, options=options)
 
 
 @app.command("held")
@@ -178,7 +178,7 @@
     config = _read(settings_file)
     if hold or release:
         content = hold or release
-        return held.order(config, content, is_held=bool(hold), as_json=as_json)
+        return held.set_held(config, content, is_held=bool(hold), as_json=as_json)
     return held.run(config, as_json=as_json)
 
 
--- a/src/spoolhead/_internal/cli/start.py
+++ b/src/spoolhead/_internal/cli/start.py
@@ -16,7 +16,9 @@
 _SettingsT = TypeVar("_SettingsT", settings.EntrySettings, settings.KeeperSettings)
 
 
-def start(kind: type[_SettingsT], run: Callable[[_SettingsT], None], summary: str) -> None:
+def start(
+    settings_class: type[_SettingsT], run: Callable[[_SettingsT], None], summary: str
+) -> None:
     """Run a daemon with the settings file named on its command line.
 
     :param kind: settings class of the program.
@@ -31,7 +33,7 @@
         check: Annotated[bool, typer.Option(help="Check the settings and exit.")] = False,
     ) -> None:
         try:
-            config = settings.read_settings(kind, settings_file)
+            config = settings.read_settings(settings_class, settings_file)
             if check:
                 return
             logs.set_up(config.log)
--- a/src/spoolhead/_internal/commands/check.py
+++ b/src/spoolhead/_internal/commands/check.py
@@ -16,7 +16,7 @@
     TABLE = "table"
 
 
-_SETTINGS = {
+_SETTINGS_CLASSES = {
     FileKind.ENTRY: settings.EntrySettings,
     FileKind.KEEPER: settings.KeeperSettings,
     FileKind.OPERATOR: settings.OperatorSettings,
@@ -31,7 +31,7 @@
     if kind is FileKind.TABLE:
         documents.read_document(path)
     else:
-        settings.read_settings(_SETTINGS[kind], path)
+        settings.read_settings(_SETTINGS_CLASSES[kind], path)
     if as_json:
         output.print_json({"path": path, "faults": []})
     else:
--- a/src/spoolhead/_internal/commands/edit.py
+++ b/src/spoolhead/_internal/commands/edit.py
@@ -19,7 +19,7 @@
     :ivar expected_version: version that the row must have; None for the present one.
     """
 
-    __slots__ = ("assignments", "expected_version", "name", "removes", "sheet")
+    __slots__ = ("assignments", "expected_version", "name", "is_removal", "sheet")
 
     def __init__(
         self,
@@ -27,13 +27,13 @@
         sheet: rows.Sheet,
         name: str,
         assignments: Sequence[str],
-        removes: bool,
+        is_removal: bool,
         expected_version: int | None,
     ) -> None:
         self.sheet = sheet
         self.name = name
         self.assignments = assignments
-        self.removes = removes
+        self.is_removal = is_removal
         self.expected_version = expected_version
 
 
@@ -41,7 +41,7 @@
     config: settings.OperatorSettings, change: RowChange, options: keepers.EditOptions
 ) -> exit_codes.ExitCode:
     """Send a change of one row; columns that are not named stay as they are."""
-    if change.removes == bool(change.assignments):
+    if change.is_removal == bool(change.assignments):
         output.print_error("name columns as COLUMN=VALUE, or give --remove, not both")
         return exit_codes.ExitCode.BAD_INPUT
     wrong = [item for item in change.assignments if "=" not in item]
@@ -51,13 +51,13 @@
     table_rows = keepers.unpack_rows(keepers.get_table(config))
     key = versioned_table.RowKey(change.sheet, change.name)
     known = table_rows.get(key)
-    if change.removes and known is None:
+    if change.is_removal and known is None:
         output.print_error(f"there is no row {key}")
         return exit_codes.ExitCode.NOT_FOUND
     version = known.version if known is not None else versioned_table.ABSENT_VERSION
     if change.expected_version is not None:
         version = change.expected_version
-    value = None if change.removes else _assign(known, change.assignments)
+    value = None if change.is_removal else _assign(known, change.assignments)
     edit = versioned_table.RowEdit(key, version, value)
     return keepers.send_edit(config, [edit], options)
 
--- a/src/spoolhead/_internal/commands/evacuate.py
+++ b/src/spoolhead/_internal/commands/evacuate.py
@@ -10,7 +10,7 @@
     config: settings.OperatorSettings,
     hall: str,
     *,
-    withdraws: bool,
+    is_withdrawal: bool,
     options: keepers.EditOptions,
 ) -> exit_codes.ExitCode:
     """Have a hall evacuated.
@@ -21,5 +21,5 @@
     key = versioned_table.RowKey(rows.Sheet.HALLS, hall)
     known = keepers.unpack_rows(keepers.get_table(config)).get(key)
     version = known.version if known is not None else versioned_table.ABSENT_VERSION
-    edit = versioned_table.RowEdit(key, version, {"evacuated": not withdraws})
+    edit = versioned_table.RowEdit(key, version, {"evacuated": not is_withdrawal})
     return keepers.send_edit(config, [edit], options)
--- a/src/spoolhead/_internal/commands/explain_logs.py
+++ b/src/spoolhead/_internal/commands/explain_logs.py
@@ -17,7 +17,7 @@
     :param paths: files, one a process or merged; ``-`` for standard input.
     """
     try:
-        trace = log_trace.build_trace(read(paths), request_id)
+        trace = log_trace.build_trace(read_lines(paths), request_id)
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
@@ -28,18 +28,18 @@
     if as_json:
         output.print_json([_as_dict(line) for line in (*trace.own, *trace.beliefs)])
         return exit_codes.ExitCode.OK
-    began_s = trace.own[0].time_s
+    start_s = trace.own[0].time_s
     for line in trace.own:
-        _print_line(line, began_s)
+        _print_line(line, start_s)
     if not trace.has_end:
         print("no line tells its end: the process ended first, or the line was dropped")
     print("what the process believed:")
     for line in trace.beliefs:
-        _print_line(line, began_s)
+        _print_line(line, start_s)
     return exit_codes.ExitCode.OK
 
 
-def read(paths: list[str]) -> Iterator[log_trace.Line]:
+def read_lines(paths: list[str]) -> Iterator[log_trace.Line]:
     """Read the lines of some files.
 
     :param paths: files, one a process or merged; ``-`` for standard input.
@@ -47,13 +47,13 @@
     """
     for path in paths:
         name = "" if path == STANDARD_INPUT else pathlib.Path(path).stem
-        for text in _get_texts(path):
+        for text in _read_texts(path):
             line = log_trace.read_line(name, text)
             if line is not None:
                 yield line
 
 
-def _get_texts(path: str) -> Iterator[str]:
+def _read_texts(path: str) -> Iterator[str]:
     if path == STANDARD_INPUT:
         yield from sys.stdin
         return
@@ -61,11 +61,11 @@
         yield from stream
 
 
-def _print_line(line: log_trace.Line, began_s: float) -> None:
+def _print_line(line: log_trace.Line, start_s: float) -> None:
     fields = " ".join(
         f"{name}={logs.get_text(value)}" for name, value in line.fields.items() if name != "request"
     )
-    print(f"{(line.time_s - began_s) * 1000:+8.0f} ms  {line.process}  {line.text}  {fields}")
+    print(f"{(line.time_s - start_s) * 1000:+8.0f} ms  {line.process}  {line.text}  {fields}")
 
 
 def _as_dict(line: log_trace.Line) -> dict[str, object]:
--- a/src/spoolhead/_internal/commands/held.py
+++ b/src/spoolhead/_internal/commands/held.py
@@ -14,7 +14,7 @@
     return exit_codes.ExitCode.OK
 
 
-def order(
+def set_held(
     config: settings.OperatorSettings, content: str, *, is_held: bool, as_json: bool
 ) -> exit_codes.ExitCode:
     """Have a content held, or let it go.
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -20,7 +20,7 @@
     lines = [
         [
             str(change.version),
-            _get_time(change.proposal.time_ms),
+            _format_time(change.proposal.time_ms),
             change.proposal.author,
             change.proposal.edit_id,
             ", ".join(_describe(edit) for edit in change.proposal.edits),
@@ -46,6 +46,6 @@
     return f"-{edit.key}" if edit.value is None else str(edit.key)
 
 
-def _get_time(time_ms: int) -> str:
+def _format_time(time_ms: int) -> str:
     moment = datetime.datetime.fromtimestamp(time_ms / 1000, tz=datetime.UTC)
     return moment.isoformat(timespec="milliseconds")
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -13,8 +13,8 @@
 from spoolhead._internal.utils import clocks
 from spoolhead.coordination import versioned_table
 
-SEND_ATTEMPTS = 3
-POLL_S = 0.1
+MAX_SEND_ATTEMPTS = 3
+POLL_INTERVAL_S = 0.1
 
 
 class EditOptions:
@@ -68,7 +68,7 @@
     }
     result = exit_codes.get_exit_code(code)
     if code is codes.ResultCode.OK and options.wait_ms:
-        report["entries"] = _wait_in_force(config, answer.version, options.wait_ms)
+        report["entries"] = _wait_until_in_force(config, answer.version, options.wait_ms)
         if not all(entry["is_in_force"] for entry in report["entries"]):
             result = exit_codes.ExitCode.NOT_IN_FORCE
     _print_report(report, code, as_json=options.as_json)
@@ -88,21 +88,21 @@
         edits=[edit.pack() for edit in edits],
     )
     # The edit id makes a resend harmless, so a lost answer is simply asked for again.
-    for left in range(SEND_ATTEMPTS - 1, -1, -1):
+    for attempts_left in range(MAX_SEND_ATTEMPTS - 1, -1, -1):
         try:
             with peer_call.open_to_any(config.keepers, config) as call:
                 return call.ask(message, messages.ProposeAnswer)
         except exceptions.PeerError as error:
             if error.code is not codes.ResultCode.PEER_UNREACHABLE:
                 raise
-            if not left:
+            if not attempts_left:
                 text = f"{error}; send it again with --edit-id {options.edit_id}"
                 raise exceptions.PeerError(codes.ResultCode.EDIT_OUTCOME_UNKNOWN, text) from error
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
     raise AssertionError("unreachable")
 
 
-def _wait_in_force(
+def _wait_until_in_force(
     config: settings.OperatorSettings, version: int, wait_ms: int
 ) -> list[dict[str, object]]:
     deadline_s = clocks.get_s() + wait_ms / 1000
@@ -115,7 +115,7 @@
             return entries
         if clocks.get_s() >= deadline_s:
             return entries
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _print_report(report: dict[str, object], code: codes.ResultCode, *, as_json: bool) -> None:
--- a/src/spoolhead/_internal/commands/losses.py
+++ b/src/spoolhead/_internal/commands/losses.py
@@ -4,7 +4,7 @@
 from spoolhead._internal.commands import explain_logs
 from spoolhead._internal.utils import log_losses
 
-BAR_CHARACTERS = 40
+MAX_BAR_CHARACTERS = 40
 """Width of the longest bar."""
 
 
@@ -14,7 +14,7 @@
     :param paths: files, one a process or merged; ``-`` for standard input.
     """
     try:
-        counts = log_losses.count(explain_logs.read(paths))
+        counts = log_losses.count(explain_logs.read_lines(paths))
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
@@ -31,9 +31,9 @@
     total = sum(count.requests for count in counts.values())
     print(f"{route or '(no route)'}: {total} requests")
     for cause, count in counts.items():
-        bar = "#" * max(1, round(BAR_CHARACTERS * count.requests / total))
-        part = 100 * count.requests / total
-        print(f"  {count.requests:6d} {part:5.1f}%  {cause.value:38s} {bar}")
+        bar = "#" * max(1, round(MAX_BAR_CHARACTERS * count.requests / total))
+        percent = 100 * count.requests / total
+        print(f"  {count.requests:6d} {percent:5.1f}%  {cause.value:38s} {bar}")
         if cause is not log_losses.Cause.IN_TIME:
             print(f"          {count.events} events passed on; {' '.join(count.examples)}")
 
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-SYNC_CHECK_S = 0.01
+SYNC_CHECK_INTERVAL_S = 0.01
 """Pause between looks at whether what an operator ordered is on the disk."""
 
 
@@ -35,13 +35,13 @@
         self._registry = content_registry.ContentRegistry()
         self._saved = saved_contents.SavedContents(folder, self._registry, timers)
 
-    def welcome(self, session: peer_server.PeerSession) -> None:
+    def send_known(self, session: peer_server.PeerSession) -> None:
         """Tell all that is known to an entry that has just connected."""
         known = self._pack(self._registry.get_ids())
         if known:
             session.send(messages.Contents(items=known))
 
-    def take(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
+    def handle_contents(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
         """Pass on what an entry found out."""
         try:
             records = content_record.unpack(message.items)
@@ -49,9 +49,11 @@
             raise messages.MessageError(f"records of contents: {error}") from error
         changed = self._registry.merge(records, clocks.get_s())
         self._saved.record()
-        self._tell([record.content_id for record in changed], except_to=session)
+        self._broadcast([record.content_id for record in changed], except_to=session)
 
-    def order(self, session: peer_server.PeerSession, message: messages.HoldContent) -> None:
+    def handle_hold_order(
+        self, session: peer_server.PeerSession, message: messages.HoldContent
+    ) -> None:
         """Have a content held, or let it go, by an operator's order.
 
         It is in force at once and confirmed once it is on the disk.
@@ -69,16 +71,22 @@
             "operator": session.name,
         }
         logger.info("order on a content", extra={"fields": fields})
-        self._tell([message.content_id])
-        self._confirm(session, message)
+        self._broadcast([message.content_id])
+        self._confirm_when_synced(session, message)
 
-    def _confirm(self, session: peer_server.PeerSession, message: messages.HoldContent) -> None:
+    def _confirm_when_synced(
+        self, session: peer_server.PeerSession, message: messages.HoldContent
+    ) -> None:
         if self._saved.is_synced:
             self._answer(session, message.request, [message.content_id])
         else:
-            self._timers.call_later(SYNC_CHECK_S, lambda: self._confirm(session, message))
+            self._timers.call_later(
+                SYNC_CHECK_INTERVAL_S, lambda: self._confirm_when_synced(session, message)
+            )
 
-    def send_all(self, session: peer_server.PeerSession, message: messages.GetContents) -> None:
+    def send_contents(
+        self, session: peer_server.PeerSession, message: messages.GetContents
+    ) -> None:
         """Send all records to an operator."""
         self._answer(session, message.request, self._registry.get_ids())
 
@@ -88,7 +96,7 @@
         items = self._pack(content_ids)
         session.send(messages.ContentsAnswer(request=request, items=items))
 
-    def _tell(
+    def _broadcast(
         self, content_ids: list[bytes], *, except_to: peer_server.PeerSession | None = None
     ) -> None:
         if not content_ids:
--- a/src/spoolhead/_internal/keeper/log_file.py
+++ b/src/spoolhead/_internal/keeper/log_file.py
@@ -10,7 +10,7 @@
 
 logger = logging.getLogger(__name__)
 
-LOG_NAME = "table.log"
+FILE_NAME = "table.log"
 
 
 class LogFile:
@@ -20,7 +20,7 @@
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        self._path = folder / LOG_NAME
+        self._path = folder / FILE_NAME
         self._failed = False
         try:
             self._descriptor = os.open(self._path, os.O_RDWR | os.O_CREAT, 0o600)
@@ -50,7 +50,7 @@
         try:
             self._write(record)
         except OSError as error:
-            self._undo()
+            self._discard_partial_write()
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
         try:
             os.fsync(self._descriptor)
@@ -66,7 +66,7 @@
         while written < len(record):
             written += os.pwrite(self._descriptor, record[written:], self._length + written)
 
-    def _undo(self) -> None:
+    def _discard_partial_write(self) -> None:
         try:
             self._truncate()
         except exceptions.DiskError:
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -19,7 +19,7 @@
 
 ENTRY_ROLE = "entry"
 OPERATOR_ROLE = "operator"
-OWNER_GONE_AFTER_S = 5.0
+OWNER_GONE_TIMEOUT_S = 5.0
 
 
 class Follower:
@@ -91,23 +91,25 @@
         if follower is not None and follower.session is session:
             follower.session = None
             follower.seen_s = clocks.get_s()
-            self._send_members()
+            self._broadcast_members()
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
         """Handle one message."""
-        _handle(message, self, session)
+        _dispatch(message, self, session)
 
-    def introduce(self, session: peer_server.PeerSession, message: messages.Introduce) -> None:
+    def handle_introduce(
+        self, session: peer_server.PeerSession, message: messages.Introduce
+    ) -> None:
         """Note where an entry stands, and tell all entries."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
             raise messages.MessageError("only the present stream of an entry introduces it")
         follower.hall = message.hall
         follower.address = message.address
-        self._send_members()
-        self.contents.welcome(session)
+        self._broadcast_members()
+        self.contents.send_known(session)
 
-    def follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
+    def handle_follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
         """Send a follower what it has missed, or the whole table."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
@@ -134,7 +136,7 @@
             follower.version = message.version
             follower.seen_s = clocks.get_s()
 
-    def propose(self, session: peer_server.PeerSession, message: messages.Propose) -> None:
+    def handle_propose(self, session: peer_server.PeerSession, message: messages.Propose) -> None:
         """Accept an edit, or refuse it whole."""
         answer = self._decide(message)
         session.send(answer)
@@ -192,12 +194,12 @@
         }
         session.send(messages.StatusAnswer(request=message.request, status=status))
 
-    def claim_once(self, session: peer_server.PeerSession, message: messages.ClaimOnce) -> None:
+    def handle_claim(self, session: peer_server.PeerSession, message: messages.ClaimOnce) -> None:
         """Grant a claim, or tell what became of the first one."""
         time_ms = _get_time_ms()
         self._state.once.drop_expired(time_ms)
         claim = self._state.once.claims.get(message.key)
-        owner_is_gone = claim is not None and self._is_gone(claim.owner)
+        owner_is_gone = claim is not None and self._is_owner_gone(claim.owner)
         found = self._state.once.get_state(
             message.key, message.fingerprint, owner_is_gone=owner_is_gone
         )
@@ -215,7 +217,7 @@
             )
         )
 
-    def finish_once(self, session: peer_server.PeerSession, message: messages.FinishOnce) -> None:
+    def handle_finish(self, session: peer_server.PeerSession, message: messages.FinishOnce) -> None:
         """Record the end of a claimed request; not confirmed unless it is durable."""
         claim = self._state.once.claims.get(message.key)
         if claim is not None and claim.owner == session.name and not claim.is_finished:
@@ -262,7 +264,7 @@
                 faults = [["", str(error)]]
                 return self._refuse(message, codes.ResultCode.DISK_FAILED, faults=faults)
             self._state.apply_change(change)
-            self._push(change)
+            self._broadcast_change(change)
         return messages.ProposeAnswer(
             request=message.request,
             code=codes.ResultCode.OK,
@@ -298,7 +300,7 @@
             conflicts=conflicts or [],
         )
 
-    def _push(self, change: versioned_table.Change) -> None:
+    def _broadcast_change(self, change: versioned_table.Change) -> None:
         data = self._encode_change(change)
         for follower in self._followers.values():
             if follower.session is not None and follower.is_following:
@@ -308,7 +310,7 @@
         sessions = [follower.session for follower in self._followers.values()]
         return [session for session in sessions if session is not None]
 
-    def _send_members(self) -> None:
+    def _broadcast_members(self) -> None:
         present = {
             name: item
             for name, item in self._followers.items()
@@ -342,14 +344,14 @@
         self._log.append(records.make_finish(message.key, owner, outcome))
         self._state.once.finish(message.key, owner, outcome)
 
-    def _is_gone(self, owner: str) -> bool:
+    def _is_owner_gone(self, owner: str) -> bool:
         follower = self._followers.get(owner)
         now_s = clocks.get_s()
         if follower is None:
-            return now_s - self._started_s > OWNER_GONE_AFTER_S
+            return now_s - self._started_s > OWNER_GONE_TIMEOUT_S
         if follower.session is not None:
             return False
-        return now_s - follower.seen_s > OWNER_GONE_AFTER_S
+        return now_s - follower.seen_s > OWNER_GONE_TIMEOUT_S
 
 
 _REFUSAL_CODES = {
@@ -367,25 +369,29 @@
 
 
 @functools.singledispatch
-def _handle(message: messages.Message, service: KeeperService, session: _Session) -> None:
+def _dispatch(message: messages.Message, service: KeeperService, session: _Session) -> None:
     raise messages.MessageError(f"unexpected {type(message).__name__}")
 
 
-def _register(
+def _register_handler(
     kind: type, call: typing.Callable[[KeeperService, _Session, typing.Any], None]
 ) -> None:
-    _handle.register(kind, lambda message, service, session: call(service, session, message))
-
-
-_register(messages.Introduce, KeeperService.introduce)
-_register(messages.Follow, KeeperService.follow)
-_register(messages.InForce, KeeperService.record_in_force)
-_register(messages.Propose, KeeperService.propose)
-_register(messages.GetTable, KeeperService.send_table)
-_register(messages.GetHistory, KeeperService.send_history)
-_register(messages.GetStatus, KeeperService.send_status)
-_register(messages.Contents, lambda service, *asked: service.contents.take(*asked))
-_register(messages.HoldContent, lambda service, *asked: service.contents.order(*asked))
-_register(messages.GetContents, lambda service, *asked: service.contents.send_all(*asked))
-_register(messages.ClaimOnce, KeeperService.claim_once)
-_register(messages.FinishOnce, KeeperService.finish_once)
+    _dispatch.register(kind, lambda message, service, session: call(service, session, message))
+
+
+_register_handler(messages.Introduce, KeeperService.handle_introduce)
+_register_handler(messages.Follow, KeeperService.handle_follow)
+_register_handler(messages.InForce, KeeperService.record_in_force)
+_register_handler(messages.Propose, KeeperService.handle_propose)
+_register_handler(messages.GetTable, KeeperService.send_table)
+_register_handler(messages.GetHistory, KeeperService.send_history)
+_register_handler(messages.GetStatus, KeeperService.send_status)
+_register_handler(messages.Contents, lambda service, *args: service.contents.handle_contents(*args))
+_register_handler(
+    messages.HoldContent, lambda service, *args: service.contents.handle_hold_order(*args)
+)
+_register_handler(
+    messages.GetContents, lambda service, *args: service.contents.send_contents(*args)
+)
+_register_handler(messages.ClaimOnce, KeeperService.handle_claim)
+_register_handler(messages.FinishOnce, KeeperService.handle_finish)
--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -10,16 +10,16 @@
 
 logger = logging.getLogger(__name__)
 
-FLEET_S = 0.25
+FLEET_INTERVAL_S = 0.25
 """Pause between two messages about the fleet, which go to all entries: one for each that joins
 would grow with the square while all start within 0.3 s."""
 
-DOCUMENTS_KEPT = 8
+MAX_DOCUMENTS = 8
 """Documents kept for differences: entries are behind by a change or two, a dozen in a storm; the
 largest that operators may send is 4 MB."""
 
 
-class Table:
+class CommittedTable:
     """A committed route table.
 
     :ivar version: its version.
@@ -50,32 +50,34 @@
         timers: scheduler.Scheduler,
         hall: str,
         get_keepers: Callable[[], list[str]],
-        get_table: Callable[[], Table],
+        get_table: Callable[[], CommittedTable],
         get_evacuations: Callable[[], evacuations.Evacuations],
     ) -> None:
         self._hall = hall
         self._get_keepers = get_keepers
         self._get_table = get_table
         self._get_evacuations = get_evacuations
-        self._told_evacuations: route_messages.EvacuatedHalls | None = None
+        self._sent_evacuations: route_messages.EvacuatedHalls | None = None
         self._followers: dict[peer_server.PeerSession, route_messages.Subscribe] = {}
         self._documents: collections.OrderedDict[int, bytes] = collections.OrderedDict()
         self._packed_tables: dict[int, route_messages.RouteTableDocument] = {}
-        self._remembered_version = 0
+        self._retained_version = 0
         self._sequence = 0
         self._reader_term = 0
-        self._packed: list[list[object]] = []
-        self._keepers: list[str] = []
-        self._told_entries: list[row_changes.Row] = []
+        self._packed_instances: list[list[object]] = []
+        self._sent_keepers: list[str] = []
+        self._sent_entries: list[row_changes.Row] = []
         self._is_fleet_changed = False
-        timers.call_every(FLEET_S, self._send_fleet)
+        timers.call_every(FLEET_INTERVAL_S, self._broadcast_fleet)
 
     @property
     def follower_count(self) -> int:
         """Entries that follow."""
         return len(self._followers)
 
-    def add(self, session: peer_server.PeerSession, subscription: route_messages.Subscribe) -> None:
+    def add_follower(
+        self, session: peer_server.PeerSession, subscription: route_messages.Subscribe
+    ) -> None:
         """Take a follower and tell it what is known."""
         self._followers[session] = subscription
         table = self._get_table()
@@ -87,15 +89,15 @@
         }
         logger.info("entry follows", extra={"fields": fields})
         # An entry that takes a table must know which halls are evacuated by then.
-        session.send(self._make_evacuated(table))
-        session.send(_make_version(table))
+        session.send(self._make_evacuated_halls(table))
+        session.send(_make_table_version(table))
         if self._sequence:
-            session.send(self._make_whole_list())
+            session.send(self._make_instance_list())
         # What all others were told last, so that the next change fits it too.
-        session.send(self._make_fleet(self._told_entries, [], is_whole=True))
+        session.send(self._make_fleet(self._sent_entries, [], is_whole=True))
         self._is_fleet_changed = True
 
-    def remove(self, session: peer_server.PeerSession) -> None:
+    def remove_follower(self, session: peer_server.PeerSession) -> None:
         """Forget a follower."""
         if self._followers.pop(session, None) is not None:
             logger.info("entry left", extra={"fields": {"entry": session.name}})
@@ -107,29 +109,29 @@
         :param digest: digest of the document that it has; only what differs is sent where that
             one is known here.
         """
-        table = self._remember()
+        table = self._retain_document()
         session.send(self._pack_table(table, digest if digest in self._documents else 0))
 
-    def announce_version(self) -> None:
+    def broadcast_version(self) -> None:
         """Tell all followers of a new version, and of evacuated halls where these have changed."""
-        table = self._remember()
-        evacuated = self._make_evacuated(table)
-        if evacuated.revision and evacuated != self._told_evacuations:
-            self._told_evacuations = evacuated
-            self._send_all(evacuated)
+        table = self._retain_document()
+        evacuated = self._make_evacuated_halls(table)
+        if evacuated.revision and evacuated != self._sent_evacuations:
+            self._sent_evacuations = evacuated
+            self._broadcast(evacuated)
         fields = {
             "version": table.version,
             "is_confirmed": table.is_confirmed,
             "followers": len(self._followers),
         }
         logger.info("version told", extra={"fields": fields})
-        self._send_all(_make_version(table))
+        self._broadcast(_make_table_version(table))
 
-    def publish_instances(self, term: int, listed: list[instances.Instance]) -> None:
+    def broadcast_instances(self, term: int, listed: list[instances.Instance]) -> None:
         """Tell all followers of a reading of the list of instances."""
         packed = instances.pack(listed)
-        change = row_changes.compare(self._packed, packed)
-        self._packed = packed
+        change = row_changes.compare(self._packed_instances, packed)
+        self._packed_instances = packed
         self._reader_term = term
         self._sequence += 1
         # A follower's stream loses nothing, so it has what was sent before; before the first
@@ -141,21 +143,21 @@
             changed=change.changed,
             gone=change.gone,
         )
-        self._send_all(message)
+        self._broadcast(message)
 
-    def _remember(self) -> Table:
+    def _retain_document(self) -> CommittedTable:
         """Return the committed table, its document kept for differences to later ones."""
         table = self._get_table()
-        if table.version == self._remembered_version:
+        if table.version == self._retained_version:
             return table
-        self._remembered_version = table.version
+        self._retained_version = table.version
         self._packed_tables.clear()
         self._documents[document_delta.get_digest(table.document)] = table.document
-        while len(self._documents) > DOCUMENTS_KEPT:
+        while len(self._documents) > MAX_DOCUMENTS:
             self._documents.popitem(last=False)
         return table
 
-    def _pack_table(self, table: Table, digest: int) -> route_messages.RouteTableDocument:
+    def _pack_table(self, table: CommittedTable, digest: int) -> route_messages.RouteTableDocument:
         """Return the committed table as it is sent; all entries fetch it within moments."""
         packed = self._packed_tables.get(digest)
         if packed is None:
@@ -167,7 +169,7 @@
             )
         return packed
 
-    def _make_evacuated(self, table: Table) -> route_messages.EvacuatedHalls:
+    def _make_evacuated_halls(self, table: CommittedTable) -> route_messages.EvacuatedHalls:
         known = self._get_evacuations()
         return route_messages.EvacuatedHalls(
             revision=known.revision,
@@ -175,12 +177,12 @@
             is_confirmed=table.is_confirmed,
         )
 
-    def _make_whole_list(self) -> route_messages.InstanceList:
+    def _make_instance_list(self) -> route_messages.InstanceList:
         return route_messages.InstanceList(
             reader_term=self._reader_term,
             sequence=self._sequence,
             is_whole=True,
-            changed=self._packed,
+            changed=self._packed_instances,
             gone=[],
         )
 
@@ -195,26 +197,26 @@
             gone=gone,
         )
 
-    def _send_fleet(self) -> None:
+    def _broadcast_fleet(self) -> None:
         """Tell all followers what has changed in the fleet."""
         keepers = self._get_keepers()
-        if not self._is_fleet_changed and keepers == self._keepers:
+        if not self._is_fleet_changed and keepers == self._sent_keepers:
             return
         self._is_fleet_changed = False
-        self._keepers = keepers
+        self._sent_keepers = keepers
         entries: list[row_changes.Row] = [
             [session.name, subscription.hall, subscription.address]
             for session, subscription in self._followers.items()
         ]
-        change = row_changes.compare(self._told_entries, entries)
-        self._told_entries = entries
-        self._send_all(self._make_fleet(change.changed, change.gone, is_whole=False))
+        change = row_changes.compare(self._sent_entries, entries)
+        self._sent_entries = entries
+        self._broadcast(self._make_fleet(change.changed, change.gone, is_whole=False))
 
-    def _send_all(self, message: messages.Message) -> None:
+    def _broadcast(self, message: messages.Message) -> None:
         data = messages.encode(message)
         for session in list(self._followers):
             session.send_encoded(data)
 
 
-def _make_version(table: Table) -> route_messages.RouteTableVersion:
+def _make_table_version(table: CommittedTable) -> route_messages.RouteTableVersion:
     return route_messages.RouteTableVersion(version=table.version, is_confirmed=table.is_confirmed)
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -36,9 +36,9 @@
 
 RETRY_AFTER_MS = 500
 """When an operator should come back to a keeper that is not sure: about an election."""
-STOP_CHECK_S = 0.05
+STOP_CHECK_INTERVAL_S = 0.05
 """Pause between looks at whether the last operator has been answered."""
-STOP_SYNC_S = 0.5
+STOP_SYNC_TIMEOUT_S = 0.5
 """Longest wait at the end for records of contents to be on the disk: many times a sync. Without it
 what was found in the last quarter of a second would be left to other keepers."""
 
@@ -66,8 +66,8 @@
             outgoing,
             name=config.name,
             shared_key=config.shared_key,
-            take=self._handle_answer,
-            note=_note_stream,
+            on_message=self._handle_answer,
+            on_stream_change=_log_stream_change,
         )
         self._contents = content_registry.ContentRegistry()
         self._feed = feed.Feed(
@@ -98,15 +98,15 @@
             service=self,
         ).register(self.loop)
         self._front = caller_front.CallerFront(
-            self.loop, config, on_request=self._take, on_bad_request=self._refuse
+            self.loop, config, on_request=self._handle_request, on_bad_request=self._refuse
         ).register(self.loop)
-        made = prometheus_metrics.PrometheusMetrics()
-        self._metrics = keeper_metrics.KeeperMetrics(made)
+        registry = prometheus_metrics.PrometheusMetrics()
+        self._metrics = keeper_metrics.KeeperMetrics(registry)
         self._metrics.table_version.set_function(lambda: self._member.register.version)
         self._metrics.is_leader.set_function(lambda: int(self._member.is_leader))
         self._metrics.term.set_function(lambda: self._member.term)
         self._metrics.followers.set_function(lambda: self._feed.follower_count)
-        made.serve(self.loop, config)
+        registry.serve(self.loop, config)
         interval_s = config.instance_list.interval_ms / 1000
         self.loop.scheduler.call_every(interval_s, self._read_instances)
 
@@ -145,27 +145,27 @@
 
     def on_closed(self, session: peer_server.PeerSession) -> None:
         """Forget a follower that is gone."""
-        self._feed.remove(session)
+        self._feed.remove_follower(session)
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
         """Take a message of an entry or of another keeper."""
         match message:
             case route_messages.Subscribe():
-                self._feed.add(session, message)
+                self._feed.add_follower(session, message)
             case route_messages.GetRouteTable():
                 self._feed.send_table(session, message.digest)
             case route_messages.ForwardTable():
-                self._pending_operations.answer_forwarded(session, message)
+                self._pending_operations.handle_forwarded_table(session, message)
             case route_messages.ForwardHallOrder():
-                self._pending_operations.answer_forwarded_order(message)
+                self._pending_operations.handle_forwarded_hall_order(message)
             case route_messages.ConfirmRead():
-                self._pending_operations.answer_confirmation(session, message)
+                self._pending_operations.handle_confirm_read(session, message)
             case _ if isinstance(message, tuple(consensus_messages.CLASSES.values())):
                 self._member.receive(message)
             case _:
                 logger.warning("unexpected %s of %s", type(message).__name__, session.name)
 
-    def _take(self, caller: caller_front.Caller) -> None:
+    def _handle_request(self, caller: caller_front.Caller) -> None:
         order = self._dialect.read_order(caller.request)
         if order.is_error():
             self._refuse(caller, order.error)
@@ -199,7 +199,7 @@
             else:
                 self._send_unsure(caller)
 
-        self._pending_operations.order(wanted.hall, wanted.is_evacuated, _answer)
+        self._pending_operations.put_hall_order(wanted.hall, wanted.is_evacuated, _answer)
 
     def _put_table(self, caller: caller_front.Caller, document: bytes) -> None:
         decoded = self._dialect.decode_table(document)
@@ -228,7 +228,7 @@
             else:
                 self._send_unsure(caller)
 
-        self._pending_operations.put(version, document, _answer)
+        self._pending_operations.put_table(version, document, _answer)
 
     def _read_table(self, caller: caller_front.Caller) -> None:
         def _answer(is_sure: bool) -> None:
@@ -245,7 +245,7 @@
                 headers = [("Content-Type", "application/json")]
                 caller.send_whole(200, headers, register.document)
 
-        self._pending_operations.confirm(_answer)
+        self._pending_operations.confirm_read(_answer)
 
     def _send_unsure(self, caller: caller_front.Caller) -> None:
         text = "no majority of keepers confirmed this in time"
@@ -262,15 +262,15 @@
         answers.send_error(caller, item, ran=codes.Ran.NO, request_id="")
 
     def _on_change(self) -> None:
-        self._feed.announce_version()
+        self._feed.broadcast_version()
         self._pending_operations.on_change()
 
     def _get_keepers(self) -> list[str]:
         return self._member.member_addresses
 
-    def _get_table(self) -> feed.Table:
+    def _get_table(self) -> feed.CommittedTable:
         register = self._member.register
-        return feed.Table(
+        return feed.CommittedTable(
             register.version, register.document, is_confirmed=self._member.has_caught_up
         )
 
@@ -288,7 +288,7 @@
             self._reader.read()
 
     def _handle_instances(self, listed: list[instances.Instance]) -> None:
-        self._feed.publish_instances(self._member.term, listed)
+        self._feed.broadcast_instances(self._member.term, listed)
 
     def apply_settings(self, config: settings.QuorumKeeperSettings) -> None:
         """Take over the keepers that changed settings name."""
@@ -297,14 +297,14 @@
     def _begin_stop(self) -> None:
         logger.info("keeper %s stops", self._config.name)
         self._front.close_when_idle()
-        self.loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
+        self.loop.scheduler.call_every(STOP_CHECK_INTERVAL_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
         if not self._pending_operations.open_count:
-            self._saved_contents.wait_until_synced(STOP_SYNC_S)
+            self._saved_contents.wait_until_synced(STOP_SYNC_TIMEOUT_S)
             self.loop.finish()
 
 
-def _note_stream(address: str, is_up: bool) -> None:
+def _log_stream_change(address: str, is_up: bool) -> None:
     text = "keeper is reachable" if is_up else "keeper is lost"
     logger.info(text, extra={"fields": {"address": address}})
--- a/src/spoolhead/_internal/quorum/keeper_metrics.py
+++ b/src/spoolhead/_internal/quorum/keeper_metrics.py
@@ -9,19 +9,19 @@
     :param made: where they are registered.
     """
 
-    def __init__(self, made: prometheus_metrics.PrometheusMetrics) -> None:
-        self.orders = made.make_counter(
+    def __init__(self, registry: prometheus_metrics.PrometheusMetrics) -> None:
+        self.orders = registry.make_counter(
             "spoolhead_table_orders", "Operators' tables, by outcome.", "outcome"
         )
-        self.reads = made.make_counter(
+        self.reads = registry.make_counter(
             "spoolhead_table_reads", "Operators' reads, by outcome.", "outcome"
         )
-        self.table_version = made.make_gauge(
+        self.table_version = registry.make_gauge(
             "spoolhead_table_version", "Version of the committed route table."
         )
-        self.is_leader = made.make_gauge("spoolhead_is_leader", "1 while this keeper leads.")
-        self.term = made.make_gauge("spoolhead_term", "Latest term of the agreement.")
-        self.followers = made.make_gauge("spoolhead_followers", "Entries that follow.")
-        self.order_ms = made.make_histogram(
+        self.is_leader = registry.make_gauge("spoolhead_is_leader", "1 while this keeper leads.")
+        self.term = registry.make_gauge("spoolhead_term", "Latest term of the agreement.")
+        self.followers = registry.make_gauge("spoolhead_followers", "Entries that follow.")
+        self.order_ms = registry.make_histogram(
             "spoolhead_table_order_ms", "Time from an operator's table to its answer."
         )
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -16,11 +16,11 @@
 
 logger = logging.getLogger(__name__)
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 """A fifth of the heartbeat interval, so that elections are not late by much."""
-ASK_TO_JOIN_S = 0.5
+JOIN_REQUEST_INTERVAL_S = 0.5
 """Pause between requests to join; a third of the time for which one counts."""
-FIRST_MARK = "first"
+FIRST_START_MARK = "first"
 """Mark of the ids of the first start, which each keeper can tell from the seeds alone."""
 MARK_BYTES = 4
 
@@ -55,14 +55,14 @@
         self._peers = peers
         self._on_change = on_change
         self._on_leading = on_leading
-        self._leader = ""
-        self._members: tuple[str, ...] = ()
-        self._probed_s = 0.0
-        self._asked: set[str] = set()
-        self._askers: set[str] = set()
-        self._held: list[consensus_types.Envelope] = []
-        self._synced = 0
-        log = self._begin(address, pathlib.Path(config.data_dir))
+        self._reported_leader = ""
+        self._reported_members: tuple[str, ...] = ()
+        self._join_requested_s = 0.0
+        self._join_addresses: set[str] = set()
+        self._join_requesters: set[str] = set()
+        self._unsent: list[consensus_types.Envelope] = []
+        self._synced_number = 0
+        log = self._open_log(address, pathlib.Path(config.data_dir))
         self._log = log
         self._consensus = consensus.Consensus(
             self.member_id,
@@ -76,10 +76,10 @@
         self._wake_read.setblocking(False)
         self._wake_write.setblocking(False)
         loop.poller.add_direct_reader(loop, self._wake_read, self._on_wake)
-        loop.scheduler.call_every(TICK_S, self._tick)
-        self._seen_version = self.register.version
-        self._seen_revision = self.state.evacuations.revision
-        self._seen_caught_up = False
+        loop.scheduler.call_every(TICK_INTERVAL_S, self._tick)
+        self._reported_version = self.register.version
+        self._reported_revision = self.state.evacuations.revision
+        self._reported_caught_up = False
 
     @property
     def is_leader(self) -> bool:
@@ -110,19 +110,19 @@
         """Propose a table; False if this keeper does not lead."""
         return self._propose(table_register.pack_change(version, document))
 
-    def propose_order(self, order: bytes) -> bool:
+    def propose_hall_order(self, order: bytes) -> bool:
         """Propose an order on a hall, in the log's form; False if this keeper does not lead."""
         return self._propose(order)
 
     def _propose(self, change: bytes) -> bool:
-        taken = self._consensus.propose(change, clocks.get_s())
-        self._carry_out()
-        return taken
+        accepted = self._consensus.propose(change, clocks.get_s())
+        self._apply_effects()
+        return accepted
 
     def begin_read(self) -> int | None:
         """Begin to confirm that this keeper leads; see :meth:`is_confirmed`."""
         number = self._consensus.begin_read(clocks.get_s())
-        self._carry_out()
+        self._apply_effects()
         return number
 
     def is_confirmed(self, round_number: int) -> bool:
@@ -132,14 +132,14 @@
     def receive(self, message: messages.Message) -> None:
         """Take a message of another keeper."""
         if isinstance(message, messages.JoinRequest):
-            self._record_join_request(message)
+            self._log_join_request(message)
         self._consensus.receive(message, clocks.get_s())
-        self._carry_out()
+        self._apply_effects()
 
-    def _begin(self, address: str, folder: pathlib.Path) -> replicated_log.ReplicatedLog:
+    def _open_log(self, address: str, folder: pathlib.Path) -> replicated_log.ReplicatedLog:
         saved = storage.read(folder)
-        seeds = [messages.make_member_id(seed, FIRST_MARK) for seed in self._config.keepers]
-        mark = FIRST_MARK if self._config.is_first_start else secrets.token_hex(MARK_BYTES)
+        seeds = [messages.make_member_id(seed, FIRST_START_MARK) for seed in self._config.keepers]
+        mark = FIRST_START_MARK if self._config.is_first_start else secrets.token_hex(MARK_BYTES)
         self.member_id = saved.member_id or messages.make_member_id(address, mark)
         founders = seeds if self.member_id in seeds and self._config.is_first_start else []
         log = replicated_log.ReplicatedLog(
@@ -161,7 +161,7 @@
         return log
 
     def _wake_from_thread(self, number: int) -> None:
-        self._synced = number
+        self._synced_number = number
         try:
             self._wake_write.send(b"\0")
         except BlockingIOError:
@@ -170,91 +170,99 @@
 
     def _on_wake(self, sock: socket.socket) -> None:
         sock.recv(4_096)
-        self._consensus.note_synced(self._synced, clocks.get_s())
-        self._carry_out()
+        self._consensus.note_synced(self._synced_number, clocks.get_s())
+        self._apply_effects()
 
     def _tick(self) -> None:
         now_s = clocks.get_s()
         self._consensus.tick(now_s)
         if not self._consensus.leader or not self._consensus.is_member:
-            self._ask_to_join(now_s)
-        self._carry_out()
+            self._request_join(now_s)
+        self._apply_effects()
 
-    def _ask_to_join(self, now_s: float) -> None:
-        if now_s - self._probed_s < ASK_TO_JOIN_S:
+    def _request_join(self, now_s: float) -> None:
+        if now_s - self._join_requested_s < JOIN_REQUEST_INTERVAL_S:
             return
-        self._probed_s = now_s
+        self._join_requested_s = now_s
         request = messages.JoinRequest(
             member=self.member_id, is_first_start=self._config.is_first_start
         )
         own = messages.get_address(self.member_id)
         asked = {*self._config.keepers, *self._consensus.get_known_addresses()} - {own}
-        if asked != self._asked:
-            self._asked = asked
-            fields = {"member": self.member_id, "asked": sorted(asked), "leader": self._leader}
+        if asked != self._join_addresses:
+            self._join_addresses = asked
+            fields = {
+                "member": self.member_id,
+                "asked": sorted(asked),
+                "leader": self._reported_leader,
+            }
             logger.info("asks to join", extra={"fields": fields})
         for address in asked:
             self._peers.send(address, request)
 
-    def _record_join_request(self, request: messages.JoinRequest) -> None:
+    def _log_join_request(self, request: messages.JoinRequest) -> None:
         """Log the first request of each process that is not a member."""
-        if request.member in self._consensus.members or request.member in self._askers:
+        if request.member in self._consensus.members or request.member in self._join_requesters:
             return
-        self._askers.add(request.member)
-        fields = {"member": request.member, "leads": self.is_leader, "leader": self._leader}
+        self._join_requesters.add(request.member)
+        fields = {
+            "member": request.member,
+            "leads": self.is_leader,
+            "leader": self._reported_leader,
+        }
         logger.info("join request received", extra={"fields": fields})
 
-    def _carry_out(self) -> None:
+    def _apply_effects(self) -> None:
         while True:
             effects = self._consensus.take_effects()
             if not effects.records and not effects.envelopes:
                 break
             if effects.records:
                 self._storage.write(effects.records)
-            self._held.extend(effects.envelopes)
+            self._unsent.extend(effects.envelopes)
             if self._storage.needs_rewrite:
                 self._storage.rewrite(self._log.get_records())
-        self._send_held()
-        self._record_changes()
+        self._send_ready()
+        self._report_changes()
 
-    def _send_held(self) -> None:
-        if not self._held:
+    def _send_ready(self) -> None:
+        if not self._unsent:
             return
-        held, self._held = self._held, []
+        held, self._unsent = self._unsent, []
         for envelope in held:
-            if envelope.after_record > self._synced:
-                self._held.append(envelope)
+            if envelope.after_record > self._synced_number:
+                self._unsent.append(envelope)
             else:
                 self._peers.send(envelope.address, envelope.message)
 
-    def _record_changes(self) -> None:
-        if self._leader != self._consensus.leader:
-            self._leader = self._consensus.leader
-            fields = {"leader": self._leader, "term": self.term}
+    def _report_changes(self) -> None:
+        if self._reported_leader != self._consensus.leader:
+            self._reported_leader = self._consensus.leader
+            fields = {"leader": self._reported_leader, "term": self.term}
             logger.info("leader changed", extra={"fields": fields})
             if self._consensus.is_leader:
                 self._on_leading()
-        if self._members != tuple(self._consensus.members):
-            self._members = tuple(self._consensus.members)
-            self._askers.difference_update(self._members)
-            fields = {"members": list(self._members), "term": self.term}
+        if self._reported_members != tuple(self._consensus.members):
+            self._reported_members = tuple(self._consensus.members)
+            self._join_requesters.difference_update(self._reported_members)
+            fields = {"members": list(self._reported_members), "term": self.term}
             logger.info("members changed", extra={"fields": fields})
-        self._record_state()
+        self._report_state()
 
-    def _record_state(self) -> None:
+    def _report_state(self) -> None:
         """Tell of what was committed, and of having caught up: both make it one to hand out."""
-        is_newer = self._seen_version != self.register.version
-        is_ordered = self._seen_revision != self.state.evacuations.revision
-        has_just_caught_up = self.has_caught_up and not self._seen_caught_up
-        self._seen_version = self.register.version
-        self._seen_revision = self.state.evacuations.revision
-        self._seen_caught_up = self.has_caught_up
-        fields = {"version": self._seen_version, "term": self.term}
+        is_newer = self._reported_version != self.register.version
+        is_ordered = self._reported_revision != self.state.evacuations.revision
+        has_just_caught_up = self.has_caught_up and not self._reported_caught_up
+        self._reported_version = self.register.version
+        self._reported_revision = self.state.evacuations.revision
+        self._reported_caught_up = self.has_caught_up
+        fields = {"version": self._reported_version, "term": self.term}
         if is_newer:
             logger.info("table committed", extra={"fields": fields})
         if is_ordered:
             halls = sorted(self.state.evacuations.evacuated_halls)
-            order_fields = {"revision": self._seen_revision, "halls": halls, "term": self.term}
+            order_fields = {"revision": self._reported_revision, "halls": halls, "term": self.term}
             logger.info("evacuated halls changed", extra={"fields": order_fields})
         if has_just_caught_up:
             logger.info("caught up with the leader", extra={"fields": fields})
--- a/src/spoolhead/_internal/quorum/mesh.py
+++ b/src/spoolhead/_internal/quorum/mesh.py
@@ -12,7 +12,7 @@
 )
 """A cut must be noticed, and its end too, well within the second or so that operators wait;
 all the times are some ten to a hundred round trips between halls."""
-UNUSED_S = 10.0
+IDLE_TIMEOUT_S = 10.0
 """Time after which a stream that nothing was sent on is closed: far longer than an election."""
 
 
@@ -22,17 +22,17 @@
     def __init__(self, mesh: "Mesh", address: str) -> None:
         self._mesh = mesh
         self.address = address
-        self.used_s = clocks.get_s()
+        self.last_used_s = clocks.get_s()
         self.client = mesh.make_client(address, self)
 
     def on_peer_ready(self) -> None:
-        self._mesh.on_ready(self.address)
+        self._mesh.handle_ready(self.address)
 
     def on_peer_message(self, message: messages.Message) -> None:
-        self._mesh.on_message(message)
+        self._mesh.handle_message(message)
 
     def on_peer_lost(self) -> None:
-        self._mesh.on_lost(self.address)
+        self._mesh.handle_lost(self.address)
 
 
 class Mesh:
@@ -53,17 +53,17 @@
         *,
         name: str,
         shared_key: str,
-        take: Callable[[messages.Message], None],
-        note: Callable[[str, bool], None],
+        on_message: Callable[[messages.Message], None],
+        on_stream_change: Callable[[str, bool], None],
     ) -> None:
         self._loop = loop
         self._outgoing = outgoing
         self._name = name
         self._shared_key = shared_key
-        self._take = take
-        self._note = note
+        self._on_message = on_message
+        self._on_stream_change = on_stream_change
         self._peers: dict[str, _Peer] = {}
-        loop.scheduler.call_every(UNUSED_S / 2, self._close_unused)
+        loop.scheduler.call_every(IDLE_TIMEOUT_S / 2, self._close_idle)
 
     def send(self, address: str, message: messages.Message) -> bool:
         """Send a message.
@@ -74,7 +74,7 @@
         peer = self._peers.get(address)
         if peer is None:
             peer = self._peers[address] = _Peer(self, address)
-        peer.used_s = clocks.get_s()
+        peer.last_used_s = clocks.get_s()
         return peer.client.send(message)
 
     def make_client(self, address: str, peer: _Peer) -> peer_client.PeerClient:
@@ -90,21 +90,21 @@
             timing=TIMING,
         )
 
-    def on_ready(self, address: str) -> None:
+    def handle_ready(self, address: str) -> None:
         """Take note of a stream that stands."""
-        self._note(address, True)
+        self._on_stream_change(address, True)
 
-    def on_lost(self, address: str) -> None:
+    def handle_lost(self, address: str) -> None:
         """Take note of a stream that ended."""
-        self._note(address, False)
+        self._on_stream_change(address, False)
 
-    def on_message(self, message: messages.Message) -> None:
+    def handle_message(self, message: messages.Message) -> None:
         """Pass on a message that came back."""
-        self._take(message)
+        self._on_message(message)
 
-    def _close_unused(self) -> None:
-        oldest_s = clocks.get_s() - UNUSED_S
+    def _close_idle(self) -> None:
+        idle_since_s = clocks.get_s() - IDLE_TIMEOUT_S
         for address, peer in list(self._peers.items()):
-            if peer.used_s < oldest_s:
+            if peer.last_used_s < idle_since_s:
                 peer.client.close()
                 del self._peers[address]
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -12,44 +12,48 @@
 
 logger = logging.getLogger(__name__)
 
-CHECK_S = 0.02
+CHECK_INTERVAL_S = 0.02
 """Pause between looks at open questions; a round between halls takes a few milliseconds."""
 RETRY_INTERVAL_S = 0.3
 """Pause before a question is put to the leader again: a few times the longest round."""
 
 ORDER_ID_BYTES = 8
 """Random bytes in an order's id; two of them are alike once in 10^19 pairs."""
-HALL_ORDER_S = 0.9
+HALL_ORDER_TIMEOUT_S = 0.9
 """Longest time for which an order on a hall is put to leaders: below the second after which an
 operator turns to another keeper, so that what operators have given up does not come to hold later.
 A calm group answers within some 10 ms, an election takes half a second to a second."""
 
-Answer = Callable[[bool], None]
+AnswerCallback = Callable[[bool], None]
 
 
 class _Order:
     """A table that waits to be committed."""
 
-    __slots__ = ("answer", "asked_s", "document", "until_s", "version")
+    __slots__ = ("answer", "sent_s", "document", "deadline_s", "version")
 
-    def __init__(self, version: int, document: bytes, answer: Answer, until_s: float) -> None:
+    def __init__(
+        self, version: int, document: bytes, answer: AnswerCallback, deadline_s: float
+    ) -> None:
         self.version = version
         self.document = document
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
 
 
 class _HallOrder:
     """An order on a hall that waits to be carried out."""
 
-    __slots__ = ("answer", "asked_s", "order", "until_s")
+    __slots__ = ("answer", "sent_s", "order", "deadline_s")
 
-    def __init__(self, order: evacuations.HallOrder, answer: Answer, until_s: float) -> None:
+    def __init__(
+        self, order: evacuations.HallOrder, answer: AnswerCallback, deadline_s: float
+    ) -> None:
         self.order = order
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
 
 
 class _Read:
@@ -59,13 +63,13 @@
     :ivar version: version confirmed by the leader; None before its answer.
     """
 
-    __slots__ = ("answer", "asked_s", "request", "round_number", "until_s", "version")
+    __slots__ = ("answer", "sent_s", "request", "round_number", "deadline_s", "version")
 
-    def __init__(self, request: int, answer: Answer, until_s: float) -> None:
+    def __init__(self, request: int, answer: AnswerCallback, deadline_s: float) -> None:
         self.request = request
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
         self.round_number: int | None = None
         self.version: int | None = None
 
@@ -86,24 +90,24 @@
         self,
         timers: scheduler.Scheduler,
         peers: mesh.Mesh,
-        group: member.Member,
+        own_member: member.Member,
         config: settings.QuorumKeeperSettings,
     ) -> None:
         self._peers = peers
-        self._group = group
+        self._member = own_member
         self._answer_s = config.answer_ms / 1000
         self._numbers = itertools.count(1)
         self._orders: list[_Order] = []
         self._hall_orders: list[_HallOrder] = []
         self._reads: list[_Read] = []
-        timers.call_every(CHECK_S, self._check)
+        timers.call_every(CHECK_INTERVAL_S, self._check)
 
     @property
     def open_count(self) -> int:
         """Orders and reads without an answer."""
         return len(self._orders) + len(self._hall_orders) + len(self._reads)
 
-    def put(self, version: int, document: bytes, answer: Answer) -> None:
+    def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
         :param answer: called with whether it is, or a higher version.
@@ -112,7 +116,7 @@
         self._orders.append(order)
         self._check()
 
-    def order(self, hall: str, is_evacuated: bool, answer: Answer) -> None:
+    def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
         """Have an order on a hall carried out.
 
         :param answer: called with whether what it wants held once it was committed.
@@ -120,14 +124,14 @@
         order = evacuations.HallOrder(
             hall=hall,
             is_evacuated=is_evacuated,
-            base_revision=self._group.state.evacuations.get_revision(hall),
+            base_revision=self._member.state.evacuations.get_revision(hall),
             order_id=secrets.token_hex(ORDER_ID_BYTES),
         )
-        item = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_S)
+        item = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_TIMEOUT_S)
         self._hall_orders.append(item)
         self._check()
 
-    def confirm(self, answer: Answer) -> None:
+    def confirm_read(self, answer: AnswerCallback) -> None:
         """Make sure that this keeper holds the newest committed version.
 
         :param answer: called with whether it does.
@@ -140,19 +144,19 @@
         """Answer what waited for a version or an order that is now committed."""
         self._check()
 
-    def answer_forwarded(
+    def handle_forwarded_table(
         self, session: peer_server.PeerSession, message: route_messages.ForwardTable
     ) -> None:
         """Take a table that another keeper passed on."""
-        if self._group.is_leader and message.version > self._group.register.version:
-            self._group.propose(message.version, message.document)
+        if self._member.is_leader and message.version > self._member.register.version:
+            self._member.propose(message.version, message.document)
 
-    def answer_forwarded_order(self, message: route_messages.ForwardHallOrder) -> None:
+    def handle_forwarded_hall_order(self, message: route_messages.ForwardHallOrder) -> None:
         """Take an order on a hall that another keeper passed on."""
-        if self._group.is_leader:
-            self._group.propose_order(message.order)
+        if self._member.is_leader:
+            self._member.propose_hall_order(message.order)
 
-    def answer_confirmation(
+    def handle_confirm_read(
         self, session: peer_server.PeerSession, message: route_messages.ConfirmRead
     ) -> None:
         """Confirm the newest version to another keeper."""
@@ -162,12 +166,12 @@
                 route_messages.KeeperAnswer(
                     request=message.request,
                     is_sure=is_sure,
-                    version=self._group.register.version,
+                    version=self._member.register.version,
                 )
             )
 
-        if self._group.is_leader:
-            self.confirm(_answer)
+        if self._member.is_leader:
+            self.confirm_read(_answer)
 
     def handle_answer(self, message: route_messages.KeeperAnswer) -> None:
         """Take the leader's confirmation of a read."""
@@ -188,43 +192,43 @@
     def _check_order(self, order: _Order, now_s: float) -> None:
         if order not in self._orders:
             return
-        if self._group.register.version >= order.version:
+        if self._member.register.version >= order.version:
             self._orders.remove(order)
             order.answer(True)
-        elif now_s >= order.until_s:
+        elif now_s >= order.deadline_s:
             self._orders.remove(order)
             order.answer(False)
-        elif now_s - order.asked_s >= RETRY_INTERVAL_S:
+        elif now_s - order.sent_s >= RETRY_INTERVAL_S:
             self._propose(order, now_s)
 
     def _propose(self, order: _Order, now_s: float) -> None:
-        if self._group.is_leader:
-            order.asked_s = now_s
-            self._group.propose(order.version, order.document)
-        elif self._group.leader_address:
+        if self._member.is_leader:
+            order.sent_s = now_s
+            self._member.propose(order.version, order.document)
+        elif self._member.leader_address:
             message = route_messages.ForwardTable(version=order.version, document=order.document)
-            if self._peers.send(self._group.leader_address, message):
-                order.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                order.sent_s = now_s
 
     def _check_hall_order(self, item: _HallOrder, now_s: float) -> None:
         if item not in self._hall_orders:
             return
-        outcome = self._group.state.get_outcome(item.order.order_id)
-        if outcome is not None or now_s >= item.until_s:
+        outcome = self._member.state.get_outcome(item.order.order_id)
+        if outcome is not None or now_s >= item.deadline_s:
             self._hall_orders.remove(item)
             item.answer(bool(outcome))
-        elif now_s - item.asked_s >= RETRY_INTERVAL_S:
+        elif now_s - item.sent_s >= RETRY_INTERVAL_S:
             self._propose_hall_order(item, now_s)
 
     def _propose_hall_order(self, item: _HallOrder, now_s: float) -> None:
         data = evacuations.pack_order(item.order)
-        if self._group.is_leader:
-            item.asked_s = now_s
-            self._group.propose_order(data)
-        elif self._group.leader_address:
+        if self._member.is_leader:
+            item.sent_s = now_s
+            self._member.propose_hall_order(data)
+        elif self._member.leader_address:
             message = route_messages.ForwardHallOrder(order=data)
-            if self._peers.send(self._group.leader_address, message):
-                item.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                item.sent_s = now_s
 
     def _check_read(self, read: _Read, now_s: float) -> None:
         if read not in self._reads:
@@ -232,23 +236,23 @@
         if self._is_confirmed(read):
             self._reads.remove(read)
             read.answer(True)
-        elif now_s >= read.until_s:
+        elif now_s >= read.deadline_s:
             self._reads.remove(read)
             read.answer(False)
-        elif now_s - read.asked_s >= RETRY_INTERVAL_S:
-            self._ask(read, now_s)
+        elif now_s - read.sent_s >= RETRY_INTERVAL_S:
+            self._request_confirmation(read, now_s)
 
     def _is_confirmed(self, read: _Read) -> bool:
         if read.version is not None:
-            return self._group.register.version >= read.version
-        return read.round_number is not None and self._group.is_confirmed(read.round_number)
-
-    def _ask(self, read: _Read, now_s: float) -> None:
-        if self._group.is_leader:
-            read.round_number = self._group.begin_read()
-            read.asked_s = now_s
-        elif self._group.leader_address:
+            return self._member.register.version >= read.version
+        return read.round_number is not None and self._member.is_confirmed(read.round_number)
+
+    def _request_confirmation(self, read: _Read, now_s: float) -> None:
+        if self._member.is_leader:
+            read.round_number = self._member.begin_read()
+            read.sent_s = now_s
+        elif self._member.leader_address:
             read.round_number = None
             message = route_messages.ConfirmRead(request=read.request)
-            if self._peers.send(self._group.leader_address, message):
-                read.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                read.sent_s = now_s
--- a/src/spoolhead/_internal/quorum/replicated_state.py
+++ b/src/spoolhead/_internal/quorum/replicated_state.py
@@ -7,10 +7,10 @@
 from spoolhead._internal.models import evacuations
 from spoolhead._internal.quorum import table_register
 
-OUTCOMES_KEPT = 256
+MAX_OUTCOMES = 256
 """Orders on halls whose outcome is remembered for whoever waits for it; an operator has eight under
 way at most."""
-_TABLE_FIELDS = 2
+_TABLE_FIELD_COUNT = 2
 """Fields of a table in the log; an order on a hall has more, so logs tell the two apart."""
 
 
@@ -29,7 +29,7 @@
     def apply(self, data: bytes) -> None:
         """Carry out a committed change."""
         values = msgpack.unpackb(data)
-        if len(values) == _TABLE_FIELDS:
+        if len(values) == _TABLE_FIELD_COUNT:
             self.table.apply(data)
         else:
             self._apply_order(evacuations.unpack_order(values))
@@ -56,5 +56,5 @@
         holds = self.evacuations.carry_out(order)
         # An order may be put to two leaders; what became of it first counts.
         self._outcomes.setdefault(order.order_id, holds)
-        while len(self._outcomes) > OUTCOMES_KEPT:
+        while len(self._outcomes) > MAX_OUTCOMES:
             self._outcomes.popitem(last=False)
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -23,10 +23,10 @@
 logger = logging.getLogger(__name__)
 
 FILE_NAME = "agreement.log"
-REWRITE_BYTES = 8 * 1024 * 1024
+REWRITE_THRESHOLD_BYTES = 8 * 1024 * 1024
 """Size from which the file is written anew: a sixteenth of a disk of 128 MB, and some eighty
 of the largest tables seen (100 KiB)."""
-START_WAIT_S = 5.0
+START_TIMEOUT_S = 5.0
 """Time for which a start waits for a disk that refuses writes, before the process ends: some times
 what a disk was seen to stay full. Nothing may be promised before the identity is on the disk."""
 
@@ -105,7 +105,7 @@
         self._identity = changelog.make_record(msgpack.packb([_IDENTITY, member_id]))
         self._on_synced = on_synced
         self._condition = threading.Condition()
-        self._waiting: collections.deque[bytes] = collections.deque()
+        self._pending: collections.deque[bytes] = collections.deque()
         self._rewrite: bytes | None = None
         self._queued = 0
         self._descriptor = -1
@@ -114,31 +114,31 @@
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
             raise exceptions.DiskError(f"{folder}: {error.strerror}") from error
-        self._begin(self._join(records))
+        self._create_file(self._encode_file(records))
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
     @property
     def needs_rewrite(self) -> bool:
         """Whether the file has grown enough to be written anew."""
-        return self._length > REWRITE_BYTES and self._rewrite is None
+        return self._length > REWRITE_THRESHOLD_BYTES and self._rewrite is None
 
     def write(self, records: Sequence[replicated_log.Record]) -> None:
         """Queue records; they are numbered on from 1."""
         data = b"".join(_pack(record) for record in records)
         with self._condition:
-            self._waiting.append(data)
+            self._pending.append(data)
             self._queued += len(records)
             self._condition.notify()
 
     def rewrite(self, records: Sequence[replicated_log.Record]) -> None:
         """Replace the file by records that stand for all that was queued before."""
         with self._condition:
-            self._rewrite = self._join(records)
-            self._waiting.clear()
+            self._rewrite = self._encode_file(records)
+            self._pending.clear()
             self._condition.notify()
 
-    def _begin(self, data: bytes) -> None:
+    def _create_file(self, data: bytes) -> None:
         """Write the file that everything else is added to.
 
         :raises exceptions.DiskError: if the disk refuses that for too long.
@@ -149,27 +149,27 @@
                 self._replace(data)
                 return
             except exceptions.DiskError as error:
-                if clocks.get_s() - began_s > START_WAIT_S:
+                if clocks.get_s() - began_s > START_TIMEOUT_S:
                     raise
                 fields = {"path": str(self._path), "reason": str(error)}
                 logger.error("disk refuses writes", extra={"fields": fields})
                 time.sleep(disk_refusals.RETRY_S)
 
-    def _join(self, records: Sequence[replicated_log.Record]) -> bytes:
+    def _encode_file(self, records: Sequence[replicated_log.Record]) -> bytes:
         return self._identity + b"".join(_pack(record) for record in records)
 
     def _run(self) -> None:
         while True:
             with self._condition:
-                while not self._waiting and self._rewrite is None:
+                while not self._pending and self._rewrite is None:
                     self._condition.wait()
                 number = self._queued
-                rewrite, data = self._rewrite, b"".join(self._waiting)
-                self._waiting.clear()
-            self._store(rewrite, data)
+                rewrite, data = self._rewrite, b"".join(self._pending)
+                self._pending.clear()
+            self._write_with_retries(rewrite, data)
             self._on_synced(number)
 
-    def _store(self, rewrite: bytes | None, data: bytes) -> None:
+    def _write_with_retries(self, rewrite: bytes | None, data: bytes) -> None:
         while True:
             try:
                 if rewrite is not None:
--- a/src/spoolhead/coordination/changelog.py
+++ b/src/spoolhead/coordination/changelog.py
@@ -67,10 +67,10 @@
             break
         payload = data[offset + _HEADER.size : offset + _HEADER.size + length]
         if len(payload) < length:
-            _judge_short_record(result, data, offset)
+            _classify_short_record(result, data, offset)
             break
         if _get_checksum(payload) != checksum:
-            _judge_bad_checksum(
+            _classify_bad_checksum(
                 result, payload, is_last=offset + _HEADER.size + length == len(data)
             )
             break
@@ -80,7 +80,7 @@
     return result
 
 
-def _judge_short_record(result: Scan, data: bytes, offset: int) -> None:
+def _classify_short_record(result: Scan, data: bytes, offset: int) -> None:
     # A rotten length field makes a record in the middle look cut short, and cutting there
     # would drop every acknowledged record behind it. So a good record further on means damage.
     for start in range(offset + 1, len(data) - _HEADER.size):
@@ -94,7 +94,7 @@
     result.torn = True
 
 
-def _judge_bad_checksum(result: Scan, payload: bytes, *, is_last: bool) -> None:
+def _classify_bad_checksum(result: Scan, payload: bytes, *, is_last: bool) -> None:
     if is_last and payload.endswith(b"\0" * min(len(payload), 512)):
         result.torn = True
         return
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -62,17 +62,17 @@
         self._timing = timing
         self._rng = rng
         self._effects = consensus_types.Effects()
-        self._disk = sync_progress.SyncProgress(log.last_index)
+        self._sync_progress = sync_progress.SyncProgress(log.last_index)
         self._ballot = ballot.Ballot()
         self._peers = peer_progress.PeerProgress()
         self._newcomers = joining.Newcomers(timing.newcomer_ms)
         self._round_number = 0
         self._term_start_index = 0
         self._next_broadcast_s = now_s
-        self._heard_leader_s = now_s
+        self._leader_heard_s = now_s
         # A member that starts has no leader to wait for. If there is one, the others refuse the
         # trial vote.
-        self._elect_s = now_s + self._draw_election_s() * FIRST_ELECTION_PART
+        self._election_due_s = now_s + self._draw_election_timeout_s() * FIRST_ELECTION_PART
         if log.snapshot.state:
             machine.load(log.snapshot.state)
 
@@ -114,8 +114,8 @@
         """Look at the clock; to be called a few times in each heartbeat interval."""
         if self.is_leader:
             self._tick_leader(now_s)
-        elif now_s >= self._elect_s and self.is_member:
-            self._begin_election(now_s, is_trial=True)
+        elif now_s >= self._election_due_s and self.is_member:
+            self._start_election(now_s, is_trial=True)
 
     def propose(self, data: bytes, now_s: float) -> bool:
         """Append a change if this member leads.
@@ -147,7 +147,7 @@
 
     def note_synced(self, record_number: int, now_s: float) -> None:
         """Take note that records up to a number are on the disk."""
-        self._disk.note_synced(record_number)
+        self._sync_progress.note_synced(record_number)
         if self.is_leader:
             self._advance_commit(now_s)
         elif self._ballot.is_open:
@@ -157,31 +157,31 @@
         """Take a message of another process."""
         match message:
             case messages.VoteRequest():
-                self._take_vote_request(message, now_s)
+                self._handle_vote_request(message, now_s)
             case messages.VoteReply():
-                self._take_vote_reply(message, now_s)
+                self._handle_vote_reply(message, now_s)
             case messages.AppendRequest():
-                self._take_append(message, now_s)
+                self._handle_append_request(message, now_s)
             case messages.AppendReply():
-                self._take_append_reply(message, now_s)
+                self._handle_append_reply(message, now_s)
             case messages.SnapshotOffer():
-                self._take_snapshot(message, now_s)
+                self._handle_snapshot_offer(message, now_s)
             case messages.JoinRequest():
-                self._take_join(message, now_s)
+                self._handle_join_request(message, now_s)
 
     # Elections
 
-    def _draw_election_s(self) -> float:
+    def _draw_election_timeout_s(self) -> float:
         return self._timing.election_ms * self._rng.uniform(1.0, 2.0) / 1000
 
-    def _begin_election(self, now_s: float, *, is_trial: bool) -> None:
+    def _start_election(self, now_s: float, *, is_trial: bool) -> None:
         self.leader = ""
         self._ballot.begin(self.member_id, is_trial=is_trial)
-        self._elect_s = now_s + self._draw_election_s()
+        self._election_due_s = now_s + self._draw_election_timeout_s()
         term = self.term + 1
         if not is_trial:
             self._write(self._log.set_vote(term, self.member_id))
-            self._ballot.record_number = self._disk.written
+            self._ballot.record_number = self._sync_progress.written
         request = messages.VoteRequest(
             term=term,
             candidate=self.member_id,
@@ -190,21 +190,21 @@
             is_trial=is_trial,
         )
         for member in self._get_others():
-            self._send(member, request, after_record=0 if is_trial else self._disk.written)
+            self._send(member, request, after_record=0 if is_trial else self._sync_progress.written)
         self._count_votes(now_s)
 
-    def _take_vote_request(self, request: messages.VoteRequest, now_s: float) -> None:
+    def _handle_vote_request(self, request: messages.VoteRequest, now_s: float) -> None:
         if request.is_trial:
             granted = (
                 request.term > self.term
                 and self._is_log_current(request)
-                and not self._hears_leader(now_s)
+                and not self._has_live_leader(now_s)
             )
             term = request.term if granted else self.term
             self._send(request.candidate, self._make_vote_reply(term, granted, True))
             return
         if request.term > self.term:
-            if self._hears_leader(now_s):
+            if self._has_live_leader(now_s):
                 return
             self._step_down(request.term, now_s)
         granted = (
@@ -215,9 +215,9 @@
         if granted and not self._log.vote.voted_for:
             self._write(self._log.set_vote(self.term, request.candidate))
         if granted:
-            self._elect_s = now_s + self._draw_election_s()
+            self._election_due_s = now_s + self._draw_election_timeout_s()
         reply = self._make_vote_reply(self.term, granted, False)
-        self._send(request.candidate, reply, after_record=self._disk.written)
+        self._send(request.candidate, reply, after_record=self._sync_progress.written)
 
     def _make_vote_reply(self, term: int, granted: bool, is_trial: bool) -> messages.VoteReply:
         return messages.VoteReply(
@@ -228,15 +228,15 @@
         theirs = (request.last_term, request.last_index)
         return theirs >= (self._log.last_term, self._log.last_index)
 
-    def _hears_leader(self, now_s: float) -> bool:
+    def _has_live_leader(self, now_s: float) -> bool:
         # A leader that a majority still answers must not be unseated by a member that only
         # lost its own path to it.
         if self.is_leader:
             return True
-        silence_s = now_s - self._heard_leader_s
+        silence_s = now_s - self._leader_heard_s
         return bool(self.leader) and silence_s < self._timing.election_ms / 1000
 
-    def _take_vote_reply(self, reply: messages.VoteReply, now_s: float) -> None:
+    def _handle_vote_reply(self, reply: messages.VoteReply, now_s: float) -> None:
         if reply.term > self.term and not (reply.is_trial and reply.granted):
             self._step_down(reply.term, now_s)
             return
@@ -252,11 +252,11 @@
         if not self._ballot.is_open or votes < self._log.membership.quorum_size:
             return
         if self._ballot.is_trial:
-            self._begin_election(now_s, is_trial=False)
-        elif self._disk.synced >= self._ballot.record_number:
-            self._begin_leading(now_s)
+            self._start_election(now_s, is_trial=False)
+        elif self._sync_progress.synced >= self._ballot.record_number:
+            self._become_leader(now_s)
 
-    def _begin_leading(self, now_s: float) -> None:
+    def _become_leader(self, now_s: float) -> None:
         self.leader = self.member_id
         self._ballot.close()
         self._newcomers.clear()
@@ -270,7 +270,7 @@
             self._write(self._log.set_vote(term, ""))
         self.leader = ""
         self._ballot.close()
-        self._elect_s = now_s + self._draw_election_s()
+        self._election_due_s = now_s + self._draw_election_timeout_s()
 
     # Leading
 
@@ -280,7 +280,7 @@
         if answering + self.is_member < self._log.membership.quorum_size:
             self._step_down(self.term, now_s)
             return
-        self._consider_membership(now_s)
+        self._change_membership(now_s)
         if now_s >= self._next_broadcast_s:
             self._broadcast(now_s)
 
@@ -316,7 +316,7 @@
         offer = log_transfer.make_offer(self._log, self.member_id, round_number=self._round_number)
         self._send(member, offer)
 
-    def _take_append_reply(self, reply: messages.AppendReply, now_s: float) -> None:
+    def _handle_append_reply(self, reply: messages.AppendReply, now_s: float) -> None:
         if reply.term > self.term:
             self._step_down(reply.term, now_s)
             return
@@ -335,7 +335,7 @@
     def _advance_commit(self, now_s: float) -> None:
         indexes = self._peers.get_match_indexes(self._get_others())
         if self.is_member:
-            indexes.append(self._disk.durable_index)
+            indexes.append(self._sync_progress.durable_index)
         indexes.sort(reverse=True)
         quorum_size = self._log.membership.quorum_size
         if len(indexes) < quorum_size:
@@ -344,10 +344,10 @@
         # Entries of earlier terms are committed only together with one of this term.
         if index > self.commit_index and self._log.get_term(index) == self.term:
             self._commit(index)
-            self._note_committed(index)
+            self._update_caught_up(index)
             self._broadcast(now_s)
 
-    def _note_committed(self, leader_index: int) -> None:
+    def _update_caught_up(self, leader_index: int) -> None:
         """Take note of the index up to which the present leader knows entries to be committed.
 
         An entry of its own term among them shows that nothing acknowledged before is missing: a
@@ -367,7 +367,7 @@
 
     # Membership
 
-    def _take_join(self, request: messages.JoinRequest, now_s: float) -> None:
+    def _handle_join_request(self, request: messages.JoinRequest, now_s: float) -> None:
         if self.is_leader:
             if request.member not in self.members:
                 self._newcomers.take(request, now_s)
@@ -379,7 +379,7 @@
             )
             self._send(self.leader, forwarded)
 
-    def _consider_membership(self, now_s: float) -> None:
+    def _change_membership(self, now_s: float) -> None:
         is_settled = self._log.membership_index <= self.commit_index
         if not is_settled or self.commit_index < self._term_start_index:
             return
@@ -399,11 +399,11 @@
         if term > self.term or self.leader != leader:
             self._step_down(term, now_s)
         self.leader = leader
-        self._heard_leader_s = now_s
-        self._elect_s = now_s + self._draw_election_s()
+        self._leader_heard_s = now_s
+        self._election_due_s = now_s + self._draw_election_timeout_s()
         return True
 
-    def _take_append(self, request: messages.AppendRequest, now_s: float) -> None:
+    def _handle_append_request(self, request: messages.AppendRequest, now_s: float) -> None:
         if not self._accept_leader(request.term, request.leader, now_s):
             self._reply(request.leader, False, self._log.last_index, request.round_number)
             return
@@ -419,14 +419,14 @@
             index += 1
             if index <= self.commit_index or self._log.get_term(index) == entry.term:
                 continue
-            self._disk.note_void(index)
+            self._sync_progress.note_void(index)
             self._write(self._log.append(entry, index))
         if request.commit_index > self.commit_index and index > self.commit_index:
             self._commit(min(index, request.commit_index))
-        self._note_committed(request.commit_index)
+        self._update_caught_up(request.commit_index)
         self._reply(request.leader, True, index, request.round_number)
 
-    def _take_snapshot(self, offer: messages.SnapshotOffer, now_s: float) -> None:
+    def _handle_snapshot_offer(self, offer: messages.SnapshotOffer, now_s: float) -> None:
         if not self._accept_leader(offer.term, offer.leader, now_s):
             self._reply(offer.leader, False, self._log.last_index, offer.round_number)
             return
@@ -434,7 +434,7 @@
             self._write(self._log.take_snapshot(log_transfer.read_snapshot(offer)))
             self._machine.load(offer.state)
             self.commit_index = offer.index
-        self._note_committed(offer.index)
+        self._update_caught_up(offer.index)
         self._reply(offer.leader, True, offer.index, offer.round_number)
 
     def _reply(self, leader: str, accepted: bool, match_index: int, round_number: int) -> None:
@@ -445,7 +445,7 @@
             match_index=match_index,
             round_number=round_number,
         )
-        self._send(leader, reply, after_record=self._disk.written)
+        self._send(leader, reply, after_record=self._sync_progress.written)
 
     # Output
 
@@ -454,7 +454,7 @@
 
     def _write(self, record: logs.Record) -> None:
         self._effects.records.append(record)
-        self._disk.note_written(self._log.last_index)
+        self._sync_progress.note_written(self._log.last_index)
 
     def _send(self, member: str, message: messages.Message, *, after_record: int = 0) -> None:
         address = messages.get_address(member)
--- a/src/spoolhead/coordination/joining.py
+++ b/src/spoolhead/coordination/joining.py
@@ -5,10 +5,10 @@
 
 
 class _Newcomer:
-    __slots__ = ("asked_s", "is_first_start")
+    __slots__ = ("requested_s", "is_first_start")
 
-    def __init__(self, asked_s: float, is_first_start: bool) -> None:
-        self.asked_s = asked_s
+    def __init__(self, requested_s: float, is_first_start: bool) -> None:
+        self.requested_s = requested_s
         self.is_first_start = is_first_start
 
 
@@ -19,7 +19,7 @@
     """
 
     def __init__(self, kept_ms: int) -> None:
-        self._kept_s = kept_ms / 1000
+        self._ttl_s = kept_ms / 1000
         self._newcomers: dict[str, _Newcomer] = {}
 
     def clear(self) -> None:
@@ -38,7 +38,7 @@
         :param membership: the present one.
         :param lost: the member that is silent for long enough to be replaced; None for none.
         """
-        self._drop_old(membership, now_s)
+        self._remove_expired(membership, now_s)
         members = set(membership.members)
         if self._newcomers:
             return self._admit(min(self._newcomers), membership, lost)
@@ -67,8 +67,8 @@
             target_size = max(target_size, len(members))
         return logs.Membership(members, target_size)
 
-    def _drop_old(self, membership: logs.Membership, now_s: float) -> None:
-        oldest_s = now_s - self._kept_s
+    def _remove_expired(self, membership: logs.Membership, now_s: float) -> None:
+        oldest_s = now_s - self._ttl_s
         for member, newcomer in list(self._newcomers.items()):
-            if newcomer.asked_s < oldest_s or member in membership.members:
+            if newcomer.requested_s < oldest_s or member in membership.members:
                 del self._newcomers[member]
--- a/src/spoolhead/coordination/replicated_log.py
+++ b/src/spoolhead/coordination/replicated_log.py
@@ -128,7 +128,7 @@
         self.snapshot = snapshot
         self._entries: list[Entry] = []
         self._first_index = snapshot.index + 1
-        self._first_previous_term = snapshot.term
+        self._term_before_first = snapshot.term
         self._membership = Membership(snapshot.members, snapshot.target_size)
         self._membership_index = snapshot.index
 
@@ -160,7 +160,7 @@
     def get_term(self, index: int) -> int | None:
         """Return the term of an entry, or None where it is not known any more or yet."""
         if index == self._first_index - 1:
-            return self._first_previous_term
+            return self._term_before_first
         if self._first_index <= index <= self.last_index:
             return self._entries[index - self._first_index].term
         return None
@@ -192,7 +192,7 @@
         if index <= self.last_index:
             del self._entries[index - self._first_index :]
             if self._membership_index >= index:
-                self._find_membership()
+                self._refresh_membership()
         self._entries.append(entry)
         if entry.kind is EntryKind.MEMBERS:
             self._membership = Membership.unpack(entry.data)
@@ -204,8 +204,8 @@
         self.snapshot = snapshot
         self._entries = []
         self._first_index = snapshot.index + 1
-        self._first_previous_term = snapshot.term
-        self._find_membership()
+        self._term_before_first = snapshot.term
+        self._refresh_membership()
         return snapshot
 
     def compact(self, applied_index: int, state: bytes) -> None:
@@ -220,7 +220,7 @@
         )
         drop = applied_index - KEPT_APPLIED_ENTRIES - self._first_index + 1
         if drop > 0:
-            self._first_previous_term = self._entries[drop - 1].term
+            self._term_before_first = self._entries[drop - 1].term
             del self._entries[:drop]
             self._first_index += drop
 
@@ -243,7 +243,7 @@
                 entry = Entry(record.term, EntryKind(record.kind), record.data)
                 self.append(entry, record.index)
 
-    def _find_membership(self) -> None:
+    def _refresh_membership(self) -> None:
         index = self._find_membership_index(self.last_index)
         self._membership = self._get_membership_at(index)
         self._membership_index = index
--- a/src/spoolhead/coordination/versioned_table.py
+++ b/src/spoolhead/coordination/versioned_table.py
@@ -221,7 +221,7 @@
         """
         known = self._accepted.get(proposal.edit_id)
         if known is not None:
-            return self._answer_resend(known, proposal)
+            return self._prepare_resend(known, proposal)
         conflicts = self._get_conflicts(proposal)
         if conflicts:
             return expression.Error(Refusal(RefusalKind.CONFLICT, conflicts=conflicts))
@@ -253,7 +253,7 @@
         return list(self._accepted.values())
 
     @staticmethod
-    def _answer_resend(known: Change, proposal: Proposal) -> expression.Result[Prepared, Refusal]:
+    def _prepare_resend(known: Change, proposal: Proposal) -> expression.Result[Prepared, Refusal]:
         # A command that is given again reads the rows anew, so the versions it expects may have
         # moved on; what it wants the rows to be is what makes it the same edit.
         sent = [(edit.key, edit.value) for edit in proposal.edits]
--- a/tests/lib/table_fleet.py
+++ b/tests/lib/table_fleet.py
@@ -41,7 +41,7 @@
 
     def _get_table(self):
         changes = self.node.machine.changes
-        return feed.Table(
+        return feed.CommittedTable(
             len(changes), make_document(changes), is_confirmed=self.consensus.has_caught_up
         )
 
@@ -54,12 +54,12 @@
     def note_changes(self):
         if self._told != self._get_state():
             self._told = self._get_state()
-            self.feed.announce_version()
+            self.feed.broadcast_version()
 
     def take(self, session, message):
         match message:
             case route_messages.Subscribe():
-                self.feed.add(session, message)
+                self.feed.add_follower(session, message)
             case route_messages.GetRouteTable():
                 self.feed.send_table(session, message.digest)
 
@@ -114,7 +114,7 @@
         """Lose the stream, and with it what is on its way."""
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.side.feed.remove(stream)
+            stream.side.feed.remove_follower(stream)
 
 
 class _Feed(table_feed.TableFeed):
--- a/tests/unit/test_consensus.py
+++ b/tests/unit/test_consensus.py
@@ -233,7 +233,7 @@
     def _note(self, leader_index):
         self.has_caught_up = True
 
-    monkeypatch.setattr(consensus.Consensus, "_note_committed", _note)
+    monkeypatch.setattr(consensus.Consensus, "_update_caught_up", _note)
 
 
 def _is_caught(seeds=60, steps=500):
@@ -315,7 +315,7 @@
     member = leader.consensus
     member._log.append(replicated_log.Entry(member.term - 1, replicated_log.EntryKind.CHANGE, b"x"))
     index = member._log.last_index
-    member._disk.durable_index = index
+    member._sync_progress.durable_index = index
     for other in member._get_others():
         member._peers.get(other).match_index = index
     member._advance_commit(group.now_s)
--- a/tests/unit/test_content_orders.py
+++ b/tests/unit/test_content_orders.py
@@ -27,7 +27,7 @@
     """Tell whether a keeper that starts now knows the content as held by hand."""
     session = Session()
     relay = content_relay.ContentRelay(list, folder, simulated_clock.Clock())
-    relay.send_all(session, messages.GetContents(request=1))
+    relay.send_contents(session, messages.GetContents(request=1))
     (answer,) = session.sent
     return any(item.record.is_by_hand for item in content_relay.content_record.unpack(answer.items))
 
@@ -37,8 +37,8 @@
     clock = simulated_clock.Clock()
     relay = content_relay.ContentRelay(list, tmp_path, clock)
     session = Session()
-    relay.order(session, _make_order(1, is_held=False))
-    relay.order(session, _make_order(2, is_held=True))
+    relay.handle_hold_order(session, _make_order(1, is_held=False))
+    relay.handle_hold_order(session, _make_order(2, is_held=True))
     deadline_s = time.monotonic() + WAIT_S
     while len(session.sent) < 2:
         assert time.monotonic() < deadline_s
--- a/tests/unit/test_keeper_feed.py
+++ b/tests/unit/test_keeper_feed.py
@@ -30,7 +30,7 @@
 class _Keeper:
     def __init__(self):
         self.keepers = ["a:1"]
-        self.table = feed.Table(3, b"three", is_confirmed=True)
+        self.table = feed.CommittedTable(3, b"three", is_confirmed=True)
         self.evacuations = evacuations.Evacuations()
         self.timers = gateway_setting.FakeTimers()
         self.feed = feed.Feed(
@@ -39,7 +39,7 @@
 
     def join(self, name):
         session = _Session(name)
-        self.feed.add(session, route_messages.Subscribe(hall="h", address=f"{name}:9"))
+        self.feed.add_follower(session, route_messages.Subscribe(hall="h", address=f"{name}:9"))
         return session
 
 
@@ -63,7 +63,7 @@
     """195 entries are 8 KB to each of them."""
     sessions = [keeper.join(f"e{number}") for number in range(50)]
     keeper.timers.pass_interval()
-    keeper.feed.remove(sessions[3])
+    keeper.feed.remove_follower(sessions[3])
     joining = keeper.join("new")
     assert len(joining.get(route_messages.Fleet)[0].entries) == 50
     keeper.timers.pass_interval()
@@ -93,7 +93,7 @@
     (one,) = first.get(route_messages.RouteTableDocument)
     (other,) = second.get(route_messages.RouteTableDocument)
     assert one is other
-    keeper.table = feed.Table(4, b"four", is_confirmed=True)
+    keeper.table = feed.CommittedTable(4, b"four", is_confirmed=True)
     keeper.feed.send_table(first, 0)
     assert first.get(route_messages.RouteTableDocument)[-1].version == 4
 
@@ -101,7 +101,7 @@
 def test_an_unchanged_list_goes_as_one_line(keeper):
     session = keeper.join("e")
     for _ in range(3):
-        keeper.feed.publish_instances(1, [gateway_setting.make_instance("i")])
+        keeper.feed.broadcast_instances(1, [gateway_setting.make_instance("i")])
     lists = session.get(route_messages.InstanceList)
     assert [item.is_whole for item in lists] == [True, False, False]
     assert [len(item.changed) for item in lists] == [1, 0, 0]
@@ -111,10 +111,10 @@
     """A hundred instances are 10 KB; of them a few come or go at a time."""
     first = keeper.join("e1")
     listed = [gateway_setting.make_instance(f"i-{number}") for number in range(100)]
-    keeper.feed.publish_instances(1, listed)
+    keeper.feed.broadcast_instances(1, listed)
     leaving = gateway_setting.make_instance("i-7", is_leaving=True)
     changed = [*listed[1:7], leaving, *listed[8:], gateway_setting.make_instance("new")]
-    keeper.feed.publish_instances(1, changed)
+    keeper.feed.broadcast_instances(1, changed)
     sent = first.get(route_messages.InstanceList)[-1]
     assert not sent.is_whole
     assert {item[0] for item in sent.changed} == {"i-7", "new"}
@@ -135,7 +135,7 @@
         listed = [
             gateway_setting.make_instance(f"i-{n}", is_leaving=rng.random() < 0.3) for n in names
         ]
-        keeper.feed.publish_instances(rng.randrange(1, 3), listed)
+        keeper.feed.broadcast_instances(rng.randrange(1, 3), listed)
         sent = session.get(route_messages.InstanceList)[-1]
         for name in sent.gone:
             del held[name]
@@ -145,11 +145,11 @@
 
 def test_one_that_has_the_table_before_gets_the_difference(keeper):
     session = keeper.join("e")
-    keeper.table = feed.Table(3, b"{a},{b},{c}", is_confirmed=True)
-    keeper.feed.announce_version()
+    keeper.table = feed.CommittedTable(3, b"{a},{b},{c}", is_confirmed=True)
+    keeper.feed.broadcast_version()
     digest = document_delta.get_digest(keeper.table.document)
-    keeper.table = feed.Table(4, b"{a},{d},{c}", is_confirmed=True)
-    keeper.feed.announce_version()
+    keeper.table = feed.CommittedTable(4, b"{a},{d},{c}", is_confirmed=True)
+    keeper.feed.broadcast_version()
     keeper.feed.send_table(session, digest)
     (sent,) = session.get(route_messages.RouteTableDocument)
     assert sent.base_digest == digest
@@ -161,6 +161,6 @@
 
 def test_documents_for_differences_are_bounded(keeper):
     for version in range(4, 40):
-        keeper.table = feed.Table(version, b"%d" % version, is_confirmed=True)
-        keeper.feed.announce_version()
-    assert len(keeper.feed._documents) == feed.DOCUMENTS_KEPT
+        keeper.table = feed.CommittedTable(version, b"%d" % version, is_confirmed=True)
+        keeper.feed.broadcast_version()
+    assert len(keeper.feed._documents) == feed.MAX_DOCUMENTS
--- a/tests/unit/test_peer_streams.py
+++ b/tests/unit/test_peer_streams.py
@@ -122,11 +122,11 @@
         gateway_setting.FakeTimers(),
         "h",
         list,
-        lambda: feed.Table(3, b"t", is_confirmed=True),
+        lambda: feed.CommittedTable(3, b"t", is_confirmed=True),
         evacuations.Evacuations,
     )
     for session in server._sessions.values():
         told._followers[session] = route_messages.Subscribe(hall="h", address="x:1")
-    told.announce_version()
+    told.broadcast_version()
     assert server._server.sent == ["a", "c"]
     assert server._server.closed == ["b"]
--- a/tests/unit/test_quorum_storage.py
+++ b/tests/unit/test_quorum_storage.py
@@ -137,7 +137,7 @@
         raise exceptions.DiskError(f"{path}: no space")
 
     monkeypatch.setattr(storage.files, "replace_file", _replace)
-    monkeypatch.setattr(storage, "START_WAIT_S", 0.05)
+    monkeypatch.setattr(storage, "START_TIMEOUT_S", 0.05)
     monkeypatch.setattr(disk_refusals, "RETRY_S", 0.01)
     with pytest.raises(exceptions.DiskError):
         storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
--- a/tests/unit/test_table_fleet.py
+++ b/tests/unit/test_table_fleet.py
@@ -221,7 +221,7 @@
         self.has_caught_up = True
 
     monkeypatch.setattr(consensus.Consensus, "__init__", _init)
-    monkeypatch.setattr(consensus.Consensus, "_note_committed", lambda self, index: None)
+    monkeypatch.setattr(consensus.Consensus, "_update_caught_up", lambda self, index: None)
     with pytest.raises(AssertionError):
         for seed in range(30):
             _play(seed)
