--- a/src/spoolhead/coordination/__init__.py
+++ b/src/spoolhead/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination parts for others to embed; sans-I/O, the package's public interface."""
+"""Coordination components without I/O, for embedding; the package's public interface."""
--- a/src/spoolhead/coordination/ballot.py
+++ b/src/spoolhead/coordination/ballot.py
@@ -1,14 +1,15 @@
-"""A member's own candidacy; no I/O."""
+"""The votes that a candidate has received; performs no I/O."""
 
 from collections.abc import Iterable
 
 
 class Ballot:
-    """Votes for one member, in a trial that binds nobody or in a real election.
+    """Votes for one member, in a trial election (Raft's pre-vote) or in a real election.
 
-    :ivar is_open: the member is a candidate.
-    :ivar is_trial: what it stands in is a trial.
-    :ivar record_number: record that must be synced before the member may lead: its own vote.
+    :ivar is_open: whether the member is a candidate.
+    :ivar is_trial: whether the election is a trial.
+    :ivar record_number: number of the record that holds the member's own vote; it must be synced
+        before the member may lead.
     """
 
     __slots__ = ("_voters", "is_open", "is_trial", "record_number")
@@ -20,19 +21,19 @@
         self._voters: set[str] = set()
 
     def begin(self, candidate: str, *, is_trial: bool) -> None:
-        """Stand, with the candidate's own vote."""
+        """Start an election with the candidate's own vote."""
         self.is_open = True
         self.is_trial = is_trial
         self._voters = {candidate}
 
     def close(self) -> None:
-        """Be no candidate any more."""
+        """End the candidacy."""
         self.is_open = False
 
     def add(self, voter: str) -> None:
-        """Count a vote; one that comes twice counts once."""
+        """Count a vote; repeated votes of one member count once."""
         self._voters.add(voter)
 
     def count(self, members: Iterable[str]) -> int:
-        """Return the votes of some members."""
+        """Return how many of the given members have voted for the candidate."""
         return len(self._voters.intersection(members))
--- a/src/spoolhead/coordination/changelog.py
+++ b/src/spoolhead/coordination/changelog.py
@@ -1,8 +1,8 @@
-"""Records of an append-only log: framing, checksums, and what a damaged file means.
+"""Record framing and checksums of an append-only log, and the detection of damage.
 
-A record is ``length`` (4 bytes), ``checksum`` (8 bytes, xxh3-64 over the length and the
-payload) and the payload, integers little-endian. The module holds no file: a caller appends
-what :func:`make_record` returns, syncs, and only then acknowledges.
+A record consists of ``length`` (4 bytes), ``checksum`` (8 bytes, xxh3-64 over the length and the
+payload) and the payload; integers are little-endian. The module opens no file: the caller appends
+the result of :func:`make_record`, syncs the file, and only then acknowledges the write.
 """
 
 import struct
@@ -15,12 +15,13 @@
 
 
 class Scan:
-    """What a log's bytes hold.
+    """Result of reading a log.
 
-    :ivar payloads: payload of each good record, in order.
-    :ivar good_bytes: length of the part that holds those records.
-    :ivar torn: the rest is a last write that was cut short; nothing in it was acknowledged.
-    :ivar damage: why the rest is not a torn write but damage; None where it is not.
+    :ivar payloads: payload of each valid record, in order.
+    :ivar good_bytes: length of the prefix that holds the valid records.
+    :ivar torn: whether the rest is an incomplete last write; nothing in it was acknowledged.
+    :ivar damage: description of the damage, if the rest is damaged rather than an incomplete write;
+        None otherwise.
     """
 
     __slots__ = ("damage", "good_bytes", "payloads", "torn")
@@ -33,10 +34,10 @@
 
 
 def make_record(payload: bytes) -> bytes:
-    """Frame one payload.
+    """Frame one payload as a record.
 
-    :param payload: at most :data:`MAX_PAYLOAD_BYTES` bytes, at least one.
-    :raises ValueError: if its size is out of bounds.
+    :param payload: 1 to :data:`MAX_PAYLOAD_BYTES` bytes.
+    :raises ValueError: if the payload's size is out of bounds.
     """
     if not 0 < len(payload) <= MAX_PAYLOAD_BYTES:
         raise ValueError(f"a record of {len(payload)} bytes is out of bounds")
@@ -44,13 +45,13 @@
 
 
 def scan(data: bytes) -> Scan:
-    """Read every record of a log.
+    """Read all records of a log.
 
-    A crash between write and sync leaves a record that stops short of its length, or zeros
-    where the file grew before its content arrived. Both are a torn write. A record that is all
-    there but does not fit its checksum is damage: it may have been acknowledged.
+    A crash between write and sync leaves a record that is shorter than its length field says, or
+    zeros where the file grew before its content was written. Both count as a torn write. A complete
+    record whose checksum does not match is damage: it may have been acknowledged.
 
-    :param data: the whole file.
+    :param data: content of the whole file.
     """
     result = Scan()
     offset = 0
@@ -81,8 +82,9 @@
 
 
 def _classify_short_record(result: Scan, data: bytes, offset: int) -> None:
-    # A rotten length field makes a record in the middle look cut short, and cutting there
-    # would drop every acknowledged record behind it. So a good record further on means damage.
+    # A corrupt length field can make a record in the middle look cut short. Truncating the log
+    # there would remove all acknowledged records after it, so a valid record further on means
+    # damage.
     for start in range(offset + 1, len(data) - _HEADER.size):
         length, checksum = _HEADER.unpack_from(data, start)
         end = start + _HEADER.size + length
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -1,13 +1,13 @@
-"""Agreement on one log among a few members, without I/O and without a clock of its own.
+"""Raft consensus on one log among a few members; performs no I/O, the current time is passed in.
 
-This follows the Raft algorithm (Ongaro and Ousterhout, 2014): a leader elected for a term,
-entries committed by a majority after they are on disk, trial votes so that a member that was
-cut off does not disturb the others, reads confirmed by a round of heartbeats, and membership
-changed by one member at a time.
+The algorithm is Raft (Ongaro and Ousterhout, 2014): a leader is elected for a term, and entries are
+committed once a majority has them on disk. Three extensions from the Raft literature are used:
+pre-votes (trial votes), so that a member that was cut off does not disrupt the others; linearizable
+reads, confirmed by a round of heartbeats; and membership changes of one member at a time.
 
-The owner feeds messages, times and the progress of its disk, and carries out the effects
-(:class:`~spoolhead.coordination.consensus_types.Effects`): records to write and messages to send.
-A message that promises something about the disk names the record that must be synced first.
+The owner passes in messages, the time and the progress of its disk, and carries out the effects
+(:class:`~spoolhead.coordination.consensus_types.Effects`): records to write and messages to send. A
+message that depends on durable state names the record that must be synced before it is sent.
 """
 
 import random
@@ -25,23 +25,24 @@
 from spoolhead.coordination import replicated_log as logs
 
 FIRST_ELECTION_PART = 0.4
-"""Part of the usual wait after which a member that has just started stands: long enough for the
-others to have started too and for a heartbeat of a leader that there may be."""
+"""Fraction of an election timeout after which a member that has just started becomes a candidate:
+long enough for the other members to start and for a heartbeat of an existing leader to arrive."""
 
 
 class Consensus:
     """One member of the group.
 
-    :param member_id: this member's id.
-    :param log: its log, as read from the disk.
-    :param machine: gets the committed changes.
-    :param timing: times.
-    :param rng: source of random numbers.
+    :param member_id: id of this member.
+    :param log: the member's log, as read from its disk.
+    :param machine: state machine to which committed changes are applied.
+    :param timing: timeouts and intervals.
+    :param rng: random number generator.
     :param now_s: monotonic time in seconds.
-    :ivar leader: id of the leader as far as known; empty for none.
+    :ivar leader: id of the leader, if known; else empty.
     :ivar commit_index: index up to which entries are known to be committed and are applied.
-    :ivar has_caught_up: a leader has told this member since its start what is committed, and it
-        is applied here. Before, the state is that of the last snapshot on its disk, however old.
+    :ivar has_caught_up: whether this member, since its start, has learned from a leader up to which
+        index entries are committed, and has applied them. Before that, the state is that of the
+        last snapshot on its disk, which may be arbitrarily old.
     """
 
     def __init__(
@@ -70,8 +71,8 @@
         self._term_start_index = 0
         self._next_broadcast_s = now_s
         self._leader_heard_s = now_s
-        # A member that starts has no leader to wait for. If there is one, the others refuse the
-        # trial vote.
+        # After a start no leader is known, so there is none to wait for. If there is one, the
+        # others refuse the trial vote.
         self._election_due_s = now_s + self._draw_election_timeout_s() * FIRST_ELECTION_PART
         if log.snapshot.state:
             machine.load(log.snapshot.state)
@@ -83,12 +84,12 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member is the leader, as far as it knows."""
         return self.leader == self.member_id
 
     @property
     def members(self) -> Sequence[str]:
-        """Ids of the members by the latest entry on them."""
+        """Ids of the members by the latest membership entry."""
         return self._log.membership.members
 
     @property
@@ -97,30 +98,32 @@
         return self.member_id in self._log.membership.members
 
     def get_known_addresses(self) -> set[str]:
-        """Return where other members may be found: those of the log and the leader that is heard.
+        """Return the addresses of the other members in the log and of the known leader.
 
-        The log of a newcomer names nobody, and its settings may name none that is left; where its
-        address had a former life, the leader still sends to it.
+        A new member's log lists no members, and all members in its settings may have been replaced.
+        If its address belonged to a previous member, the leader still sends to that address and so
+        becomes known.
         """
         known = {*self.members, self.leader} - {"", self.member_id}
         return {messages.get_address(member) for member in known}
 
     def take_effects(self) -> consensus_types.Effects:
-        """Return what is to be done since the last call."""
+        """Return and clear the effects that have accumulated since the last call."""
         effects, self._effects = self._effects, consensus_types.Effects()
         return effects
 
     def tick(self, now_s: float) -> None:
-        """Look at the clock; to be called a few times in each heartbeat interval."""
+        """Check timeouts; must be called several times per heartbeat interval."""
         if self.is_leader:
             self._tick_leader(now_s)
         elif now_s >= self._election_due_s and self.is_member:
             self._start_election(now_s, is_trial=True)
 
     def propose(self, data: bytes, now_s: float) -> bool:
-        """Append a change if this member leads.
+        """Append a change if this member is the leader.
 
-        :returns: whether it was appended. It holds once it is applied, not before.
+        :returns: whether the change was appended. It counts as committed only once it has been
+            applied to the state machine.
         """
         if not self.is_leader:
             return False
@@ -129,9 +132,10 @@
         return True
 
     def begin_read(self, now_s: float) -> int | None:
-        """Begin to confirm that this member still leads.
+        """Start a broadcast that confirms that this member is still the leader.
 
-        :returns: number of a broadcast for :meth:`is_confirmed`, or None if it cannot lead.
+        :returns: number of the broadcast, for :meth:`is_confirmed`; None if this member is not the
+            leader or has not yet committed an entry of its term.
         """
         if not self.is_leader or self.commit_index < self._term_start_index:
             return None
@@ -139,14 +143,14 @@
         return self._round_number
 
     def is_confirmed(self, round_number: int) -> bool:
-        """Tell whether a majority has answered a broadcast or a later one."""
+        """Return whether a majority has answered the given broadcast or a later one."""
         if not self.is_leader or self.commit_index < self._term_start_index:
             return False
         acked = self._peers.count_acked(self._get_others(), round_number)
         return acked + self.is_member >= self._log.membership.quorum_size
 
     def note_synced(self, record_number: int, now_s: float) -> None:
-        """Take note that records up to a number are on the disk."""
+        """Record that all records up to the given number are on disk."""
         self._sync_progress.note_synced(record_number)
         if self.is_leader:
             self._advance_commit(now_s)
@@ -154,7 +158,7 @@
             self._count_votes(now_s)
 
     def receive(self, message: messages.Message, now_s: float) -> None:
-        """Take a message of another process."""
+        """Handle a message from another process."""
         match message:
             case messages.VoteRequest():
                 self._handle_vote_request(message, now_s)
@@ -229,8 +233,8 @@
         return theirs >= (self._log.last_term, self._log.last_index)
 
     def _has_live_leader(self, now_s: float) -> bool:
-        # A leader that a majority still answers must not be unseated by a member that only
-        # lost its own path to it.
+        # A member that lost only its own connection to the leader must not depose a leader that a
+        # majority still answers.
         if self.is_leader:
             return True
         silence_s = now_s - self._leader_heard_s
@@ -240,10 +244,10 @@
         if reply.term > self.term and not (reply.is_trial and reply.granted):
             self._step_down(reply.term, now_s)
             return
-        wanted_term = self.term + 1 if reply.is_trial else self.term
+        expected_term = self.term + 1 if reply.is_trial else self.term
         if not self._ballot.is_open or reply.is_trial is not self._ballot.is_trial:
             return
-        if reply.granted and reply.term == wanted_term:
+        if reply.granted and reply.term == expected_term:
             self._ballot.add(reply.voter)
             self._count_votes(now_s)
 
@@ -307,7 +311,8 @@
         if request is None:
             self._send_snapshot(member, peer)
             return
-        # What was sent is taken as received; a refusal of a later message sets this right.
+        # Assume that the entries arrive; if one is lost, the refusal of a later message resets the
+        # index.
         peer.next_index += len(request.entries)
         self._send(member, request)
 
@@ -341,17 +346,18 @@
         if len(indexes) < quorum_size:
             return
         index = indexes[quorum_size - 1]
-        # Entries of earlier terms are committed only together with one of this term.
+        # Entries of earlier terms are committed only together with an entry of the current term.
         if index > self.commit_index and self._log.get_term(index) == self.term:
             self._commit(index)
             self._update_caught_up(index)
             self._broadcast(now_s)
 
     def _update_caught_up(self, leader_index: int) -> None:
-        """Take note of the index up to which the present leader knows entries to be committed.
+        """Set ``has_caught_up`` once this member has applied what the current leader has committed.
 
-        An entry of its own term among them shows that nothing acknowledged before is missing: a
-        new leader begins with what its own disk says, which may be as old as a member's.
+        An entry of the leader's own term must be among the applied ones. A new leader starts from
+        its own disk, which may be as old as a follower's; a committed entry of its term shows that
+        no acknowledged change is missing.
         """
         is_of_term = self._log.get_term(self.commit_index) == self.term
         if self.commit_index >= leader_index and is_of_term:
@@ -372,8 +378,9 @@
             if request.member not in self.members:
                 self._newcomers.take(request, now_s)
         elif self.leader and not request.is_forwarded:
-            # A newcomer is told of a few members, and the leader need not be one of them. Left
-            # out, it is missed when others lose their disks, and the group with it.
+            # A newcomer knows only a few members, and the leader may not be among them. If the
+            # request did not reach the leader, the group would stay one member short, and further
+            # lost disks could cost it its majority.
             forwarded = messages.JoinRequest(
                 member=request.member, is_first_start=request.is_first_start, is_forwarded=True
             )
--- a/src/spoolhead/coordination/consensus_messages.py
+++ b/src/spoolhead/coordination/consensus_messages.py
@@ -1,7 +1,8 @@
 """Messages between the members of a replicated log.
 
-A member's id is its address with a mark behind it that is drawn anew whenever its storage
-begins empty, so a member that has lost its memory never counts as its former self.
+A member id consists of an address and a mark that is drawn anew whenever a member starts with empty
+storage. A member that has lost its storage therefore has a new id and is never mistaken for the
+previous member at its address.
 """
 
 import dataclasses
@@ -13,13 +14,13 @@
     """Return the id of a member.
 
     :param address: ``IP:PORT`` of the member.
-    :param mark: tells apart the lives of one address.
+    :param mark: distinguishes successive members at one address.
     """
     return f"{address}{ID_SEPARATOR}{mark}"
 
 
 def get_address(member_id: str) -> str:
-    """Return the address that a member's id begins with."""
+    """Return the address part of a member id."""
     return member_id.partition(ID_SEPARATOR)[0]
 
 
@@ -29,13 +30,14 @@
 
 @_message
 class VoteRequest:
-    """A member asks for a vote.
-
-    :ivar term: term that it wants to lead.
-    :ivar candidate: its id.
-    :ivar last_index: index of its last log entry.
-    :ivar last_term: term of its last log entry.
-    :ivar is_trial: the vote binds nobody; it asks whether a real one could be won.
+    """A candidate requests a vote.
+
+    :ivar term: term in which the candidate wants to lead.
+    :ivar candidate: id of the candidate.
+    :ivar last_index: index of the candidate's last log entry.
+    :ivar last_term: term of the candidate's last log entry.
+    :ivar is_trial: whether this is a trial vote (Raft's pre-vote): it binds nobody and only finds
+        out whether a real election could be won.
     """
 
     term: int
@@ -47,12 +49,12 @@
 
 @_message
 class VoteReply:
-    """Answer to a request for a vote.
+    """Reply to a vote request.
 
-    :ivar term: the voter's term, or for a trial that was granted the term asked for.
-    :ivar voter: the voter's id.
-    :ivar granted: whether it votes for the candidate.
-    :ivar is_trial: answers a trial.
+    :ivar term: the voter's term; for a granted trial vote, the requested term.
+    :ivar voter: id of the voter.
+    :ivar granted: whether the vote is given to the candidate.
+    :ivar is_trial: whether this is a reply to a trial vote.
     """
 
     term: int
@@ -63,15 +65,15 @@
 
 @_message
 class AppendRequest:
-    """The leader sends log entries; without any it is a heartbeat.
+    """Log entries from the leader; without entries it is a heartbeat.
 
-    :ivar term: the leader's term.
-    :ivar leader: the leader's id.
+    :ivar term: term of the leader.
+    :ivar leader: id of the leader.
     :ivar previous_index: index of the entry before the first one sent.
     :ivar previous_term: term of that entry.
-    :ivar entries: for each entry its term, kind and data.
+    :ivar entries: term, kind and data of each entry.
     :ivar commit_index: index up to which the leader knows entries to be committed.
-    :ivar round_number: number of the broadcast, echoed in the answer.
+    :ivar round_number: number of the broadcast, echoed in the reply.
     """
 
     term: int
@@ -85,13 +87,14 @@
 
 @_message
 class AppendReply:
-    """Answer to log entries or a snapshot.
-
-    :ivar term: the follower's term.
-    :ivar follower: its id.
-    :ivar accepted: its log agrees with the leader's up to ``match_index``.
-    :ivar match_index: index up to which it agrees; of a refusal, its last index.
-    :ivar round_number: number of the broadcast it answers.
+    """Reply to log entries or to a snapshot.
+
+    :ivar term: term of the follower.
+    :ivar follower: id of the follower.
+    :ivar accepted: whether the follower's log matches the leader's up to ``match_index``.
+    :ivar match_index: index up to which the logs match; in a refusal, a hint at the follower's last
+        index that may match.
+    :ivar round_number: number of the broadcast that is answered.
     """
 
     term: int
@@ -103,16 +106,16 @@
 
 @_message
 class SnapshotOffer:
-    """The leader sends its whole state to a follower whose log is too far behind.
+    """The leader's whole state, for a follower whose log is too far behind.
 
-    :ivar term: the leader's term.
-    :ivar leader: the leader's id.
+    :ivar term: term of the leader.
+    :ivar leader: id of the leader.
     :ivar index: index of the last entry that the state includes.
     :ivar entry_term: term of that entry.
     :ivar members: ids of the members at that index.
-    :ivar target_size: members wanted.
-    :ivar state: the state.
-    :ivar round_number: number of the broadcast, echoed in the answer.
+    :ivar target_size: intended number of members.
+    :ivar state: the serialized state.
+    :ivar round_number: number of the broadcast, echoed in the reply.
     """
 
     term: int
@@ -127,13 +130,14 @@
 
 @_message
 class JoinRequest:
-    """A process asks to become a member.
-
-    :ivar member: its id.
-    :ivar is_first_start: the whole system starts for the first time, so this is an additional
-        member and not the successor of a lost one.
-    :ivar is_forwarded: a member that does not lead passed it on; it is not passed on again, so
-        two members that take each other for the leader do not send it to and fro.
+    """A process requests to become a member.
+
+    :ivar member: id of the process.
+    :ivar is_first_start: whether the whole system starts for the first time, so that the process is
+        an additional member and not the replacement of a lost one.
+    :ivar is_forwarded: whether a follower forwarded the request. A forwarded request is not
+        forwarded again, so that two followers that take each other for the leader do not send it
+        back and forth.
     """
 
     member: str
@@ -150,4 +154,4 @@
     64: SnapshotOffer,
     65: JoinRequest,
 }
-"""Tags of the messages on the wire."""
+"""Message classes by their tag on the wire."""
--- a/src/spoolhead/coordination/consensus_types.py
+++ b/src/spoolhead/coordination/consensus_types.py
@@ -1,4 +1,4 @@
-"""What the owner of a member of a replicated log gives to it and gets from it."""
+"""Types that a member of a replicated log exchanges with its owner."""
 
 from typing import Protocol
 
@@ -7,13 +7,13 @@
 
 
 class Timing:
-    """Times of the algorithm, in milliseconds.
+    """Intervals and timeouts of the algorithm, in milliseconds.
 
-    :ivar heartbeat_ms: between two broadcasts of a leader.
-    :ivar election_ms: shortest silence of the leader before a member stands; the longest is
-        twice that. Several heartbeats, and more than a sync of a slow disk.
-    :ivar lost_ms: silence of a member before a newcomer may take its place.
-    :ivar newcomer_ms: time for which a request to join counts.
+    :ivar heartbeat_ms: interval between two broadcasts of a leader.
+    :ivar election_ms: shortest election timeout; the longest is twice that. It must exceed several
+        heartbeat intervals and the sync time of a slow disk.
+    :ivar lost_ms: time without a reply after which a member may be replaced by a newcomer.
+    :ivar newcomer_ms: time for which a request to join is valid.
     """
 
     __slots__ = ("election_ms", "heartbeat_ms", "lost_ms", "newcomer_ms")
@@ -33,13 +33,13 @@
 
 
 class StateMachine(Protocol):
-    """What the log's changes act on."""
+    """The state that the log's changes modify."""
 
     def apply(self, data: bytes) -> None:
-        """Carry out a committed change."""
+        """Apply a committed change."""
 
     def dump(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
 
     def load(self, state: bytes) -> None:
         """Replace the whole state."""
@@ -48,9 +48,10 @@
 class Envelope:
     """A message to send.
 
-    :ivar address: ``IP:PORT`` of the receiver.
+    :ivar address: ``IP:PORT`` of the recipient.
     :ivar message: the message.
-    :ivar after_record: number of the record that must be synced before; 0 for none.
+    :ivar after_record: number of the record that must be synced before the message is sent; 0 for
+        none.
     """
 
     __slots__ = ("address", "after_record", "message")
@@ -62,9 +63,9 @@
 
 
 class Effects:
-    """What the owner has to do.
+    """Actions that the owner must carry out.
 
-    :ivar records: records to write in order, numbered on from the last ones.
+    :ivar records: records to write, in order; their numbers continue from those of earlier records.
     :ivar envelopes: messages to send.
     """
 
--- a/src/spoolhead/coordination/following.py
+++ b/src/spoolhead/coordination/following.py
@@ -1,8 +1,8 @@
-"""A follower's copy of a versioned table: it moves forward only.
+"""A follower's copy of a versioned table, whose version never decreases.
 
-A follower names the version it has and gets either the changes since or a snapshot. Whatever
-a source offers, the copy never goes back to an older version and never mixes two logs: a log
-is named by an id drawn when it was made, and a source with another log is refused.
+A follower sends the version it has and receives either the changes since then or a snapshot.
+Whatever a source sends, the copy never returns to an older version and never mixes two logs: each
+log has a random id, and a source with another log is refused.
 """
 
 import enum
@@ -14,7 +14,7 @@
 
 
 class FollowFault(enum.Enum):
-    """Why something offered by a source was not taken."""
+    """Reason why a change or a snapshot was refused."""
 
     OTHER_LOG = "other-log"
     OLDER = "older"
@@ -24,7 +24,7 @@
 class FollowedTable:
     """Copy of a table at one version.
 
-    :ivar log_id: id of the log it comes from; empty before the first snapshot.
+    :ivar log_id: id of the log that the copy comes from; empty before the first snapshot.
     :ivar version: version of the copy; 0 before the first snapshot.
     :ivar rows: rows at that version.
     """
@@ -44,7 +44,7 @@
     ) -> expression.Result[bool, FollowFault]:
         """Replace the copy by a snapshot.
 
-        :returns: whether the copy changed, or why the snapshot was not taken.
+        :returns: whether the copy changed, or why the snapshot was refused.
         """
         if self.log_id and log_id != self.log_id:
             return expression.Error(FollowFault.OTHER_LOG)
@@ -62,7 +62,8 @@
     ) -> expression.Result[bool, FollowFault]:
         """Apply one change.
 
-        :returns: whether the copy changed (False for one already applied), or why not taken.
+        :returns: whether the copy changed (False for a change that is already applied), or why the
+            change was refused.
         """
         if log_id != self.log_id:
             return expression.Error(FollowFault.OTHER_LOG)
--- a/src/spoolhead/coordination/joining.py
+++ b/src/spoolhead/coordination/joining.py
@@ -1,4 +1,4 @@
-"""Who should be a member next: newcomers take the places of lost members, one step at a time."""
+"""Membership changes, one member at a time: newcomers replace lost members."""
 
 from spoolhead.coordination import consensus_messages as messages
 from spoolhead.coordination import replicated_log as logs
@@ -13,9 +13,9 @@
 
 
 class Newcomers:
-    """Processes that ask a leader to become members.
+    """Processes that have requested to become members, as known to the leader.
 
-    :param kept_ms: time for which a request counts, in milliseconds.
+    :param kept_ms: time for which a request is valid, in milliseconds.
     """
 
     def __init__(self, kept_ms: int) -> None:
@@ -23,20 +23,22 @@
         self._newcomers: dict[str, _Newcomer] = {}
 
     def clear(self) -> None:
-        """Forget all requests."""
+        """Remove all requests."""
         self._newcomers.clear()
 
     def take(self, request: messages.JoinRequest, now_s: float) -> None:
-        """Take a request."""
+        """Record a request, or renew it."""
         self._newcomers[request.member] = _Newcomer(now_s, request.is_first_start)
 
     def get_next(
         self, membership: logs.Membership, lost: str | None, now_s: float
     ) -> logs.Membership | None:
-        """Return the membership to change to in one step, or None for no change.
+        """Return the next membership, which differs by one step, or None for no change.
 
-        :param membership: the present one.
-        :param lost: the member that is silent for long enough to be replaced; None for none.
+        :param membership: the current membership.
+        :param lost: the member that has been silent long enough to be replaced; None if there is
+            none.
+        :param now_s: monotonic time in seconds.
         """
         self._remove_expired(membership, now_s)
         members = set(membership.members)
@@ -52,13 +54,14 @@
         members = set(membership.members)
         target_size = membership.target_size
         address = messages.get_address(newcomer)
-        former = next((m for m in members if messages.get_address(m) == address), None)
+        previous = next((m for m in members if messages.get_address(m) == address), None)
         is_first_start = self._newcomers[newcomer].is_first_start
-        if former is not None:
-            # The former life of that address can neither vote nor answer again, so a majority
-            # before always meets a majority after, and one step will do.
+        if previous is not None:
+            # The previous member at this address can neither vote nor answer again. Any majority
+            # before the change therefore shares a member with any majority after it, so one step is
+            # safe.
             del self._newcomers[newcomer]
-            return logs.Membership(members - {former} | {newcomer}, target_size)
+            return logs.Membership(members - {previous} | {newcomer}, target_size)
         if lost is not None and not is_first_start and len(members) >= target_size:
             return logs.Membership(members - {lost}, target_size)
         del self._newcomers[newcomer]
--- a/src/spoolhead/coordination/log_transfer.py
+++ b/src/spoolhead/coordination/log_transfer.py
@@ -1,19 +1,20 @@
-"""How parts of a log travel in messages: entries behind an index, or the whole state; no I/O."""
+"""Conversion between parts of a log and messages; performs no I/O."""
 
 from spoolhead.coordination import consensus_messages as messages
 from spoolhead.coordination import replicated_log as logs
 
 APPEND_LIMIT_BYTES = 262_144
-"""Entries sent in one message; a few of the largest tables seen (100 KiB)."""
+"""Limit for the entries in one message: a few of the largest tables seen (100 KiB)."""
 
 
 def make_append(
     log: logs.ReplicatedLog, leader: str, next_index: int, *, commit_index: int, round_number: int
 ) -> messages.AppendRequest | None:
-    """Return a message with the entries from an index on, or with none at the log's end.
+    """Return a message with the entries from an index on; without entries at the log's end.
 
-    :param leader: id of the member that sends it.
-    :returns: None if the entry before that index is not held any more.
+    :param leader: id of the member that sends the message.
+    :param next_index: index of the first entry to send.
+    :returns: None if the term of the entry before that index is no longer known.
     """
     previous_term = log.get_term(next_index - 1)
     if previous_term is None:
@@ -33,7 +34,7 @@
 
 
 def read_entries(request: messages.AppendRequest) -> list[logs.Entry]:
-    """Return the entries that a message brings."""
+    """Return the entries in a message."""
     return [logs.Entry(term, logs.EntryKind(kind), data) for term, kind, data in request.entries]
 
 
@@ -55,7 +56,7 @@
 
 
 def read_snapshot(offer: messages.SnapshotOffer) -> logs.Snapshot:
-    """Return the state that a message brings."""
+    """Return the snapshot in a message."""
     return logs.Snapshot(
         offer.index, offer.entry_term, offer.members, offer.target_size, offer.state
     )
--- a/src/spoolhead/coordination/once_journal.py
+++ b/src/spoolhead/coordination/once_journal.py
@@ -1,9 +1,9 @@
-"""Record of requests that may run only once, by the key their sender chose.
+"""Journal of requests that may run only once, by a key that the caller chose.
 
-A key is claimed before the request is sent anywhere and finished with the outcome. Whoever
-comes with a claimed key gets the first outcome, or is told that it is not known; nobody is
-ever told to run it again. The journal is a state machine without I/O: the caller makes each
-claim durable before acting on it.
+A key is claimed before its request is sent to any upstream, and finished with the outcome. A later
+request with a claimed key receives the first outcome or learns that it is unknown; it is never run
+again. The journal is a state machine without I/O: the caller makes each claim durable before acting
+on it.
 """
 
 import collections
@@ -11,7 +11,7 @@
 
 
 class ClaimState(enum.Enum):
-    """What became of a claim."""
+    """Result of claiming a key."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in-progress"
@@ -21,7 +21,7 @@
 
 
 class Outcome:
-    """A kept answer.
+    """A stored answer.
 
     :ivar status: HTTP status of the answer.
     :ivar content_type: its Content-Type.
@@ -37,13 +37,13 @@
 
 
 class Claim:
-    """One claimed key.
+    """The claim of one key.
 
-    :ivar fingerprint: digest of the request, to tell a resend from another request.
-    :ivar owner: who holds the claim.
-    :ivar time_ms: when it was made, in milliseconds since 1970.
-    :ivar is_finished: the owner has reported the end.
-    :ivar outcome: the answer, or None where it is unknown or too large to keep.
+    :ivar fingerprint: digest of the request, which distinguishes a resend from another request.
+    :ivar owner: name of the process that made the claim.
+    :ivar time_ms: time of the claim, in milliseconds since 1970.
+    :ivar is_finished: whether the owner has reported the end of the request.
+    :ivar outcome: the answer; None if it is unknown or too large to store.
     """
 
     __slots__ = ("fingerprint", "is_finished", "outcome", "owner", "time_ms")
@@ -59,7 +59,7 @@
 class OnceJournal:
     """Claims by key.
 
-    :param retention_ms: how long a key is remembered after its claim.
+    :param retention_ms: time for which a key is remembered after its claim, in milliseconds.
     """
 
     def __init__(self, retention_ms: int) -> None:
@@ -67,11 +67,12 @@
         self._retention_ms = retention_ms
 
     def get_state(self, key: str, fingerprint: bytes, *, owner_is_gone: bool) -> ClaimState:
-        """Tell what a claim of a key would get, without claiming it.
+        """Return the state that a claim of the key would find, without claiming it.
 
         :param key: the key, unique to its workspace and service.
         :param fingerprint: digest of the request.
-        :param owner_is_gone: the holder of an unfinished claim will not report its end.
+        :param owner_is_gone: whether the owner of an unfinished claim will not report its end any
+            more.
         """
         claim = self.claims.get(key)
         if claim is None:
@@ -96,8 +97,8 @@
     def finish(self, key: str, owner: str, outcome: Outcome | None) -> bool:
         """Record the end of a claimed request.
 
-        :param outcome: the answer; None where it is not known or not kept.
-        :returns: False if this owner holds no such unfinished claim, which changes nothing.
+        :param outcome: the answer; None if it is unknown or not stored.
+        :returns: False, without any change, if this owner has no such unfinished claim.
         """
         claim = self.claims.get(key)
         if claim is None or claim.owner != owner or claim.is_finished:
@@ -107,9 +108,9 @@
         return True
 
     def release(self, key: str, owner: str) -> bool:
-        """Forget a claim whose request provably was not run.
+        """Remove a claim whose request was certainly not run.
 
-        :returns: False if this owner holds no such unfinished claim, which changes nothing.
+        :returns: False, without any change, if this owner has no such unfinished claim.
         """
         claim = self.claims.get(key)
         if claim is None or claim.owner != owner or claim.is_finished:
@@ -118,9 +119,9 @@
         return True
 
     def drop_expired(self, now_ms: int) -> int:
-        """Forget claims older than the retention.
+        """Remove claims that are older than the retention time.
 
-        :returns: how many were dropped.
+        :returns: how many were removed.
         """
         dropped = 0
         while self.claims:
--- a/src/spoolhead/coordination/peer_progress.py
+++ b/src/spoolhead/coordination/peer_progress.py
@@ -1,15 +1,15 @@
-"""What a leader knows of the other members; no I/O, time passed in."""
+"""A leader's view of the other members; performs no I/O, the current time is passed in."""
 
 from collections.abc import Iterable, Sequence
 
 
 class Peer:
-    """One other member.
+    """Replication state of one other member.
 
     :ivar next_index: index of the next log entry to send.
-    :ivar match_index: index up to which its log agrees with the leader's and is synced.
-    :ivar acked_round: latest broadcast that it has answered.
-    :ivar heard_s: when it was last heard.
+    :ivar match_index: index up to which the member's log matches the leader's and is synced.
+    :ivar acked_round: latest broadcast that the member has answered.
+    :ivar heard_s: monotonic time of the member's last reply, in seconds.
     """
 
     __slots__ = ("acked_round", "heard_s", "match_index", "next_index")
@@ -22,7 +22,7 @@
 
 
 class PeerProgress:
-    """The other members, by id; those that left the group are kept and count no more."""
+    """The other members by id; members that left the group are kept but not counted."""
 
     __slots__ = ("_peers",)
 
@@ -30,32 +30,32 @@
         self._peers: dict[str, Peer] = {}
 
     def begin(self, members: Iterable[str], next_index: int, now_s: float) -> None:
-        """Know nothing of any member, as a leader that was just elected."""
+        """Reset all members, as a newly elected leader does."""
         self._peers = {member: Peer(next_index, now_s) for member in members}
 
     def add(self, members: Iterable[str], next_index: int, now_s: float) -> None:
-        """Take up members that are not known yet."""
+        """Add the members that are not known yet."""
         for member in members:
             self._peers.setdefault(member, Peer(next_index, now_s))
 
     def get(self, member: str) -> Peer | None:
-        """Return what is known of a member, if anything is."""
+        """Return the state of a member, or None if the member is unknown."""
         return self._peers.get(member)
 
     def count_heard(self, members: Sequence[str], since_s: float) -> int:
-        """Return how many of some members have been heard after a moment."""
+        """Return how many of the given members have replied since a point in time."""
         return sum(peer.heard_s > since_s for peer in self._select(members))
 
     def count_acked(self, members: Sequence[str], round_number: int) -> int:
-        """Return how many of some members have answered a broadcast or a later one."""
+        """Return how many of the given members have answered a broadcast or a later one."""
         return sum(peer.acked_round >= round_number for peer in self._select(members))
 
     def get_match_indexes(self, members: Sequence[str]) -> list[int]:
-        """Return the index up to which each of some members agrees."""
+        """Return the index up to which the log of each given member matches."""
         return [peer.match_index for peer in self._select(members)]
 
     def find_lost(self, members: Sequence[str], since_s: float) -> str | None:
-        """Return which of some members has been silent longest, if since before a moment."""
+        """Return the member that has been silent longest; None if it has replied since then."""
         heard = [
             (self._peers[member].heard_s, member) for member in members if member in self._peers
         ]
--- a/src/spoolhead/coordination/replicated_log.py
+++ b/src/spoolhead/coordination/replicated_log.py
@@ -1,7 +1,7 @@
-"""The log of one member: a snapshot and the entries behind it; no I/O and no clock.
+"""One member's log: a snapshot and the entries after it; performs no I/O.
 
-Each change yields the record that must reach the disk before others may rely on it. Reading
-the records in order restores the log.
+Each modification returns the record that must be on disk before other members may rely on it.
+Replaying the records in order restores the log.
 """
 
 import dataclasses
@@ -11,12 +11,12 @@
 import msgpack
 
 KEPT_APPLIED_ENTRIES = 16
-"""Applied entries kept for followers that lag a little; a chosen compromise between the memory
-of entries, which may have 100 KiB each, and how often a whole snapshot is sent."""
+"""Applied entries that are kept for followers slightly behind. It limits the memory for entries,
+which may have 100 KiB each, and still avoids that most lagging followers need a whole snapshot."""
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log holds."""
+    """Kind of content of a log entry."""
 
     NOTHING = 0
     CHANGE = 1
@@ -26,8 +26,8 @@
 class Entry:
     """One entry of the log.
 
-    :ivar term: term of the leader that made it.
-    :ivar kind: what it holds.
+    :ivar term: term of the leader that created it.
+    :ivar kind: kind of its content.
     :ivar data: its content.
     """
 
@@ -40,10 +40,10 @@
 
 
 class Membership:
-    """Who the members are.
+    """The members of the group.
 
-    :ivar members: their ids, sorted.
-    :ivar target_size: how many there should be.
+    :ivar members: ids of the members, sorted.
+    :ivar target_size: intended number of members.
     """
 
     __slots__ = ("members", "target_size")
@@ -54,26 +54,26 @@
 
     @property
     def quorum_size(self) -> int:
-        """Members that make a majority."""
+        """Number of members that form a majority."""
         return len(self.members) // 2 + 1
 
     def pack(self) -> bytes:
-        """Return the form in a log entry."""
+        """Return the serialized form that a log entry holds."""
         return msgpack.packb([list(self.members), self.target_size])
 
     @classmethod
     def unpack(cls, data: bytes) -> "Membership":
-        """Read the form in a log entry."""
+        """Return the membership that a log entry holds."""
         members, target_size = msgpack.unpackb(data)
         return cls(members, target_size)
 
 
 @dataclasses.dataclass(slots=True)
 class Vote:
-    """Record: the term and the vote given in it.
+    """Record of the term and the vote given in it.
 
     :ivar term: latest term seen.
-    :ivar voted_for: id of the member voted for in it; empty for none.
+    :ivar voted_for: id of the member that received the vote; empty for none.
     """
 
     term: int
@@ -82,12 +82,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Appended:
-    """Record: an entry at an index; whatever stood there or behind it is void.
+    """Record of an entry at an index; it invalidates earlier entries at and after that index.
 
-    :ivar index: its index.
-    :ivar term: its term.
-    :ivar kind: its kind.
-    :ivar data: its content.
+    :ivar index: index of the entry.
+    :ivar term: term of the entry.
+    :ivar kind: kind of the entry.
+    :ivar data: content of the entry.
     """
 
     index: int
@@ -98,13 +98,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Snapshot:
-    """Record: the state up to an index; entries up to it are void.
+    """Record of the state up to an index; it replaces the entries up to that index.
 
     :ivar index: index of the last entry included.
-    :ivar term: its term.
-    :ivar members: ids of the members then.
-    :ivar target_size: members wanted then.
-    :ivar state: the state.
+    :ivar term: term of that entry.
+    :ivar members: ids of the members at that index.
+    :ivar target_size: intended number of members at that index.
+    :ivar state: the serialized state.
     """
 
     index: int
@@ -120,7 +120,7 @@
 class ReplicatedLog:
     """Snapshot, entries, term and vote of one member.
 
-    :param snapshot: where the log begins.
+    :param snapshot: initial snapshot; the log starts after it.
     """
 
     def __init__(self, snapshot: Snapshot) -> None:
@@ -139,7 +139,7 @@
 
     @property
     def first_index(self) -> int:
-        """Index of the first entry still held."""
+        """Index of the first entry that is still held."""
         return self._first_index
 
     @property
@@ -149,16 +149,16 @@
 
     @property
     def membership(self) -> Membership:
-        """Members by the latest entry on them, committed or not."""
+        """Members by the latest membership entry, committed or not."""
         return self._membership
 
     @property
     def membership_index(self) -> int:
-        """Index of that entry."""
+        """Index of the latest membership entry."""
         return self._membership_index
 
     def get_term(self, index: int) -> int | None:
-        """Return the term of an entry, or None where it is not known any more or yet."""
+        """Return the term of an entry, or None if it is no longer or not yet known."""
         if index == self._first_index - 1:
             return self._term_before_first
         if self._first_index <= index <= self.last_index:
@@ -166,11 +166,11 @@
         return None
 
     def get_entry(self, index: int) -> Entry:
-        """Return an entry that is held."""
+        """Return the entry at an index; it must still be held."""
         return self._entries[index - self._first_index]
 
     def get_entries(self, first_index: int, limit_bytes: int) -> list[Entry]:
-        """Return entries from an index on: one at least, more while they fit into a size."""
+        """Return entries from an index on: at least one, and more up to a total size."""
         chosen: list[Entry] = []
         size = 0
         for entry in self._entries[first_index - self._first_index :]:
@@ -181,12 +181,15 @@
         return chosen
 
     def set_vote(self, term: int, voted_for: str) -> Record:
-        """Take over a term and a vote."""
+        """Set the term and the vote given in it."""
         self.vote = Vote(term, voted_for)
         return self.vote
 
     def append(self, entry: Entry, index: int | None = None) -> Record:
-        """Put an entry at an index, by default the next; what stood behind it is void."""
+        """Store an entry at an index, by default the next one.
+
+        Existing entries at and after the index are removed.
+        """
         if index is None:
             index = self.last_index + 1
         if index <= self.last_index:
@@ -209,7 +212,7 @@
         return snapshot
 
     def compact(self, applied_index: int, state: bytes) -> None:
-        """Make the state up to an applied entry the snapshot and drop old entries."""
+        """Make the state at an applied entry the new snapshot and remove old entries."""
         membership = self._get_membership_at(self._find_membership_index(applied_index))
         self.snapshot = Snapshot(
             applied_index,
@@ -225,7 +228,7 @@
             self._first_index += drop
 
     def get_records(self) -> Sequence[Record]:
-        """Return the records that restore the log as it stands."""
+        """Return the records that restore the log in its present state."""
         records: list[Record] = [self.vote, self.snapshot]
         for index in range(self.snapshot.index + 1, self.last_index + 1):
             entry = self.get_entry(index)
@@ -233,7 +236,7 @@
         return records
 
     def restore(self, record: Record) -> None:
-        """Take over a record read from the disk."""
+        """Apply a record that was read from the disk."""
         match record:
             case Vote():
                 self.vote = record
--- a/src/spoolhead/coordination/versioned_table.py
+++ b/src/spoolhead/coordination/versioned_table.py
@@ -1,9 +1,9 @@
-"""A table whose rows change by compare-and-set, with resends made harmless by edit ids.
+"""A table whose rows change by compare-and-set, with edit ids that make resends idempotent.
 
-The table is a state machine without I/O. :meth:`VersionedTable.prepare` checks a proposal
-against the present rows and returns the change it would be; the caller makes that change
-durable and then calls :meth:`VersionedTable.apply`. A version is the number of changes so far;
-each row carries the version that last set it, and an edit names the version it was made from.
+The table is a state machine without I/O. :meth:`VersionedTable.prepare` checks a proposal against
+the current rows and returns the resulting change; the caller makes that change durable and then
+calls :meth:`VersionedTable.apply`. The table's version is the number of changes so far. Each row
+carries the version of its last change, and an edit names the row version on which it is based.
 """
 
 import collections
@@ -13,14 +13,15 @@
 import expression
 
 ABSENT_VERSION = 0
-"""Version that an edit expects of a row that is not there."""
+"""Expected version in an edit that creates a row."""
 
 KEPT_EDIT_IDS = 20_000
-"""Edit ids remembered, so that a resend gets its first outcome: eight days at 2,500 a day."""
+"""Number of edit ids that are remembered, so that a resend receives its first outcome: eight days
+at 2,500 edits a day."""
 
 
 class RowKey:
-    """Sheet and name of a row; usable as a key.
+    """Sheet and name of a row; hashable.
 
     :ivar sheet: sheet of the table.
     :ivar name: name of the row within the sheet.
@@ -48,10 +49,10 @@
 
 
 class VersionedRow:
-    """A row's value and the version that set it.
+    """A row's value and its version.
 
     :ivar version: version of the change that last set the row.
-    :ivar value: columns as plain JSON-like data; never changed in place.
+    :ivar value: columns as JSON-compatible data; never modified in place.
     """
 
     __slots__ = ("value", "version")
@@ -62,11 +63,12 @@
 
 
 class RowEdit:
-    """One row's new value.
+    """New value of one row.
 
-    :ivar key: the row.
-    :ivar expected_version: version the row must still have; :data:`ABSENT_VERSION` for none.
-    :ivar value: new columns, or None to remove the row.
+    :ivar key: key of the row.
+    :ivar expected_version: version that the row must still have; :data:`ABSENT_VERSION` if the row
+        must not exist.
+    :ivar value: new columns; None removes the row.
     """
 
     __slots__ = ("expected_version", "key", "value")
@@ -79,14 +81,14 @@
         self.value = value
 
     def pack(self) -> list[object]:
-        """Return the edit as plain lists, for a codec."""
+        """Return the edit as a plain list for serialization."""
         return [self.key.sheet, self.key.name, self.expected_version, self.value]
 
     @classmethod
     def unpack(cls, packed: Sequence[object]) -> "RowEdit":
-        """Make an edit from what :meth:`pack` returned.
+        """Return the edit that :meth:`pack` has packed.
 
-        :raises ValueError: if the shape is wrong.
+        :raises ValueError: if the list has another shape.
         """
         sheet, name, expected, value = packed
         shape_ok = isinstance(sheet, str) and isinstance(name, str) and isinstance(expected, int)
@@ -96,12 +98,12 @@
 
 
 class Proposal:
-    """An edit as an operator sends it: all of its rows or none.
+    """An edit as sent by an operator; either all of its rows change or none.
 
-    :ivar edit_id: chosen by the sender; a resend carries the same one.
-    :ivar author: who made it.
-    :ivar time_ms: when, in milliseconds since 1970, for the audit only.
-    :ivar edits: the rows.
+    :ivar edit_id: id chosen by the sender; a resend carries the same id.
+    :ivar author: name of the user who made the edit.
+    :ivar time_ms: time of the edit in milliseconds since 1970, for the audit only.
+    :ivar edits: the edited rows.
     """
 
     __slots__ = ("author", "edit_id", "edits", "time_ms")
@@ -118,8 +120,8 @@
 class Change:
     """An accepted proposal with its version.
 
-    :ivar version: the table's version with this change; counts by one.
-    :ivar proposal: what was accepted.
+    :ivar version: the table's version after this change; increases by one with each change.
+    :ivar proposal: the accepted proposal.
     """
 
     __slots__ = ("proposal", "version")
@@ -129,16 +131,16 @@
         self.proposal = proposal
 
     def pack(self) -> list[object]:
-        """Return the change as plain lists, for a codec."""
+        """Return the change as a plain list for serialization."""
         item = self.proposal
         edits = [edit.pack() for edit in item.edits]
         return [self.version, item.edit_id, item.author, item.time_ms, edits]
 
     @classmethod
     def unpack(cls, packed: Sequence[object]) -> "Change":
-        """Make a change from what :meth:`pack` returned.
+        """Return the change that :meth:`pack` has packed.
 
-        :raises ValueError: if the shape is wrong.
+        :raises ValueError: if the list has another shape.
         """
         version, edit_id, author, time_ms, edits = packed
         shape_ok = isinstance(version, int) and isinstance(time_ms, int)
@@ -154,7 +156,7 @@
 
 
 class RefusalKind(enum.Enum):
-    """Why a proposal was refused."""
+    """Reason why a proposal was refused."""
 
     INVALID = "invalid"
     CONFLICT = "conflict"
@@ -162,11 +164,11 @@
 
 
 class Refusal:
-    """A refused proposal; the table is as it was.
+    """A refused proposal; the table is unchanged.
 
-    :ivar kind: why.
-    :ivar faults: what the check of the rows found; their type is the check's own.
-    :ivar conflicts: rows that have changed since, as they are now (None for removed).
+    :ivar kind: reason of the refusal.
+    :ivar faults: faults that the row check found; their type depends on the check.
+    :ivar conflicts: rows that have changed since, with their current state (None if removed).
     """
 
     __slots__ = ("conflicts", "faults", "kind")
@@ -184,10 +186,11 @@
 
 
 class Prepared:
-    """A proposal that may be accepted.
+    """An acceptable proposal.
 
-    :ivar change: the change it is.
-    :ivar is_resend: it was accepted before under this version; nothing is to be done.
+    :ivar change: the resulting change.
+    :ivar is_resend: whether the proposal was already accepted under this version, so that there is
+        nothing to apply.
     """
 
     __slots__ = ("change", "is_resend")
@@ -204,7 +207,7 @@
 class VersionedTable:
     """The rows, their versions and the edit ids seen.
 
-    :param check: called with every row that a proposal would leave; returns the faults.
+    :param check: called with all rows as they would be after a proposal; returns the faults.
     """
 
     def __init__(self, check: Check) -> None:
@@ -217,7 +220,7 @@
         """Check a proposal without changing anything.
 
         :param proposal: the edit.
-        :returns: the change to make durable and apply, or why it is refused.
+        :returns: the change to make durable and apply, or the refusal.
         """
         known = self._accepted.get(proposal.edit_id)
         if known is not None:
@@ -231,10 +234,10 @@
         return expression.Ok(Prepared(Change(self.version + 1, proposal), is_resend=False))
 
     def apply(self, change: Change) -> None:
-        """Make a durable change part of the table.
+        """Apply a durable change to the table.
 
         :param change: the next change.
-        :raises ValueError: if it is not the next one.
+        :raises ValueError: if the change's version is not the next one.
         """
         if change.version != self.version + 1:
             raise ValueError(f"change {change.version} does not follow {self.version}")
@@ -254,8 +257,8 @@
 
     @staticmethod
     def _prepare_resend(known: Change, proposal: Proposal) -> expression.Result[Prepared, Refusal]:
-        # A command that is given again reads the rows anew, so the versions it expects may have
-        # moved on; what it wants the rows to be is what makes it the same edit.
+        # A repeated command reads the rows again, so its expected versions may differ. The edit is
+        # the same if the resulting rows are the same.
         sent = [(edit.key, edit.value) for edit in proposal.edits]
         accepted = [(edit.key, edit.value) for edit in known.proposal.edits]
         if sent != accepted:
