--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -1,4 +1,4 @@
-"""What a keeper tells the entries: the table's version, evacuated halls, instances, the fleet."""
+"""Sends entries the table's version, evacuated halls, instances and the fleet's processes."""
 
 import collections
 import logging
@@ -11,20 +11,21 @@
 logger = logging.getLogger(__name__)
 
 FLEET_INTERVAL_S = 0.25
-"""Pause between two messages about the fleet, which go to all entries: one for each that joins
-would grow with the square while all start within 0.3 s."""
+"""Interval between messages about the fleet, which go to all entries. One message per entry that
+joins would be quadratic in number when all start within 0.3 s."""
 
 MAX_DOCUMENTS = 8
-"""Documents kept for differences: entries are behind by a change or two, a dozen in a storm; the
-largest that operators may send is 4 MB."""
+"""Number of documents that are kept to send differences. Entries are behind by a change or two, by
+a dozen in a storm of changes; the largest document that operators may send is 4 MB."""
 
 
 class CommittedTable:
     """A committed route table.
 
-    :ivar version: its version.
-    :ivar document: its bytes.
-    :ivar is_confirmed: a leader has told since this keeper's start that it is the newest.
+    :ivar version: version of the table.
+    :ivar document: bytes of the table.
+    :ivar is_confirmed: whether a leader has confirmed, since this keeper's start, that it is the
+        newest.
     """
 
     __slots__ = ("document", "is_confirmed", "version")
@@ -36,13 +37,13 @@
 
 
 class Feed:
-    """The entries that follow a keeper.
+    """Serves the entries that follow a keeper.
 
-    :param timers: calls back.
+    :param timers: scheduler for periodic messages.
     :param hall: hall of the keeper.
-    :param get_keepers: returns the address of each keeper.
+    :param get_keepers: returns the addresses of all keepers.
     :param get_table: returns the committed table.
-    :param get_evacuations: returns what holds for halls.
+    :param get_evacuations: returns the evacuation state of halls.
     """
 
     def __init__(
@@ -72,13 +73,13 @@
 
     @property
     def follower_count(self) -> int:
-        """Entries that follow."""
+        """Number of entries that follow this keeper."""
         return len(self._followers)
 
     def add_follower(
         self, session: peer_server.PeerSession, subscription: route_messages.Subscribe
     ) -> None:
-        """Take a follower and tell it what is known."""
+        """Add a follower and send it the current state."""
         self._followers[session] = subscription
         table = self._get_table()
         fields = {
@@ -88,17 +89,18 @@
             "is_confirmed": table.is_confirmed,
         }
         logger.info("entry follows", extra={"fields": fields})
-        # An entry that takes a table must know which halls are evacuated by then.
+        # An entry that receives a table must know by then which halls are evacuated.
         session.send(self._make_evacuated_halls(table))
         session.send(_make_table_version(table))
         if self._sequence:
             session.send(self._make_instance_list())
-        # What all others were told last, so that the next change fits it too.
+        # The same list that the others received last, so that the next difference applies to it
+        # too.
         session.send(self._make_fleet(self._sent_entries, [], is_whole=True))
         self._is_fleet_changed = True
 
     def remove_follower(self, session: peer_server.PeerSession) -> None:
-        """Forget a follower."""
+        """Remove a follower whose stream has closed."""
         if self._followers.pop(session, None) is not None:
             logger.info("entry left", extra={"fields": {"entry": session.name}})
             self._is_fleet_changed = True
@@ -106,14 +108,14 @@
     def send_table(self, session: peer_server.PeerSession, digest: int) -> None:
         """Send the committed table to a follower.
 
-        :param digest: digest of the document that it has; only what differs is sent where that
-            one is known here.
+        :param digest: digest of the document that the follower has; if that document is known here,
+            only the difference is sent.
         """
         table = self._retain_document()
         session.send(self._pack_table(table, digest if digest in self._documents else 0))
 
     def broadcast_version(self) -> None:
-        """Tell all followers of a new version, and of evacuated halls where these have changed."""
+        """Send all followers the table's version, and the evacuated halls if these have changed."""
         table = self._retain_document()
         evacuated = self._make_evacuated_halls(table)
         if evacuated.revision and evacuated != self._sent_evacuations:
@@ -124,18 +126,18 @@
             "is_confirmed": table.is_confirmed,
             "followers": len(self._followers),
         }
-        logger.info("version told", extra={"fields": fields})
+        logger.info("table version announced", extra={"fields": fields})
         self._broadcast(_make_table_version(table))
 
     def broadcast_instances(self, term: int, listed: list[instances.Instance]) -> None:
-        """Tell all followers of a reading of the list of instances."""
+        """Send all followers a newly read list of instances."""
         packed = instances.pack(listed)
         change = row_changes.compare(self._packed_instances, packed)
         self._packed_instances = packed
         self._reader_term = term
         self._sequence += 1
-        # A follower's stream loses nothing, so it has what was sent before; before the first
-        # reading nothing was.
+        # Streams are lossless, so a follower has the previous list and needs only the difference.
+        # Before the first list nothing was sent.
         message = route_messages.InstanceList(
             reader_term=term,
             sequence=self._sequence,
@@ -146,7 +148,7 @@
         self._broadcast(message)
 
     def _retain_document(self) -> CommittedTable:
-        """Return the committed table, its document kept for differences to later ones."""
+        """Return the committed table and keep its document for differences to later versions."""
         table = self._get_table()
         if table.version == self._retained_version:
             return table
@@ -158,7 +160,7 @@
         return table
 
     def _pack_table(self, table: CommittedTable, digest: int) -> route_messages.RouteTableDocument:
-        """Return the committed table as it is sent; all entries fetch it within moments."""
+        """Return the encoded table; cached, as all entries fetch it at about the same time."""
         packed = self._packed_tables.get(digest)
         if packed is None:
             data = table.document
@@ -198,7 +200,7 @@
         )
 
     def _broadcast_fleet(self) -> None:
-        """Tell all followers what has changed in the fleet."""
+        """Send all followers the changes in the fleet."""
         keepers = self._get_keepers()
         if not self._is_fleet_changed and keepers == self._sent_keepers:
             return
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper program that agrees with others on the route table."""
+"""The keeper program that agrees with other keepers on the route table."""
 
 import logging
 import pathlib
@@ -35,21 +35,23 @@
 logger = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 500
-"""When an operator should come back to a keeper that is not sure: about an election."""
+"""Time after which an operator should retry at a keeper that could not confirm an operation: about
+the length of an election."""
 STOP_CHECK_INTERVAL_S = 0.05
-"""Pause between looks at whether the last operator has been answered."""
+"""Interval between checks whether the last operator has been answered."""
 STOP_SYNC_TIMEOUT_S = 0.5
-"""Longest wait at the end for records of contents to be on the disk: many times a sync. Without it
-what was found in the last quarter of a second would be left to other keepers."""
+"""Longest wait, when stopping, until records of contents are synced: many times the length of a
+sync. Without this wait, records of the last quarter of a second would exist only at other
+keepers."""
 
 
 class Keeper:
-    """One keeper's program.
+    """The keeper program.
 
-    :param config: its settings.
-    :param dialect: how operators and the instance list are read.
-    :raises exceptions.DiskError: if its data folder cannot be used.
-    :ivar loop: root of the program.
+    :param config: the keeper's settings.
+    :param dialect: reads operators' requests and the instance list.
+    :raises exceptions.DiskError: if the data folder cannot be used.
+    :ivar loop: event loop of the program.
     """
 
     def __init__(
@@ -111,13 +113,13 @@
         self.loop.scheduler.call_every(interval_s, self._read_instances)
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until the process is asked to stop."""
         fields = {"operators": self._front.address, "hall": self._config.hall}
         logger.info("keeper %s serves", self._config.name, extra={"fields": fields})
         self.loop.run()
 
     def _make_hub_port(self, address: endpoints.Endpoint) -> hub_port.HubPort:
-        """Return the hub by which the entries of this hall tell each other of their work."""
+        """Return the hub that exchanges load reports between the entries of this hall."""
         sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         return hub_port.HubPort(
             self.loop.scheduler,
@@ -141,14 +143,14 @@
         return [endpoints.split(address) for address in others]
 
     def on_opened(self, session: peer_server.PeerSession) -> None:
-        """Wait for what the peer asks."""
+        """Do nothing; the peer sends the first message."""
 
     def on_closed(self, session: peer_server.PeerSession) -> None:
-        """Forget a follower that is gone."""
+        """Remove the follower whose stream has closed."""
         self._feed.remove_follower(session)
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
-        """Take a message of an entry or of another keeper."""
+        """Handle a message from an entry or from another keeper."""
         match message:
             case route_messages.Subscribe():
                 self._feed.add_follower(session, message)
@@ -178,14 +180,14 @@
             case dialects.ReadTable():
                 self._read_table(caller)
 
-    def _set_evacuation(self, caller: caller_front.Caller, wanted: dialects.SetEvacuation) -> None:
-        began_s = clocks.get_s()
+    def _set_evacuation(self, caller: caller_front.Caller, order: dialects.SetEvacuation) -> None:
+        start_s = clocks.get_s()
 
         def _answer(is_sure: bool) -> None:
-            took_ms = int((clocks.get_s() - began_s) * 1000)
+            took_ms = int((clocks.get_s() - start_s) * 1000)
             fields = {
-                "hall": wanted.hall,
-                "is_evacuated": wanted.is_evacuated,
+                "hall": order.hall,
+                "is_evacuated": order.is_evacuated,
                 "revision": self._member.state.evacuations.revision,
                 "acknowledged": is_sure,
                 "took_ms": took_ms,
@@ -194,12 +196,12 @@
             self._metrics.orders.labels("acknowledged" if is_sure else "unsure").inc()
             self._metrics.order_ms.observe(took_ms)
             if is_sure:
-                state = {"hall": wanted.hall, "is_evacuated": wanted.is_evacuated}
+                state = {"hall": order.hall, "is_evacuated": order.is_evacuated}
                 answers.send_json(caller, 200, state)
             else:
                 self._send_unsure(caller)
 
-        self._pending_operations.put_hall_order(wanted.hall, wanted.is_evacuated, _answer)
+        self._pending_operations.put_hall_order(order.hall, order.is_evacuated, _answer)
 
     def _put_table(self, caller: caller_front.Caller, document: bytes) -> None:
         decoded = self._dialect.decode_table(document)
@@ -211,18 +213,18 @@
             self._refuse(caller, faults[0])
             return
         version = decoded.ok.version
-        began_s = clocks.get_s()
+        start_s = clocks.get_s()
 
         def _answer(is_sure: bool) -> None:
             fields = {
                 "version": version,
                 "held_version": self._member.register.version,
                 "acknowledged": is_sure,
-                "took_ms": int((clocks.get_s() - began_s) * 1000),
+                "took_ms": int((clocks.get_s() - start_s) * 1000),
             }
             logger.info("table order answered", extra={"fields": fields})
             self._metrics.orders.labels("acknowledged" if is_sure else "unsure").inc()
-            self._metrics.order_ms.observe((clocks.get_s() - began_s) * 1000)
+            self._metrics.order_ms.observe((clocks.get_s() - start_s) * 1000)
             if is_sure:
                 answers.send_json(caller, 200, {"version": version})
             else:
@@ -239,8 +241,8 @@
             if not is_sure:
                 self._send_unsure(caller)
             elif not register.version:
-                item = fault.Fault(codes.ResultCode.NO_TABLE, "there is no table yet")
-                self._refuse(caller, item)
+                refusal = fault.Fault(codes.ResultCode.NO_TABLE, "there is no table yet")
+                self._refuse(caller, refusal)
             else:
                 headers = [("Content-Type", "application/json")]
                 caller.send_whole(200, headers, register.document)
@@ -249,17 +251,17 @@
 
     def _send_unsure(self, caller: caller_front.Caller) -> None:
         text = "no majority of keepers confirmed this in time"
-        item = fault.Fault(codes.ResultCode.EDIT_OUTCOME_UNKNOWN, text)
+        refusal = fault.Fault(codes.ResultCode.EDIT_OUTCOME_UNKNOWN, text)
         answers.send_error(
             caller,
-            item,
+            refusal,
             ran=codes.Ran.UNKNOWN,
             request_id="",
             retry_after_ms=RETRY_AFTER_MS,
         )
 
-    def _refuse(self, caller: caller_front.Caller, item: fault.Fault) -> None:
-        answers.send_error(caller, item, ran=codes.Ran.NO, request_id="")
+    def _refuse(self, caller: caller_front.Caller, refusal: fault.Fault) -> None:
+        answers.send_error(caller, refusal, ran=codes.Ran.NO, request_id="")
 
     def _on_change(self) -> None:
         self._feed.broadcast_version()
@@ -291,7 +293,7 @@
         self._feed.broadcast_instances(self._member.term, listed)
 
     def apply_settings(self, config: settings.QuorumKeeperSettings) -> None:
-        """Take over the keepers that changed settings name."""
+        """Apply the keeper addresses of changed settings."""
         self._config.keepers = config.keepers
 
     def _begin_stop(self) -> None:
--- a/src/spoolhead/_internal/quorum/keeper_metrics.py
+++ b/src/spoolhead/_internal/quorum/keeper_metrics.py
@@ -1,12 +1,12 @@
-"""Figures of a keeper that agrees with others; their table is in docs/METRICS.md."""
+"""Metrics of a keeper that takes part in a quorum; docs/METRICS.md lists them."""
 
 from spoolhead._internal.utils import prometheus_metrics
 
 
 class KeeperMetrics:
-    """Counters and histograms.
+    """Counters, gauges and histograms of a keeper.
 
-    :param made: where they are registered.
+    :param registry: registry in which they are created.
     """
 
     def __init__(self, registry: prometheus_metrics.PrometheusMetrics) -> None:
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -1,4 +1,4 @@
-"""One keeper as a member of the group: agreement, disk and streams put together."""
+"""One keeper as a member of the group: connects consensus, disk and streams."""
 
 import logging
 import pathlib
@@ -17,27 +17,28 @@
 logger = logging.getLogger(__name__)
 
 TICK_INTERVAL_S = 0.02
-"""A fifth of the heartbeat interval, so that elections are not late by much."""
+"""A fifth of the heartbeat interval, so that elections start with little delay."""
 JOIN_REQUEST_INTERVAL_S = 0.5
-"""Pause between requests to join; a third of the time for which one counts."""
+"""Interval between requests to join: a third of the time for which a request is valid."""
 FIRST_START_MARK = "first"
-"""Mark of the ids of the first start, which each keeper can tell from the seeds alone."""
+"""Mark in the member ids of the system's first start. Each keeper can derive these ids from the
+seed addresses alone."""
 MARK_BYTES = 4
 
 
 class Member:
-    """A keeper's part in the agreement.
+    """Runs a keeper's part in the consensus.
 
-    :param loop: root of the program.
+    :param loop: event loop of the program.
     :param config: the keeper's settings.
-    :param address: ``IP:PORT`` where other keepers reach this one.
+    :param address: ``IP:PORT`` at which other keepers reach this one.
     :param peers: streams to other keepers.
     :param on_change: called after a new table or an order on a hall was committed, and once this
         keeper has caught up.
-    :param on_leading: called when this keeper begins to lead.
+    :param on_leading: called when this keeper becomes the leader.
     :raises exceptions.DiskError: if the data folder cannot be used.
-    :ivar state: what was committed.
-    :ivar register: the committed table.
+    :ivar state: the committed state.
+    :ivar register: the committed route table.
     """
 
     def __init__(
@@ -83,22 +84,22 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this keeper leads, as far as it knows."""
+        """Whether this keeper is the leader, as far as it knows."""
         return self._consensus.is_leader
 
     @property
     def term(self) -> int:
-        """Latest term of the agreement."""
+        """Latest consensus term."""
         return self._consensus.term
 
     @property
     def has_caught_up(self) -> bool:
-        """Whether a leader has told since the start what is committed, and it is held here."""
+        """Whether this keeper has applied, since its start, what a leader had committed."""
         return self._consensus.has_caught_up
 
     @property
     def leader_address(self) -> str:
-        """``IP:PORT`` of the leading keeper; empty for none."""
+        """``IP:PORT`` of the leader; empty if there is none."""
         return messages.get_address(self._consensus.leader)
 
     @property
@@ -107,11 +108,11 @@
         return [messages.get_address(member) for member in self._consensus.members]
 
     def propose(self, version: int, document: bytes) -> bool:
-        """Propose a table; False if this keeper does not lead."""
+        """Propose a table; return False if this keeper is not the leader."""
         return self._propose(table_register.pack_change(version, document))
 
     def propose_hall_order(self, order: bytes) -> bool:
-        """Propose an order on a hall, in the log's form; False if this keeper does not lead."""
+        """Propose a serialized order on a hall; return False if this keeper is not the leader."""
         return self._propose(order)
 
     def _propose(self, change: bytes) -> bool:
@@ -120,17 +121,17 @@
         return accepted
 
     def begin_read(self) -> int | None:
-        """Begin to confirm that this keeper leads; see :meth:`is_confirmed`."""
+        """Start to confirm that this keeper is the leader; see :meth:`is_confirmed`."""
         number = self._consensus.begin_read(clocks.get_s())
         self._apply_effects()
         return number
 
     def is_confirmed(self, round_number: int) -> bool:
-        """Tell whether this keeper still led after a confirmation was begun."""
+        """Return whether this keeper was still the leader after the confirmation started."""
         return self._consensus.is_confirmed(round_number)
 
     def receive(self, message: messages.Message) -> None:
-        """Take a message of another keeper."""
+        """Handle a message from another keeper."""
         if isinstance(message, messages.JoinRequest):
             self._log_join_request(message)
         self._consensus.receive(message, clocks.get_s())
@@ -165,7 +166,8 @@
         try:
             self._wake_write.send(b"\0")
         except BlockingIOError:
-            # The loop has so many wake-ups before it that it will see the number anyway.
+            # The socket is full of wake-ups that the loop has not read yet; it will read the new
+            # number with one of them.
             return
 
     def _on_wake(self, sock: socket.socket) -> None:
@@ -187,17 +189,17 @@
         request = messages.JoinRequest(
             member=self.member_id, is_first_start=self._config.is_first_start
         )
-        own = messages.get_address(self.member_id)
-        asked = {*self._config.keepers, *self._consensus.get_known_addresses()} - {own}
-        if asked != self._join_addresses:
-            self._join_addresses = asked
+        own_address = messages.get_address(self.member_id)
+        addresses = {*self._config.keepers, *self._consensus.get_known_addresses()} - {own_address}
+        if addresses != self._join_addresses:
+            self._join_addresses = addresses
             fields = {
                 "member": self.member_id,
-                "asked": sorted(asked),
+                "asked": sorted(addresses),
                 "leader": self._reported_leader,
             }
-            logger.info("asks to join", extra={"fields": fields})
-        for address in asked:
+            logger.info("join request sent", extra={"fields": fields})
+        for address in addresses:
             self._peers.send(address, request)
 
     def _log_join_request(self, request: messages.JoinRequest) -> None:
@@ -228,8 +230,8 @@
     def _send_ready(self) -> None:
         if not self._unsent:
             return
-        held, self._unsent = self._unsent, []
-        for envelope in held:
+        envelopes, self._unsent = self._unsent, []
+        for envelope in envelopes:
             if envelope.after_record > self._synced_number:
                 self._unsent.append(envelope)
             else:
@@ -250,21 +252,25 @@
         self._report_state()
 
     def _report_state(self) -> None:
-        """Tell of what was committed, and of having caught up: both make it one to hand out."""
-        is_newer = self._reported_version != self.register.version
-        is_ordered = self._reported_revision != self.state.evacuations.revision
+        """Report new committed state, and catching up: after either, entries must be notified."""
+        has_new_table = self._reported_version != self.register.version
+        has_new_evacuations = self._reported_revision != self.state.evacuations.revision
         has_just_caught_up = self.has_caught_up and not self._reported_caught_up
         self._reported_version = self.register.version
         self._reported_revision = self.state.evacuations.revision
         self._reported_caught_up = self.has_caught_up
         fields = {"version": self._reported_version, "term": self.term}
-        if is_newer:
+        if has_new_table:
             logger.info("table committed", extra={"fields": fields})
-        if is_ordered:
+        if has_new_evacuations:
             halls = sorted(self.state.evacuations.evacuated_halls)
-            order_fields = {"revision": self._reported_revision, "halls": halls, "term": self.term}
-            logger.info("evacuated halls changed", extra={"fields": order_fields})
+            evacuation_fields = {
+                "revision": self._reported_revision,
+                "halls": halls,
+                "term": self.term,
+            }
+            logger.info("evacuated halls changed", extra={"fields": evacuation_fields})
         if has_just_caught_up:
             logger.info("caught up with the leader", extra={"fields": fields})
-        if is_newer or is_ordered or has_just_caught_up:
+        if has_new_table or has_new_evacuations or has_just_caught_up:
             self._on_change()
--- a/src/spoolhead/_internal/quorum/mesh.py
+++ b/src/spoolhead/_internal/quorum/mesh.py
@@ -1,4 +1,4 @@
-"""Streams from one keeper to the others, opened when first needed."""
+"""Streams from one keeper to the others, opened on first use."""
 
 from collections.abc import Callable
 
@@ -10,14 +10,14 @@
 TIMING = peer_client.PeerTiming(
     connect_ms=500, first_retry_ms=50, longest_retry_ms=500, heartbeat_ms=250, silence_ms=1_000
 )
-"""A cut must be noticed, and its end too, well within the second or so that operators wait;
-all the times are some ten to a hundred round trips between halls."""
+"""A cut connection, and its end, must be noticed well within the second or so that operators wait.
+All the times are about ten to a hundred round trips between halls."""
 IDLE_TIMEOUT_S = 10.0
-"""Time after which a stream that nothing was sent on is closed: far longer than an election."""
+"""Time after which a stream on which nothing was sent is closed: far longer than an election."""
 
 
 class _Peer:
-    """One other keeper."""
+    """Stream to one other keeper; implements the callbacks of its client."""
 
     def __init__(self, mesh: "Mesh", address: str) -> None:
         self._mesh = mesh
@@ -36,14 +36,15 @@
 
 
 class Mesh:
-    """This keeper's streams to others.
+    """This keeper's streams to other keepers.
 
-    :param loop: root of the program.
+    :param loop: event loop of the program.
     :param outgoing: the program's outgoing connections.
-    :param name: this keeper's name.
-    :param shared_key: secret that the fleet's processes share.
-    :param take: gets the messages that come back.
-    :param note: told of an address and whether its stream has begun or ended.
+    :param name: name of this keeper.
+    :param shared_key: secret shared by all processes of the fleet.
+    :param on_message: called with each message that other keepers send on these streams.
+    :param on_stream_change: called with an address and whether its stream has opened (True) or
+        closed (False).
     """
 
     def __init__(
@@ -69,7 +70,7 @@
         """Send a message.
 
         :param address: ``IP:PORT`` of the other keeper.
-        :returns: False if no stream stands yet; the message is then dropped.
+        :returns: False if no stream is open yet; the message is then dropped.
         """
         peer = self._peers.get(address)
         if peer is None:
@@ -78,7 +79,7 @@
         return peer.client.send(message)
 
     def make_client(self, address: str, peer: _Peer) -> peer_client.PeerClient:
-        """Return a new stream to an address."""
+        """Return a new client for the stream to an address."""
         return peer_client.PeerClient(
             self._loop,
             self._outgoing,
@@ -91,15 +92,15 @@
         )
 
     def handle_ready(self, address: str) -> None:
-        """Take note of a stream that stands."""
+        """Report that a stream has opened."""
         self._on_stream_change(address, True)
 
     def handle_lost(self, address: str) -> None:
-        """Take note of a stream that ended."""
+        """Report that a stream has closed."""
         self._on_stream_change(address, False)
 
     def handle_message(self, message: messages.Message) -> None:
-        """Pass on a message that came back."""
+        """Pass on a message that was received."""
         self._on_message(message)
 
     def _close_idle(self) -> None:
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -1,4 +1,4 @@
-"""Operators' orders and reads on their way to the leading keeper and back."""
+"""Operators' orders and reads that wait for the leading keeper."""
 
 import itertools
 import logging
@@ -13,22 +13,28 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.02
-"""Pause between looks at open questions; a round between halls takes a few milliseconds."""
+"""Interval between checks of pending operations; a round trip between halls takes a few
+milliseconds."""
 RETRY_INTERVAL_S = 0.3
-"""Pause before a question is put to the leader again: a few times the longest round."""
+"""Time after which an operation is sent to the leader again: a few times the longest round trip."""
 
 ORDER_ID_BYTES = 8
-"""Random bytes in an order's id; two of them are alike once in 10^19 pairs."""
+"""Random bytes in an order id; two ids collide once in 10^19 pairs."""
 HALL_ORDER_TIMEOUT_S = 0.9
-"""Longest time for which an order on a hall is put to leaders: below the second after which an
-operator turns to another keeper, so that what operators have given up does not come to hold later.
-A calm group answers within some 10 ms, an election takes half a second to a second."""
+"""Time for which an order on a hall is sent to leaders. It is below the second after which an
+operator turns to another keeper, so that an order that the operator has given up does not take
+effect later. A stable group answers within about 10 ms; an election takes half a second to a
+second."""
 
 AnswerCallback = Callable[[bool], None]
 
 
 class _Order:
-    """A table that waits to be committed."""
+    """A table that waits to be committed.
+
+    :ivar deadline_s: monotonic time at which the order fails, in seconds.
+    :ivar sent_s: monotonic time at which it was last proposed or sent to the leader.
+    """
 
     __slots__ = ("answer", "sent_s", "document", "deadline_s", "version")
 
@@ -43,7 +49,7 @@
 
 
 class _HallOrder:
-    """An order on a hall that waits to be carried out."""
+    """An order on a hall that waits to be committed."""
 
     __slots__ = ("answer", "sent_s", "order", "deadline_s")
 
@@ -57,10 +63,11 @@
 
 
 class _Read:
-    """A read that waits for the confirmation of the newest version.
+    """A read that waits until this keeper is known to hold the newest version.
 
-    :ivar round_number: broadcast to be answered where this keeper leads; None before it began.
-    :ivar version: version confirmed by the leader; None before its answer.
+    :ivar round_number: if this keeper is the leader, number of the broadcast that must be answered;
+        None before it started.
+    :ivar version: version that the leader has confirmed; None before its reply.
     """
 
     __slots__ = ("answer", "sent_s", "request", "round_number", "deadline_s", "version")
@@ -75,14 +82,14 @@
 
 
 class PendingOperations:
-    """Open orders and reads of one keeper.
+    """Pending orders and reads of one keeper.
 
-    An order is done once a version as high as its own is committed here, whoever brought that
-    about, so it may be put to several leaders without harm.
+    An order is done once its own version or a higher one is committed here, whoever proposed it. It
+    can therefore be sent to several leaders without harm.
 
-    :param timers: calls back.
+    :param timers: scheduler for periodic checks.
     :param peers: streams to other keepers.
-    :param group: this keeper's part in the agreement.
+    :param own_member: this keeper's part in the consensus.
     :param config: the keeper's settings.
     """
 
@@ -104,22 +111,22 @@
 
     @property
     def open_count(self) -> int:
-        """Orders and reads without an answer."""
+        """Number of orders and reads without an answer."""
         return len(self._orders) + len(self._hall_orders) + len(self._reads)
 
     def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
-        :param answer: called with whether it is, or a higher version.
+        :param answer: called with whether this or a higher version is committed.
         """
         order = _Order(version, document, answer, clocks.get_s() + self._answer_s)
         self._orders.append(order)
         self._check()
 
     def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
-        """Have an order on a hall carried out.
+        """Have an order on a hall committed.
 
-        :param answer: called with whether what it wants held once it was committed.
+        :param answer: called with whether the order had taken effect when it was committed.
         """
         order = evacuations.HallOrder(
             hall=hall,
@@ -132,7 +139,7 @@
         self._check()
 
     def confirm_read(self, answer: AnswerCallback) -> None:
-        """Make sure that this keeper holds the newest committed version.
+        """Confirm that this keeper holds the newest committed version.
 
         :param answer: called with whether it does.
         """
@@ -141,25 +148,25 @@
         self._check()
 
     def on_change(self) -> None:
-        """Answer what waited for a version or an order that is now committed."""
+        """Answer the operations that waited for the state committed now."""
         self._check()
 
     def handle_forwarded_table(
         self, session: peer_server.PeerSession, message: route_messages.ForwardTable
     ) -> None:
-        """Take a table that another keeper passed on."""
+        """Propose a table that another keeper has forwarded."""
         if self._member.is_leader and message.version > self._member.register.version:
             self._member.propose(message.version, message.document)
 
     def handle_forwarded_hall_order(self, message: route_messages.ForwardHallOrder) -> None:
-        """Take an order on a hall that another keeper passed on."""
+        """Propose an order on a hall that another keeper has forwarded."""
         if self._member.is_leader:
             self._member.propose_hall_order(message.order)
 
     def handle_confirm_read(
         self, session: peer_server.PeerSession, message: route_messages.ConfirmRead
     ) -> None:
-        """Confirm the newest version to another keeper."""
+        """Confirm the newest version to another keeper, if this one is the leader."""
 
         def _answer(is_sure: bool) -> None:
             session.send(
@@ -174,7 +181,7 @@
             self.confirm_read(_answer)
 
     def handle_answer(self, message: route_messages.KeeperAnswer) -> None:
-        """Take the leader's confirmation of a read."""
+        """Handle the leader's confirmation of a read."""
         for read in self._reads:
             if read.request == message.request and message.is_sure:
                 read.version = message.version
--- a/src/spoolhead/_internal/quorum/replicated_state.py
+++ b/src/spoolhead/_internal/quorum/replicated_state.py
@@ -1,4 +1,4 @@
-"""What the keepers agree on: the route table and the evacuated halls; no I/O."""
+"""The state that keepers replicate: the route table and the evacuated halls; performs no I/O."""
 
 import collections
 
@@ -8,17 +8,18 @@
 from spoolhead._internal.quorum import table_register
 
 MAX_OUTCOMES = 256
-"""Orders on halls whose outcome is remembered for whoever waits for it; an operator has eight under
-way at most."""
+"""Number of orders on halls whose outcome is remembered for the operations that wait for it. An
+operator has at most eight under way."""
 _TABLE_FIELD_COUNT = 2
-"""Fields of a table in the log; an order on a hall has more, so logs tell the two apart."""
+"""Number of fields of a table in the log. An order on a hall has more, which distinguishes the
+two."""
 
 
 class ReplicatedState:
-    """Carries out what was committed.
+    """Applies committed changes.
 
     :ivar table: the route table.
-    :ivar evacuations: what holds for halls.
+    :ivar evacuations: the evacuation state of halls.
     """
 
     def __init__(self) -> None:
@@ -27,7 +28,7 @@
         self._outcomes: collections.OrderedDict[str, bool] = collections.OrderedDict()
 
     def apply(self, data: bytes) -> None:
-        """Carry out a committed change."""
+        """Apply a committed change."""
         values = msgpack.unpackb(data)
         if len(values) == _TABLE_FIELD_COUNT:
             self.table.apply(data)
@@ -35,17 +36,17 @@
             self._apply_order(evacuations.unpack_order(values))
 
     def get_outcome(self, order_id: str) -> bool | None:
-        """Return whether what an order wanted held after it; None if it was not seen here."""
+        """Return whether an order took effect; None if its outcome is not known here."""
         return self._outcomes.get(order_id)
 
     def dump(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
         return msgpack.packb([self.table.version, self.table.document, self.evacuations.pack()])
 
     def load(self, state: bytes) -> None:
-        """Take over a state that includes everything committed so far.
+        """Replace the state by a snapshot that includes everything committed so far.
 
-        One that was written before halls could be evacuated holds the table alone.
+        Snapshots written before halls could be evacuated contain only the table.
         """
         version, document, *rest = msgpack.unpackb(state)
         self.table.load(table_register.pack_change(version, document))
@@ -53,8 +54,8 @@
             self.evacuations.restore(rest[0])
 
     def _apply_order(self, order: evacuations.HallOrder) -> None:
-        holds = self.evacuations.carry_out(order)
-        # An order may be put to two leaders; what became of it first counts.
-        self._outcomes.setdefault(order.order_id, holds)
+        has_taken_effect = self.evacuations.carry_out(order)
+        # An order may be sent to two leaders and committed twice; its first outcome counts.
+        self._outcomes.setdefault(order.order_id, has_taken_effect)
         while len(self._outcomes) > MAX_OUTCOMES:
             self._outcomes.popitem(last=False)
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -1,9 +1,9 @@
-"""A keeper's share of the replicated log on its disk.
+"""A keeper's part of the replicated log on its disk.
 
-Records go to one file in batches, each synced as a whole by a thread of its own, so a slow
-disk delays what depends on it and nothing else. After a loss of power the records behind the
-last sync may be there, missing or torn each by itself; none of them was promised to anybody,
-so reading ends at the first one that is not whole.
+Records are appended to one file in batches. A separate thread syncs each batch, so a slow disk
+delays only the operations that depend on the records. After a power failure, each record after the
+last sync may be present, missing or torn, independently of the others. None of them was
+acknowledged, so reading stops at the first invalid record.
 """
 
 import collections
@@ -24,11 +24,12 @@
 
 FILE_NAME = "agreement.log"
 REWRITE_THRESHOLD_BYTES = 8 * 1024 * 1024
-"""Size from which the file is written anew: a sixteenth of a disk of 128 MB, and some eighty
-of the largest tables seen (100 KiB)."""
+"""File size from which the file is rewritten: a sixteenth of a disk of 128 MB, and about eighty of
+the largest tables seen (100 KiB)."""
 START_TIMEOUT_S = 5.0
-"""Time for which a start waits for a disk that refuses writes, before the process ends: some times
-what a disk was seen to stay full. Nothing may be promised before the identity is on the disk."""
+"""Time for which a start retries on a disk that refuses writes before the process exits: several
+times as long as a disk was seen to stay full. Nothing may be acknowledged before the member id is
+on disk."""
 
 _IDENTITY = "identity"
 _TAGS: dict[type, str] = {
@@ -40,10 +41,10 @@
 
 
 class Saved:
-    """What the disk held at the start.
+    """Content of the disk at the start.
 
     :ivar member_id: id under which the records were written; empty for an empty disk.
-    :ivar records: the records in order.
+    :ivar records: the records, in order.
     """
 
     __slots__ = ("member_id", "records")
@@ -54,7 +55,7 @@
 
 
 def read(folder: pathlib.Path) -> Saved:
-    """Read what a keeper's folder holds.
+    """Read the log in a keeper's data folder.
 
     :raises exceptions.DiskError: if it cannot be read.
     """
@@ -84,13 +85,13 @@
 
 
 class Storage:
-    """Writes records; tells by a callback, from its thread, up to which number they are synced.
+    """Writes records in a thread of its own and reports which of them are synced.
 
     :param folder: the keeper's data folder.
-    :param member_id: id under which records are written.
-    :param records: records that the file begins with; they are synced when this returns.
-    :param on_synced: called from the writer's thread with the number of synced records.
-    :raises exceptions.DiskError: if the file cannot be begun.
+    :param member_id: id under which the records are written.
+    :param records: initial records of the file; they are synced when the constructor returns.
+    :param on_synced: called from the writer thread with the number up to which records are synced.
+    :raises exceptions.DiskError: if the file cannot be created.
     """
 
     def __init__(
@@ -120,11 +121,11 @@
 
     @property
     def needs_rewrite(self) -> bool:
-        """Whether the file has grown enough to be written anew."""
+        """Whether the file has grown large enough to be rewritten."""
         return self._length > REWRITE_THRESHOLD_BYTES and self._rewrite is None
 
     def write(self, records: Sequence[replicated_log.Record]) -> None:
-        """Queue records; they are numbered on from 1."""
+        """Queue records; they are numbered consecutively from 1."""
         data = b"".join(_pack(record) for record in records)
         with self._condition:
             self._pending.append(data)
@@ -132,24 +133,24 @@
             self._condition.notify()
 
     def rewrite(self, records: Sequence[replicated_log.Record]) -> None:
-        """Replace the file by records that stand for all that was queued before."""
+        """Replace the file by records that are equivalent to all records queued before."""
         with self._condition:
             self._rewrite = self._encode_file(records)
             self._pending.clear()
             self._condition.notify()
 
     def _create_file(self, data: bytes) -> None:
-        """Write the file that everything else is added to.
+        """Write the initial file, to which later records are appended.
 
-        :raises exceptions.DiskError: if the disk refuses that for too long.
+        :raises exceptions.DiskError: if the disk refuses the write for longer than START_TIMEOUT_S.
         """
-        began_s = clocks.get_s()
+        start_s = clocks.get_s()
         while True:
             try:
                 self._replace(data)
                 return
             except exceptions.DiskError as error:
-                if clocks.get_s() - began_s > START_TIMEOUT_S:
+                if clocks.get_s() - start_s > START_TIMEOUT_S:
                     raise
                 fields = {"path": str(self._path), "reason": str(error)}
                 logger.error("disk refuses writes", extra={"fields": fields})
--- a/src/spoolhead/_internal/quorum/table_register.py
+++ b/src/spoolhead/_internal/quorum/table_register.py
@@ -1,18 +1,18 @@
-"""The replicated state: the route table with the highest version; no I/O."""
+"""The replicated route table with the highest version; performs no I/O."""
 
 import msgpack
 
 
 def pack_change(version: int, document: bytes) -> bytes:
-    """Return the log's form of a route table."""
+    """Return the serialized form of a route table in the log."""
     return msgpack.packb([version, document])
 
 
 class TableRegister:
-    """Holds the table with the highest version of all that were committed.
+    """Holds the committed route table with the highest version.
 
-    :ivar version: its version; 0 before the first.
-    :ivar document: its bytes.
+    :ivar version: version of the table; 0 before the first one.
+    :ivar document: bytes of the table.
     """
 
     def __init__(self) -> None:
@@ -20,18 +20,18 @@
         self.document = b""
 
     def apply(self, data: bytes) -> None:
-        """Take a committed table; one that is not newer changes nothing."""
+        """Apply a committed table; ignored unless its version is higher than the current one."""
         version, document = msgpack.unpackb(data)
         if version > self.version:
             self.version = version
             self.document = document
 
     def dump(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
         return pack_change(self.version, self.document)
 
     def load(self, state: bytes) -> None:
-        """Take over a state that includes everything committed so far."""
+        """Replace the state by a snapshot that includes everything committed so far."""
         version, document = msgpack.unpackb(state)
         self.version = version
         self.document = document
