--- a/src/spoolhead/_internal/cli/__init__.py
+++ b/src/spoolhead/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Entry points of the programs: arguments, settings and logging, nothing else."""
+"""Entry points of the programs: command-line arguments, settings and logging."""
--- a/src/spoolhead/_internal/cli/exit_codes.py
+++ b/src/spoolhead/_internal/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the operators' program; their table is in ``docs/OPERATING.md``."""
+"""Exit codes of the operators' program; ``docs/OPERATING.md`` lists them."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the program's exit code says."""
+    """Exit code of the operators' program."""
 
     OK = 0
     FAILED = 1
@@ -32,7 +32,7 @@
 
 
 def get_exit_code(code: codes.ResultCode) -> ExitCode:
-    """Return the exit code that goes with a result code."""
+    """Return the exit code for a result code."""
     if code is codes.ResultCode.OK:
         return ExitCode.OK
     return _BY_CODE.get(code, ExitCode.FAILED)
--- a/src/spoolhead/_internal/cli/operator.py
+++ b/src/spoolhead/_internal/cli/operator.py
@@ -28,7 +28,7 @@
 
 app = typer.Typer(
     name="spoolhead",
-    help="Read and edit the table, and see how the fleet is.",
+    help="Read and edit the table, and show the state of the fleet.",
     no_args_is_help=True,
     add_completion=False,
 )
@@ -42,31 +42,34 @@
 OptionalSettingsOption = Annotated[
     str,
     typer.Option(
-        "--settings", envvar="SPOOLHEAD_SETTINGS", help="Settings file; not needed with --log."
+        "--settings", envvar="SPOOLHEAD_SETTINGS", help="Settings file; not required with --log."
     ),
 ]
 LogOption = Annotated[
     list[str] | None,
-    typer.Option("--log", help="File with log lines, - for standard input; may be repeated."),
+    typer.Option("--log", help="File with log lines, or - for standard input; may be repeated."),
 ]
 RequiredLogOption = Annotated[
     list[str],
-    typer.Option("--log", help="File with log lines, - for standard input; may be repeated."),
+    typer.Option("--log", help="File with log lines, or - for standard input; may be repeated."),
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON.")]
-AuthorOption = Annotated[str, typer.Option("--author", help="Who makes the edit.")]
+AuthorOption = Annotated[str, typer.Option("--author", help="Author of the edit.")]
 EditIdOption = Annotated[
-    str, typer.Option("--edit-id", help="Id of an edit that is sent again after a lost answer.")
+    str,
+    typer.Option(
+        "--edit-id", help="Id of an earlier edit, to send it again after its answer was lost."
+    ),
 ]
 WaitOption = Annotated[
-    int, typer.Option("--wait-ms", min=0, help="Longest wait for the edit to be in force.")
+    int, typer.Option("--wait-ms", min=0, help="Longest wait until the edit is in force.")
 ]
 
 
 def _exit_with(
     run: Callable[..., exit_codes.ExitCode],
 ) -> Callable[..., None]:
-    """Turn what a command returns or raises into an exit code and a line of text."""
+    """Convert a command's result or exception into an exit code and an error line."""
 
     @functools.wraps(run)
     def _run(*args: object, **kwargs: object) -> None:
@@ -88,8 +91,8 @@
 @_exit_with
 def _show(
     settings_file: SettingsOption,
-    sheet: Annotated[rows.Sheet | None, typer.Argument(help="Only this sheet.")] = None,
-    name: Annotated[str, typer.Argument(help="Only this row.")] = "",
+    sheet: Annotated[rows.Sheet | None, typer.Argument(help="Print only this sheet.")] = None,
+    name: Annotated[str, typer.Argument(help="Print only this row.")] = "",
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
     """Print the table."""
@@ -103,7 +106,7 @@
     path: Annotated[str, typer.Argument(help="Table file, JSON with comments.")],
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
-    """Print what applying a table file would change."""
+    """Print the changes that applying a table file would make."""
     return diff.run(_read(settings_file), path, as_json=as_json)
 
 
@@ -131,7 +134,7 @@
     assignments: Annotated[list[str] | None, typer.Argument(help="COLUMN=VALUE ...")] = None,
     remove: Annotated[bool, typer.Option("--remove", help="Remove the row.")] = False,
     expected_version: Annotated[
-        int | None, typer.Option("--expected-version", help="Version the row must have.")
+        int | None, typer.Option("--expected-version", help="Version that the row must have.")
     ] = None,
     author: AuthorOption = "",
     edit_id: EditIdOption = "",
@@ -155,13 +158,15 @@
 def _evacuate(
     settings_file: SettingsOption,
     hall: Annotated[str, typer.Argument(help="Name of the hall.")],
-    withdraw: Annotated[bool, typer.Option("--withdraw", help="Take an order back.")] = False,
+    withdraw: Annotated[
+        bool, typer.Option("--withdraw", help="Withdraw an earlier order.")
+    ] = False,
     author: AuthorOption = "",
     edit_id: EditIdOption = "",
     wait_ms: WaitOption = 5_000,
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
-    """Send nothing new to the upstreams of a hall; what runs there ends undisturbed."""
+    """Stop new requests to the upstreams of a hall; requests that are running there finish."""
     options = keepers.EditOptions(author=author, edit_id=edit_id, wait_ms=wait_ms, as_json=as_json)
     return evacuate.run(_read(settings_file), hall, is_withdrawal=withdraw, options=options)
 
@@ -170,11 +175,13 @@
 @_exit_with
 def _held(
     settings_file: SettingsOption,
-    hold: Annotated[str, typer.Option("--hold", help="Have a content held, by its name.")] = "",
-    release: Annotated[str, typer.Option("--release", help="Let a content go.")] = "",
+    hold: Annotated[str, typer.Option("--hold", help="Hold the content with this id.")] = "",
+    release: Annotated[
+        str, typer.Option("--release", help="Release the content with this id.")
+    ] = "",
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
-    """Print which requests are held since upstreams ended under them, or order it by hand."""
+    """List contents that are held because they crash instances, or hold or release one."""
     config = _read(settings_file)
     if hold or release:
         content = hold or release
@@ -186,17 +193,17 @@
 @_exit_with
 def _history(
     settings_file: SettingsOption,
-    limit: Annotated[int, typer.Option("--limit", min=1, help="Changes at most.")] = 20,
+    limit: Annotated[int, typer.Option("--limit", min=1, help="Maximum number of changes.")] = 20,
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
-    """Print the last changes, newest first."""
+    """Print the latest changes, newest first."""
     return history.run(_read(settings_file), limit=limit, as_json=as_json)
 
 
 @app.command("status")
 @_exit_with
 def _status(settings_file: SettingsOption, as_json: JsonOption = False) -> exit_codes.ExitCode:
-    """Print how keepers, entries and upstreams are."""
+    """Print the state of keepers, entries and upstreams."""
     return status.run(_read(settings_file), as_json=as_json)
 
 
@@ -208,7 +215,7 @@
     log: LogOption = None,
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
-    """Print why a request was decided as it was: ask the entries, or read saved log lines."""
+    """Print the decisions on a request with their reasons, from the entries or saved log lines."""
     if log:
         return explain_logs.run(request_id, log, as_json=as_json)
     return explain.run(_read(settings_file), request_id, as_json=as_json)
@@ -217,15 +224,15 @@
 @app.command("losses")
 @_exit_with
 def _losses(log: RequiredLogOption, as_json: JsonOption = False) -> exit_codes.ExitCode:
-    """Count what became of requests, and why some were lost or late, from saved log lines."""
+    """Count outcomes of requests, and causes of losses and delays, in saved log lines."""
     return losses.run(log, as_json=as_json)
 
 
 @app.command("check")
 @_exit_with
 def _check(
-    kind: Annotated[check.FileKind, typer.Argument(help="What the file is.")],
-    path: Annotated[str, typer.Argument(help="The file.")],
+    kind: Annotated[check.FileKind, typer.Argument(help="Kind of the file.")],
+    path: Annotated[str, typer.Argument(help="Path of the file.")],
     as_json: JsonOption = False,
 ) -> exit_codes.ExitCode:
     """Check a settings or table file without using it."""
@@ -235,7 +242,7 @@
 @app.command("make-key")
 @_exit_with
 def _make_key(as_json: JsonOption = False) -> exit_codes.ExitCode:
-    """Draw an API key for a workspace."""
+    """Generate an API key for a workspace."""
     return make_key.run(as_json=as_json)
 
 
--- a/src/spoolhead/_internal/cli/output.py
+++ b/src/spoolhead/_internal/cli/output.py
@@ -13,7 +13,7 @@
 
 
 def print_table(titles: Cells, lines: Sequence[Cells]) -> None:
-    """Print lines in columns under titles; nothing but the titles where there are none."""
+    """Print rows in aligned columns under titles; without rows, only the titles."""
     widths = [max(len(row[column]) for row in [titles, *lines]) for column in range(len(titles))]
     for row in [titles, *lines]:
         cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
@@ -21,12 +21,12 @@
 
 
 def print_error(text: str) -> None:
-    """Print a line on standard error."""
+    """Print a line to standard error."""
     print(text, file=sys.stderr)
 
 
-def get_cell(value: object) -> str:
-    """Return a value as it stands in a cell."""
+def format_cell(value: object) -> str:
+    """Return a value as the text of a table cell."""
     if value is None:
         return "-"
     if isinstance(value, bool):
--- a/src/spoolhead/_internal/cli/start.py
+++ b/src/spoolhead/_internal/cli/start.py
@@ -1,4 +1,4 @@
-"""What the daemons' entry points share: arguments, settings, logging, exit codes."""
+"""Start-up shared by the daemons: arguments, settings, logging and exit codes."""
 
 import sys
 from collections.abc import Callable
@@ -21,9 +21,9 @@
 ) -> None:
     """Run a daemon with the settings file named on its command line.
 
-    :param kind: settings class of the program.
-    :param run: the program; returns when it has stopped.
-    :param summary: what the program is, for ``--help``.
+    :param settings_class: settings class of the program.
+    :param run: runs the program; returns when it has stopped.
+    :param summary: description of the program for ``--help``.
     """
 
     def _command(
--- a/src/spoolhead/_internal/commands/__init__.py
+++ b/src/spoolhead/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each command of the operators' program."""
+"""The commands of the operators' program, one module each."""
--- a/src/spoolhead/_internal/commands/apply.py
+++ b/src/spoolhead/_internal/commands/apply.py
@@ -1,4 +1,4 @@
-"""``spoolhead apply``: make the table equal to a file."""
+"""``spoolhead apply``: makes the table equal to a file."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.commands import diff, keepers
@@ -9,7 +9,7 @@
 def run(
     config: settings.OperatorSettings, path: str, options: keepers.EditOptions
 ) -> exit_codes.ExitCode:
-    """Send every difference between the table and a file as one edit."""
+    """Send all differences between the table and a file as one edit."""
     document = documents.read_document(path)
     table_rows = keepers.unpack_rows(keepers.get_table(config))
     differences = documents.get_differences(table_rows, document)
--- a/src/spoolhead/_internal/commands/check.py
+++ b/src/spoolhead/_internal/commands/check.py
@@ -1,4 +1,4 @@
-"""``spoolhead check``: check a settings or table file without using it."""
+"""``spoolhead check``: checks a settings or table file without using it."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class FileKind(enum.StrEnum):
-    """What a file is."""
+    """Kind of a file to check."""
 
     ENTRY = "entry"
     KEEPER = "keeper"
@@ -26,7 +26,7 @@
 def run(kind: FileKind, path: str, *, as_json: bool) -> exit_codes.ExitCode:
     """Check a file.
 
-    :raises exceptions.SettingsError: with every fault, if it cannot be used.
+    :raises exceptions.SettingsError: with all faults, if the file is invalid.
     """
     if kind is FileKind.TABLE:
         documents.read_document(path)
--- a/src/spoolhead/_internal/commands/diff.py
+++ b/src/spoolhead/_internal/commands/diff.py
@@ -1,4 +1,4 @@
-"""``spoolhead diff``: what applying a table file would change."""
+"""``spoolhead diff``: prints the changes that applying a table file would make."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.commands import keepers
@@ -9,7 +9,7 @@
 def run(config: settings.OperatorSettings, path: str, *, as_json: bool) -> exit_codes.ExitCode:
     """Print the differences between the table and a file.
 
-    :returns: ``DIFFERENT`` where there are any, so that scripts can tell.
+    :returns: ``DIFFERENT`` if there are any, so that scripts can detect them.
     """
     document = documents.read_document(path)
     answer = keepers.get_table(config)
@@ -22,7 +22,7 @@
 
 
 def print_differences(differences: list[documents.Difference]) -> None:
-    """Print differences for people."""
+    """Print differences in a human-readable form."""
     if not differences:
         print("no differences")
     for item in differences:
@@ -30,8 +30,8 @@
         if item.kind is documents.DifferenceKind.REMOVED:
             continue
         for column in item.get_changed_columns():
-            old = output.get_cell((item.old or {}).get(column))
-            new = output.get_cell((item.new or {}).get(column))
+            old = output.format_cell((item.old or {}).get(column))
+            new = output.format_cell((item.new or {}).get(column))
             print(f"  {column}: {old} -> {new}")
 
 
--- a/src/spoolhead/_internal/commands/edit.py
+++ b/src/spoolhead/_internal/commands/edit.py
@@ -1,4 +1,4 @@
-"""``spoolhead edit``: change, add or remove one row."""
+"""``spoolhead edit``: changes, adds or removes one row."""
 
 import json
 from collections.abc import Sequence
@@ -10,13 +10,13 @@
 
 
 class RowChange:
-    """What is to become of a row.
+    """The requested change of a row.
 
-    :ivar sheet: its sheet.
-    :ivar name: its name.
-    :ivar assignments: ``COLUMN=VALUE`` each; a value is JSON, or else text.
-    :ivar removes: the row is to be removed.
-    :ivar expected_version: version that the row must have; None for the present one.
+    :ivar sheet: sheet of the row.
+    :ivar name: name of the row.
+    :ivar assignments: list of ``COLUMN=VALUE``; a value is JSON, or else taken as text.
+    :ivar is_removal: whether the row is to be removed.
+    :ivar expected_version: version that the row must have; None for its current version.
     """
 
     __slots__ = ("assignments", "expected_version", "name", "is_removal", "sheet")
@@ -40,7 +40,7 @@
 def run(
     config: settings.OperatorSettings, change: RowChange, options: keepers.EditOptions
 ) -> exit_codes.ExitCode:
-    """Send a change of one row; columns that are not named stay as they are."""
+    """Send a change of one row; columns that are not named stay unchanged."""
     if change.is_removal == bool(change.assignments):
         output.print_error("name columns as COLUMN=VALUE, or give --remove, not both")
         return exit_codes.ExitCode.BAD_INPUT
--- a/src/spoolhead/_internal/commands/evacuate.py
+++ b/src/spoolhead/_internal/commands/evacuate.py
@@ -1,4 +1,4 @@
-"""``spoolhead evacuate``: send nothing new to the upstreams of a hall, or take that back."""
+"""``spoolhead evacuate``: stops new requests to the upstreams of a hall, or allows them again."""
 
 from spoolhead._internal.cli import exit_codes
 from spoolhead._internal.commands import keepers
@@ -13,10 +13,10 @@
     is_withdrawal: bool,
     options: keepers.EditOptions,
 ) -> exit_codes.ExitCode:
-    """Have a hall evacuated.
+    """Evacuate a hall or end its evacuation.
 
     :param hall: name of the hall.
-    :param withdraws: take an earlier order back.
+    :param is_withdrawal: whether to withdraw an earlier order.
     """
     key = versioned_table.RowKey(rows.Sheet.HALLS, hall)
     known = keepers.unpack_rows(keepers.get_table(config)).get(key)
--- a/src/spoolhead/_internal/commands/explain.py
+++ b/src/spoolhead/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""``spoolhead explain``: why a request was decided as it was."""
+"""``spoolhead explain``: prints the decisions on a request, with their reasons."""
 
 from spoolhead._internal import exceptions
 from spoolhead._internal.cli import exit_codes, output
@@ -9,7 +9,7 @@
 def run(
     config: settings.OperatorSettings, request_id: str, *, as_json: bool
 ) -> exit_codes.ExitCode:
-    """Ask the entries for the decisions on a request and print them."""
+    """Query all entries for the decisions on a request and print them."""
     decisions = []
     for address in config.entries:
         try:
--- a/src/spoolhead/_internal/commands/explain_logs.py
+++ b/src/spoolhead/_internal/commands/explain_logs.py
@@ -1,4 +1,4 @@
-"""``spoolhead explain --log``: a request's story from saved log lines."""
+"""``spoolhead explain --log``: traces a request through saved log lines."""
 
 import pathlib
 import sys
@@ -12,9 +12,9 @@
 
 
 def run(request_id: str, paths: list[str], *, as_json: bool) -> exit_codes.ExitCode:
-    """Print what the lines of some files tell of a request.
+    """Print the log lines that concern a request.
 
-    :param paths: files, one a process or merged; ``-`` for standard input.
+    :param paths: files, one per process or merged; ``-`` for standard input.
     """
     try:
         trace = log_trace.build_trace(read_lines(paths), request_id)
@@ -40,10 +40,10 @@
 
 
 def read_lines(paths: list[str]) -> Iterator[log_trace.Line]:
-    """Read the lines of some files.
+    """Read the log lines of files.
 
-    :param paths: files, one a process or merged; ``-`` for standard input.
-    :raises OSError: if one cannot be read.
+    :param paths: files, one per process or merged; ``-`` for standard input.
+    :raises OSError: if a file cannot be read.
     """
     for path in paths:
         name = "" if path == STANDARD_INPUT else pathlib.Path(path).stem
--- a/src/spoolhead/_internal/commands/held.py
+++ b/src/spoolhead/_internal/commands/held.py
@@ -1,4 +1,4 @@
-"""``spoolhead held``: requests that are held since upstreams ended under them."""
+"""``spoolhead held``: lists and changes which contents are held because they crash instances."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.models import content_record, settings
@@ -7,7 +7,7 @@
 
 
 def run(config: settings.OperatorSettings, *, as_json: bool) -> exit_codes.ExitCode:
-    """Print what a keeper knows of contents that may end upstreams."""
+    """Print a keeper's records of contents that may crash instances."""
     with peer_call.open_to_any(config.keepers, config) as call:
         answer = call.ask(messages.GetContents(request=1), messages.ContentsAnswer)
     _print(answer, as_json=as_json)
@@ -17,9 +17,10 @@
 def set_held(
     config: settings.OperatorSettings, content: str, *, is_held: bool, as_json: bool
 ) -> exit_codes.ExitCode:
-    """Have a content held, or let it go.
+    """Hold or release a content.
 
-    :param content: its name in hexadecimal digits, as logs and ``spoolhead held`` tell it.
+    :param content: id of the content in hexadecimal digits, as in logs and in the output of
+        ``spoolhead held``.
     """
     try:
         content_id = bytes.fromhex(content)
@@ -51,5 +52,5 @@
         return
     titles = ["content", "held", "by hand", "ends", "trials", "changed ms ago"]
     output.print_table(
-        titles, [[output.get_cell(cell) for cell in item.values()] for item in lines]
+        titles, [[output.format_cell(cell) for cell in item.values()] for item in lines]
     )
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -1,4 +1,4 @@
-"""``spoolhead history``: who changed what, and when."""
+"""``spoolhead history``: prints who made which changes, and when."""
 
 import datetime
 
@@ -9,7 +9,7 @@
 
 
 def run(config: settings.OperatorSettings, *, limit: int, as_json: bool) -> exit_codes.ExitCode:
-    """Print the last changes, newest first."""
+    """Print the latest changes, newest first."""
     with peer_call.open_to_any(config.keepers, config) as call:
         question = messages.GetHistory(request=1, limit=limit)
         answer = call.ask(question, messages.HistoryAnswer)
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -1,4 +1,4 @@
-"""What several commands share: reading the table from a keeper and sending it an edit."""
+"""Functions shared by commands: reading the table from a keeper and sending it an edit."""
 
 import getpass
 import secrets
@@ -18,12 +18,13 @@
 
 
 class EditOptions:
-    """How an edit is sent.
+    """Options for sending an edit.
 
-    :ivar author: who makes it; empty for the user's name.
-    :ivar edit_id: id of an edit that is sent again; empty for a new edit.
-    :ivar wait_ms: longest wait for it to be in force everywhere; 0 for none.
-    :ivar as_json: print JSON.
+    :ivar author: author of the edit; the user's name by default.
+    :ivar edit_id: id of the edit; a resend gives the id of the first attempt, a new edit gets a
+        random one.
+    :ivar wait_ms: longest wait until the edit is in force at all entries; 0 for no wait.
+    :ivar as_json: whether to print JSON.
     """
 
     __slots__ = ("as_json", "author", "edit_id", "wait_ms")
@@ -36,13 +37,13 @@
 
 
 def get_table(config: settings.OperatorSettings) -> messages.TableAnswer:
-    """Read the table from the first keeper that answers."""
+    """Return the table from the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetTable(request=1), messages.TableAnswer)
 
 
 def get_keeper_status(config: settings.OperatorSettings) -> dict:
-    """Read the status of the first keeper that answers."""
+    """Return the status of the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
 
@@ -52,7 +53,7 @@
     edits: Sequence[versioned_table.RowEdit],
     options: EditOptions,
 ) -> exit_codes.ExitCode:
-    """Send an edit, print what became of it and, if asked to, wait until it is in force."""
+    """Send an edit, print its result and, if requested, wait until it is in force."""
     answer = _propose(config, edits, options)
     code = messages.get_code(answer.code)
     report: dict[str, object] = {
@@ -87,7 +88,7 @@
         time_ms=time.time_ns() // 1_000_000,
         edits=[edit.pack() for edit in edits],
     )
-    # The edit id makes a resend harmless, so a lost answer is simply asked for again.
+    # The edit id makes resends idempotent, so the edit is sent again if the answer is lost.
     for attempts_left in range(MAX_SEND_ATTEMPTS - 1, -1, -1):
         try:
             with peer_call.open_to_any(config.keepers, config) as call:
--- a/src/spoolhead/_internal/commands/losses.py
+++ b/src/spoolhead/_internal/commands/losses.py
@@ -1,17 +1,16 @@
-"""``spoolhead losses``: what became of requests and why some were lost, from saved log lines."""
+"""``spoolhead losses``: counts outcomes of requests and causes of losses in saved log lines."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.commands import explain_logs
 from spoolhead._internal.utils import log_losses
 
 MAX_BAR_CHARACTERS = 40
-"""Width of the longest bar."""
 
 
 def run(paths: list[str], *, as_json: bool) -> exit_codes.ExitCode:
-    """Print how many requests of each route ended how, as bars.
+    """Print for each route how many requests had which outcome, as a bar chart.
 
-    :param paths: files, one a process or merged; ``-`` for standard input.
+    :param paths: files, one per process or merged; ``-`` for standard input.
     """
     try:
         counts = log_losses.count(explain_logs.read_lines(paths))
@@ -23,7 +22,7 @@
         output.print_json([_as_dict(route, cause, count) for (route, cause), count in ordered])
         return exit_codes.ExitCode.OK
     for route in sorted({route for route, _ in counts}):
-        _print_route(route, {cause: n for (name, cause), n in ordered if name == route})
+        _print_route(route, {cause: count for (name, cause), count in ordered if name == route})
     return exit_codes.ExitCode.OK
 
 
--- a/src/spoolhead/_internal/commands/make_key.py
+++ b/src/spoolhead/_internal/commands/make_key.py
@@ -1,4 +1,4 @@
-"""``spoolhead make-key``: draw an API key for a workspace."""
+"""``spoolhead make-key``: generates an API key for a workspace."""
 
 import secrets
 
@@ -10,7 +10,7 @@
 
 
 def run(*, as_json: bool) -> exit_codes.ExitCode:
-    """Print a new key and its digest; the key is nowhere else."""
+    """Print a new key and its digest; the key is stored nowhere."""
     api_key = KEY_PREFIX + secrets.token_urlsafe(KEY_BYTES)
     digest = view.get_key_digest(api_key)
     if as_json:
--- a/src/spoolhead/_internal/commands/show.py
+++ b/src/spoolhead/_internal/commands/show.py
@@ -1,4 +1,4 @@
-"""``spoolhead show``: print the table."""
+"""``spoolhead show``: prints the table."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.commands import keepers
@@ -27,10 +27,10 @@
 def run(
     config: settings.OperatorSettings, *, sheet: rows.Sheet | None, name: str, as_json: bool
 ) -> exit_codes.ExitCode:
-    """Print the table, one sheet of it, or one row.
+    """Print the table, one of its sheets, or one row.
 
-    :param sheet: only this sheet; None for all.
-    :param name: only this row; empty for all.
+    :param sheet: sheet to print; None for all.
+    :param name: name of the row to print; empty for all.
     """
     answer = keepers.get_table(config)
     table_rows = {
@@ -60,7 +60,7 @@
             continue
         row = table_rows[key]
         typed = rows.parse_row(sheet, key.name, row.value).ok
-        cells = [output.get_cell(getattr(typed, column)) for column in columns]
+        cells = [output.format_cell(getattr(typed, column)) for column in columns]
         if sheet is rows.Sheet.WORKSPACES:
             cells.append(str(len(typed.key_sha256)))
         lines.append([key.name, str(row.version), *cells])
--- a/src/spoolhead/_internal/commands/status.py
+++ b/src/spoolhead/_internal/commands/status.py
@@ -1,4 +1,4 @@
-"""``spoolhead status``: how keepers, entries and upstreams are."""
+"""``spoolhead status``: prints the state of keepers, entries and upstreams."""
 
 from spoolhead._internal import exceptions
 from spoolhead._internal.cli import exit_codes, output
@@ -7,7 +7,7 @@
 
 
 def run(config: settings.OperatorSettings, *, as_json: bool) -> exit_codes.ExitCode:
-    """Ask every process named in the settings and print what they say.
+    """Query all processes named in the settings for their status and print it.
 
     :returns: ``UNREACHABLE`` if any of them did not answer.
     """
@@ -41,7 +41,7 @@
             lines.append(["UNREACHABLE", status["address"], *["-"] * 6])
             continue
         names = ("role", "address", "name", "hall", "version", "ready", "running", "waiting")
-        lines.append([output.get_cell(status.get(name)) for name in names])
+        lines.append([output.format_cell(status.get(name)) for name in names])
     output.print_table(titles, lines)
 
 
@@ -49,7 +49,7 @@
     titles = ["keeper", "entry", "connected", "in force", "current", "heard of ms ago"]
     names = ("name", "connected", "version_in_force", "is_current", "seen_ms_ago")
     lines = [
-        [status["name"], *(output.get_cell(entry[name]) for name in names)]
+        [status["name"], *(output.format_cell(entry[name]) for name in names)]
         for status in statuses
         for entry in status.get("entries", [])
     ]
@@ -63,7 +63,7 @@
     names = ("name", "service", "hall", "state", "ejected", "running_here", "running")
     names += ("waiting", "kv_used_tokens", "kv_capacity_tokens", "preemptions", "planning_limit")
     lines = [
-        [status["name"], *(output.get_cell(upstream[name]) for name in names)]
+        [status["name"], *(output.format_cell(upstream[name]) for name in names)]
         for status in statuses
         for upstream in status.get("upstreams", [])
     ]
--- a/src/spoolhead/_internal/keeper/__init__.py
+++ b/src/spoolhead/_internal/keeper/__init__.py
@@ -1,1 +1,1 @@
-"""The keeper program: the table on a disk, pushed to the entries."""
+"""The keeper program: stores the table on disk and pushes it to the entries."""
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -1,4 +1,4 @@
-"""Passes on between entries what they find out of contents that may end upstreams."""
+"""Relays between entries what they learn about contents that crash instances."""
 
 import logging
 import pathlib
@@ -13,15 +13,15 @@
 logger = logging.getLogger(__name__)
 
 SYNC_CHECK_INTERVAL_S = 0.01
-"""Pause between looks at whether what an operator ordered is on the disk."""
+"""Interval between checks whether an operator's order has been synced to disk."""
 
 
 class ContentRelay:
-    """A keeper's records of contents, and what it does with messages about them.
+    """A keeper's records of contents, and the handling of messages about them.
 
-    :param get_entries: returns the streams of all entries that are connected.
-    :param folder: the keeper's data folder, where they outlast it.
-    :param timers: calls back.
+    :param get_entries: returns the streams of all connected entries.
+    :param folder: the keeper's data folder, in which the records are saved.
+    :param timers: scheduler for delayed calls.
     """
 
     def __init__(
@@ -36,13 +36,13 @@
         self._saved = saved_contents.SavedContents(folder, self._registry, timers)
 
     def send_known(self, session: peer_server.PeerSession) -> None:
-        """Tell all that is known to an entry that has just connected."""
+        """Send all known records to an entry that has just connected."""
         known = self._pack(self._registry.get_ids())
         if known:
             session.send(messages.Contents(items=known))
 
     def handle_contents(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
-        """Pass on what an entry found out."""
+        """Merge the records of an entry and relay those that changed."""
         try:
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
@@ -54,9 +54,9 @@
     def handle_hold_order(
         self, session: peer_server.PeerSession, message: messages.HoldContent
     ) -> None:
-        """Have a content held, or let it go, by an operator's order.
+        """Hold or release a content by an operator's order.
 
-        It is in force at once and confirmed once it is on the disk.
+        The order takes effect immediately and is confirmed once it is synced to disk.
         """
         record = content_record.begin_epoch(
             message.content_id,
--- a/src/spoolhead/_internal/keeper/log_file.py
+++ b/src/spoolhead/_internal/keeper/log_file.py
@@ -1,4 +1,4 @@
-"""The keeper's log on its disk: nothing is acknowledged before it is synced."""
+"""The keeper's log file; a record is acknowledged only after it is synced."""
 
 import logging
 import os
@@ -16,7 +16,10 @@
 class LogFile:
     """An append-only file of records.
 
-    :ivar payloads: payloads found when it was opened; the owner may drop the list.
+    :param folder: the keeper's data folder.
+    :raises exceptions.DiskError: if the file cannot be opened.
+    :raises exceptions.LogDamagedError: if the file is damaged.
+    :ivar payloads: payloads found when the file was opened; the owner may clear the list.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -34,15 +37,15 @@
         self._length = found.good_bytes
         if found.torn:
             cut = len(data) - found.good_bytes
-            logger.warning("%s: %d bytes of a torn last write are cut off", self._path, cut)
+            logger.warning("%s: truncated %d bytes of a torn last write", self._path, cut)
         self._truncate()
         files.sync_folder(folder)
 
     def append(self, payload: bytes) -> None:
         """Append one record and sync it.
 
-        :raises exceptions.DiskError: if the record is not durable; the log is then as before,
-            or takes nothing more until the process starts again.
+        :raises exceptions.DiskError: if the record is not durable. The log is then unchanged, or
+            refuses all further records until the process restarts.
         """
         if self._failed:
             raise exceptions.DiskError(f"{self._path}: an earlier write failed")
@@ -55,8 +58,8 @@
         try:
             os.fsync(self._descriptor)
         except OSError as error:
-            # After a failed sync the kernel may drop the pages and report success next time,
-            # so what the file holds is known only after it is read again.
+            # After a failed sync the kernel may discard the dirty pages and report success for the
+            # next sync. The content of the file is therefore unknown until it is read again.
             self._failed = True
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
         self._length += len(record)
--- a/src/spoolhead/_internal/keeper/program.py
+++ b/src/spoolhead/_internal/keeper/program.py
@@ -1,4 +1,4 @@
-"""The keeper program: puts its parts together and runs them."""
+"""Assembles and runs the keeper program."""
 
 import logging
 import pathlib
@@ -12,10 +12,10 @@
 
 
 def run(config: settings.KeeperSettings) -> None:
-    """Run a keeper until it is told to stop.
+    """Run a keeper until the process is asked to stop.
 
-    :param config: its settings.
-    :raises exceptions.SpoolheadError: if it cannot start.
+    :param config: the keeper's settings.
+    :raises exceptions.SpoolheadError: if the keeper cannot start.
     """
     folder = pathlib.Path(config.data_dir)
     lock = files.FolderLock(folder)
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -1,4 +1,4 @@
-"""What a keeper does with the messages of entries and operators."""
+"""Handles the messages that entries and operators send to a keeper."""
 
 import functools
 import logging
@@ -25,12 +25,13 @@
 class Follower:
     """An entry that follows the table.
 
-    :ivar session: its stream, or None while it is away.
-    :ivar is_following: it has asked for the table on this stream; no change is sent before.
-    :ivar version: version it said is in force there.
-    :ivar seen_s: monotonic time of its last message, in seconds.
-    :ivar hall: hall it stands in; empty until it has said so.
-    :ivar address: ``IP:PORT`` at which its neighbours reach it.
+    :ivar session: stream of the entry; None while it is disconnected.
+    :ivar is_following: whether the entry has requested the table on this stream; no changes are
+        sent before.
+    :ivar version: version that the entry has reported as in force.
+    :ivar seen_s: monotonic time of the entry's last message, in seconds.
+    :ivar hall: hall of the entry; empty until it has introduced itself.
+    :ivar address: ``IP:PORT`` at which other entries reach this one.
     """
 
     __slots__ = ("address", "hall", "is_following", "seen_s", "session", "version")
@@ -48,10 +49,10 @@
     """Handles messages; implements :class:`peer_server.PeerService`.
 
     :param config: the keeper's settings.
-    :param log: the log on the disk, already opened.
-    :param timers: calls back.
-    :raises exceptions.LogDamagedError: if the log's records do not fit each other.
-    :ivar contents: passes on what entries find out of contents that may end upstreams.
+    :param log: the opened log file.
+    :param timers: scheduler for delayed calls.
+    :raises exceptions.LogDamagedError: if the records of the log contradict each other.
+    :ivar contents: relays what entries learn about contents that crash instances.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         return self._state.table.version
 
     def on_opened(self, session: peer_server.PeerSession) -> None:
-        """Note a peer; an entry counts as present from now on."""
+        """Register a peer; an entry counts as connected from now on."""
         logger.info("%s %s connected", session.role, session.name)
         if session.role == ENTRY_ROLE:
             follower = self._followers.setdefault(session.name, Follower())
@@ -85,7 +86,7 @@
             follower.seen_s = clocks.get_s()
 
     def on_closed(self, session: peer_server.PeerSession) -> None:
-        """Note that a peer is away."""
+        """Record that a peer has disconnected."""
         logger.info("%s %s disconnected", session.role, session.name)
         follower = self._followers.get(session.name)
         if follower is not None and follower.session is session:
@@ -100,20 +101,20 @@
     def handle_introduce(
         self, session: peer_server.PeerSession, message: messages.Introduce
     ) -> None:
-        """Note where an entry stands, and tell all entries."""
+        """Record an entry's hall and address, and send the new list of members to all entries."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
-            raise messages.MessageError("only the present stream of an entry introduces it")
+            raise messages.MessageError("an entry must introduce itself on its current stream")
         follower.hall = message.hall
         follower.address = message.address
         self._broadcast_members()
         self.contents.send_known(session)
 
     def handle_follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
-        """Send a follower what it has missed, or the whole table."""
+        """Send a follower the changes that it has missed, or the whole table."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
-            raise messages.MessageError("only the present stream of an entry follows")
+            raise messages.MessageError("an entry must follow on its current stream")
         follower.is_following = True
         missed = self._state.get_changes_after(message.log_id, message.version)
         if missed is None:
@@ -130,14 +131,14 @@
         session.send(messages.Current(version=self.version))
 
     def record_in_force(self, session: peer_server.PeerSession, message: messages.InForce) -> None:
-        """Note the version that an entry has in force."""
+        """Record the version that is in force at an entry."""
         follower = self._followers.get(session.name)
         if follower is not None:
             follower.version = message.version
             follower.seen_s = clocks.get_s()
 
     def handle_propose(self, session: peer_server.PeerSession, message: messages.Propose) -> None:
-        """Accept an edit, or refuse it whole."""
+        """Accept an edit, or refuse it as a whole."""
         answer = self._decide(message)
         session.send(answer)
         logger.info(
@@ -154,7 +155,7 @@
         )
 
     def send_table(self, session: peer_server.PeerSession, message: messages.GetTable) -> None:
-        """Send the rows to an operator."""
+        """Send all rows to an operator."""
         session.send(
             messages.TableAnswer(
                 request=message.request,
@@ -165,13 +166,13 @@
         )
 
     def send_history(self, session: peer_server.PeerSession, message: messages.GetHistory) -> None:
-        """Send the last changes to an operator."""
+        """Send the latest changes to an operator."""
         history = self._state.table.get_history()[::-1][: max(0, message.limit)]
         changes = [change.pack() for change in history]
         session.send(messages.HistoryAnswer(request=message.request, changes=changes))
 
     def send_status(self, session: peer_server.PeerSession, message: messages.GetStatus) -> None:
-        """Tell an operator how the keeper and its followers are."""
+        """Send the status of the keeper and its followers to an operator."""
         now_s = clocks.get_s()
         entries = [
             {
@@ -195,7 +196,7 @@
         session.send(messages.StatusAnswer(request=message.request, status=status))
 
     def handle_claim(self, session: peer_server.PeerSession, message: messages.ClaimOnce) -> None:
-        """Grant a claim, or tell what became of the first one."""
+        """Grant a claim, or answer with the state of the first claim of the key."""
         time_ms = _get_time_ms()
         self._state.once.drop_expired(time_ms)
         claim = self._state.once.claims.get(message.key)
@@ -203,14 +204,14 @@
         found = self._state.once.get_state(
             message.key, message.fingerprint, owner_is_gone=owner_is_gone
         )
-        name = found.value
+        state_name = found.value
         if found is once_journal.ClaimState.GRANTED:
-            name = self._grant(session.name, message, time_ms)
+            state_name = self._grant(session.name, message, time_ms)
         outcome = claim.outcome if found is once_journal.ClaimState.FINISHED and claim else None
         session.send(
             messages.ClaimAnswer(
                 request=message.request,
-                state=name,
+                state=state_name,
                 status=outcome.status if outcome else 0,
                 content_type=outcome.content_type if outcome else "",
                 body=outcome.body if outcome else b"",
@@ -218,13 +219,13 @@
         )
 
     def handle_finish(self, session: peer_server.PeerSession, message: messages.FinishOnce) -> None:
-        """Record the end of a claimed request; not confirmed unless it is durable."""
+        """Record the end of a claimed request; confirm it only if the record is durable."""
         claim = self._state.once.claims.get(message.key)
         if claim is not None and claim.owner == session.name and not claim.is_finished:
             try:
                 self._record_end(session.name, message)
             except exceptions.DiskError as error:
-                logger.error("the end of a claimed request is not recorded: %s", error)
+                logger.error("cannot record the end of a claimed request: %s", error)
                 return
         session.send(messages.FinishNoted(key=message.key))
 
@@ -260,7 +261,7 @@
             try:
                 self._log.append(records.make_change(change))
             except exceptions.DiskError as error:
-                logger.error("edit %s is not accepted: %s", message.edit_id, error)
+                logger.error("edit %s refused, it cannot be recorded: %s", message.edit_id, error)
                 faults = [["", str(error)]]
                 return self._refuse(message, codes.ResultCode.DISK_FAILED, faults=faults)
             self._state.apply_change(change)
@@ -312,14 +313,16 @@
 
     def _broadcast_members(self) -> None:
         present = {
-            name: item
-            for name, item in self._followers.items()
-            if item.session is not None and item.address
+            name: follower
+            for name, follower in self._followers.items()
+            if follower.session is not None and follower.address
         }
-        entries = [[name, item.hall, item.address] for name, item in sorted(present.items())]
+        entries = [
+            [name, follower.hall, follower.address] for name, follower in sorted(present.items())
+        ]
         data = messages.encode(messages.Members(entries=entries))
-        for item in present.values():
-            item.session.send_encoded(data)
+        for follower in present.values():
+            follower.session.send_encoded(data)
 
     def _encode_change(self, change: versioned_table.Change) -> bytes:
         return messages.encode(messages.ChangeMade(log_id=self._state.log_id, change=change.pack()))
@@ -328,7 +331,7 @@
         try:
             self._log.append(records.make_claim(message.key, message.fingerprint, owner, time_ms))
         except exceptions.DiskError as error:
-            logger.error("a claim is not granted: %s", error)
+            logger.error("claim refused, it cannot be recorded: %s", error)
             return "failed"
         self._state.once.claim(message.key, message.fingerprint, owner, time_ms)
         return once_journal.ClaimState.GRANTED.value
@@ -374,9 +377,11 @@
 
 
 def _register_handler(
-    kind: type, call: typing.Callable[[KeeperService, _Session, typing.Any], None]
+    message_class: type, handler: typing.Callable[[KeeperService, _Session, typing.Any], None]
 ) -> None:
-    _dispatch.register(kind, lambda message, service, session: call(service, session, message))
+    _dispatch.register(
+        message_class, lambda message, service, session: handler(service, session, message)
+    )
 
 
 _register_handler(messages.Introduce, KeeperService.handle_introduce)
--- a/src/spoolhead/_internal/keeper/state.py
+++ b/src/spoolhead/_internal/keeper/state.py
@@ -1,8 +1,8 @@
-"""The keeper's state: the table and the once journal, rebuilt from the log, without I/O.
+"""The keeper's state: the table and the once journal, rebuilt from the log; performs no I/O.
 
-Each operation comes in two steps. A ``prepare_*`` or ``get_*`` method tells what is to be
-made durable; after that the matching ``apply`` method makes it part of the state. So nothing
-that a disk has not taken is ever seen by a reader.
+Each operation has two steps. A ``prepare_*`` or ``get_*`` method returns what must be made durable;
+the matching ``apply`` method then makes it part of the state. Readers therefore never see anything
+that is not on disk.
 """
 
 import collections
@@ -17,9 +17,9 @@
 
 
 class KeeperState:
-    """All that a keeper knows.
+    """The complete state of a keeper.
 
-    :param kept_changes: changes kept for followers that come back.
+    :param kept_changes: number of changes kept for followers that reconnect.
     :ivar log_id: id of the log; empty before the first record.
     :ivar table: the table.
     :ivar once: the claims.
@@ -36,7 +36,7 @@
     def replay(self, payload: bytes) -> None:
         """Apply one record of the log.
 
-        :raises ValueError: if the record does not fit what came before it.
+        :raises ValueError: if the record contradicts the earlier ones.
         """
         kind, *fields = records.parse(payload)
         match kind:
@@ -59,16 +59,16 @@
         return self.table.prepare(proposal)
 
     def apply_change(self, change: versioned_table.Change) -> None:
-        """Make a durable change part of the table."""
+        """Apply a durable change to the table."""
         self.table.apply(change)
         self._recent.append(change)
 
     def get_changes_after(self, log_id: str, version: int) -> list[versioned_table.Change] | None:
-        """Return what a follower has missed.
+        """Return the changes that a follower has missed.
 
-        :param log_id: log of the follower's copy.
+        :param log_id: id of the log of the follower's copy.
         :param version: version of the follower's copy.
-        :returns: the changes, or None where a snapshot is needed.
+        :returns: the changes, or None if the follower needs a snapshot.
         """
         if log_id != self.log_id or version > self.table.version:
             return None
