--- a/src/spoolhead/_internal/commands/losses.py
+++ b/src/spoolhead/_internal/commands/losses.py
@@ -22,7 +22,9 @@
         output.print_json([_as_dict(route, cause, count) for (route, cause), count in ordered])
         return exit_codes.ExitCode.OK
     for route in sorted({route for route, _ in counts}):
-        _print_route(route, {cause: count for (name, cause), count in ordered if name == route})
+        _print_route(
+            route, {cause: route_count for (name, cause), route_count in ordered if name == route}
+        )
     return exit_codes.ExitCode.OK
 
 
--- a/tests/lib/consensus_group.py
+++ b/tests/lib/consensus_group.py
@@ -1,7 +1,7 @@
-"""A few members of a replicated log in one process, with a network and disks that misbehave.
+"""Simulates the members of a replicated log in one process, with network and disk faults.
 
-It drives the members by hand: messages wait until they are delivered, dropped or repeated;
-records wait until they are synced; a crash loses what was not synced.
+Tests drive the members step by step: messages wait until they are delivered, dropped or repeated;
+records wait until they are synced; a crash loses the records that were not synced.
 """
 
 import random
@@ -13,13 +13,13 @@
 from spoolhead.coordination import consensus_messages as messages
 
 STEP_S = 0.05
-SEEDS = 3
-"""Addresses that a process is given to find the group by, however large that is."""
+SEEDS_PER_PROCESS = 3
+"""Number of addresses that a process receives to find the group, whatever the group's size."""
 TIMING = consensus_types.Timing()
 
 
 class ListMachine:
-    """State machine that remembers every change in order, and carries out orders on halls."""
+    """State machine that records all changes in order and applies orders on halls."""
 
     def __init__(self):
         self.changes = []
@@ -41,7 +41,13 @@
 
 
 class Node:
-    """One member with its disk."""
+    """One member with its disk.
+
+    :ivar disk: records that are synced.
+    :ivar unsynced: records that are written but not synced.
+    :ivar unsent: messages that wait for a record to be synced.
+    :ivar acknowledged_before: number of changes that were acknowledged before the last start.
+    """
 
     def __init__(self, group, address, mark, founders):
         self.group = group
@@ -68,7 +74,7 @@
         self.machine = ListMachine()
         self.unsynced = []
         self.synced_number = 0
-        self.held = []
+        self.unsent = []
         self.consensus = consensus.Consensus(
             self.member_id,
             log,
@@ -77,54 +83,59 @@
             random.Random(self.group.rng.random()),
             self.group.now_s,
         )
-        # What the file begins with after a start is written anew, as a program does.
+        # As in the program, a start writes the file anew, from the records that restore the log.
         self.disk = list(log.get_records())
         self.is_up = True
 
     def crash(self):
         self.is_up = False
         self.unsynced = []
-        self.held = []
+        self.unsent = []
 
-    def carry_out(self):
+    def apply_effects(self):
         effects = self.consensus.take_effects()
         self.unsynced.extend(effects.records)
-        self.held.extend(effects.envelopes)
-        self._send_held()
+        self.unsent.extend(effects.envelopes)
+        self._send_ready()
 
     def sync(self):
         self.disk.extend(self.unsynced)
         self.synced_number += len(self.unsynced)
         self.unsynced = []
         self.consensus.note_synced(self.synced_number, self.group.now_s)
-        self.carry_out()
+        self.apply_effects()
 
-    def _send_held(self):
-        still_held = []
-        for envelope in self.held:
+    def _send_ready(self):
+        not_ready = []
+        for envelope in self.unsent:
             must_wait = envelope.after_record > self.synced_number
             if must_wait and not self.group.ignores_syncs:
-                still_held.append(envelope)
+                not_ready.append(envelope)
             else:
                 self.group.in_flight.append((self.address, envelope.address, envelope.message))
-        self.held = still_held
+        self.unsent = not_ready
 
 
 class Group:
-    """The members, what is in flight between them, and what must never happen.
-
-    :param seed: seed of every choice.
-    :param size: founding members.
-    :param streams_end_with_processes: what was sent to a process before it started is lost, as
-        it is on streams; otherwise it may still come.
+    """The members, the messages in flight and the invariants.
+
+    :param seed: seed of all random choices.
+    :param size: number of initial members.
+    :param streams_end_with_processes: whether messages sent to a process before its start are lost,
+        as on streams; otherwise they may still arrive.
+    :ivar cut_pairs: pairs of addresses between which messages are lost.
+    :ivar ignores_syncs: whether messages are sent without waiting for their record; a defect to
+        detect.
+    :ivar acknowledged: changes that a leader has acknowledged, in order.
+    :ivar longest: the longest sequence of changes applied by any member.
     """
 
     def __init__(self, seed, size=3, *, streams_end_with_processes=False):
         self.rng = random.Random(seed)
-        self.seed_chance = random.Random(seed)
+        self.seed_rng = random.Random(seed)
         self.now_s = 100.0
         self.in_flight = []
-        self.cut = set()
+        self.cut_pairs = set()
         self.ignores_syncs = False
         self.streams_end_with_processes = streams_end_with_processes
         self.acknowledged = []
@@ -138,14 +149,15 @@
         for member_id in founders:
             address = messages.get_address(member_id)
             self.nodes[address] = Node(self, address, "first", founders)
-        self.marks = 0
+        self.mark_count = 0
 
     def draw_seeds(self):
-        """Return the addresses that a process which starts now is given."""
+        """Return the addresses that a process receives when it starts."""
         known = sorted(self.nodes) or self.addresses
-        return self.seed_chance.sample(known, min(SEEDS, len(known)))
+        return self.seed_rng.sample(known, min(SEEDS_PER_PROCESS, len(known)))
 
     def up(self):
+        """Return the members that are running."""
         return [node for node in self.nodes.values() if node.is_up]
 
     def advance(self, steps=1):
@@ -155,7 +167,7 @@
                 node.consensus.tick(self.now_s)
                 if not node.consensus.leader or not node.consensus.is_member:
                     self._ask_to_join(node)
-                node.carry_out()
+                node.apply_effects()
             self.check()
 
     def _ask_to_join(self, node):
@@ -168,15 +180,15 @@
     def deliver(self, index):
         sender, receiver, message = self.in_flight.pop(index)
         node = self.nodes.get(receiver)
-        if frozenset((sender, receiver)) in self.cut or node is None or not node.is_up:
+        if frozenset((sender, receiver)) in self.cut_pairs or node is None or not node.is_up:
             return
         node.consensus.receive(message, self.now_s)
-        node.carry_out()
+        node.apply_effects()
         self.check()
 
     def settle(self, seconds=5.0):
-        """Let time pass with a network and disks that work."""
-        self.cut.clear()
+        """Let time pass while the network and the disks work."""
+        self.cut_pairs.clear()
         for _ in range(int(seconds / STEP_S)):
             self.advance()
             for node in self.up():
@@ -194,11 +206,11 @@
         self.proposed += 1
         data = f"change-{self.proposed}".encode()
         if node.consensus.propose(data, self.now_s):
-            node.carry_out()
+            node.apply_effects()
         self.check()
 
     def order_hall(self, node, hall, is_evacuated):
-        """Have a leader put an order on a hall into the log."""
+        """Have a leader propose an order on a hall."""
         self.proposed += 1
         order = evacuations.HallOrder(
             hall=hall,
@@ -207,34 +219,37 @@
             order_id=f"order-{self.proposed}",
         )
         if node.consensus.propose(evacuations.pack_order(order), self.now_s):
-            node.carry_out()
+            node.apply_effects()
         self.check()
 
     def begin_read(self, node):
         round_number = node.consensus.begin_read(self.now_s)
         if round_number is not None:
             self.reads.append((node, round_number, len(self.acknowledged)))
-            node.carry_out()
+            node.apply_effects()
 
     def wipe(self, address):
-        """Replace a member's machine by an empty one at the same address."""
-        self.marks += 1
+        """Replace a member by one with an empty disk at the same address."""
+        self.mark_count += 1
         node = self.nodes[address]
         node.crash()
-        self.nodes[address] = Node(self, address, f"again-{self.marks}", [])
+        self.nodes[address] = Node(self, address, f"again-{self.mark_count}", [])
 
     def replace(self, address):
-        """Replace a member's machine by an empty one at another address."""
-        self.marks += 1
+        """Replace a member by one with an empty disk at another address."""
+        self.mark_count += 1
         self.nodes.pop(address).crash()
-        other = f"10.0.1.{self.marks}:1"
-        self.nodes[other] = Node(self, other, f"new-{self.marks}", [])
+        other = f"10.0.1.{self.mark_count}:1"
+        self.nodes[other] = Node(self, other, f"new-{self.mark_count}", [])
 
     def check(self):
+        """Check the invariants."""
         for node in self.up():
             changes = node.machine.changes
             if node.consensus.has_caught_up and self.streams_end_with_processes:
-                assert len(changes) >= node.acknowledged_before, "an old state is vouched for"
+                assert (
+                    len(changes) >= node.acknowledged_before
+                ), "a stale state is reported as caught up"
             shared = min(len(changes), len(self.longest))
             assert changes[:shared] == self.longest[:shared], "two members differ"
             if len(changes) > len(self.longest):
@@ -249,42 +264,42 @@
         for read in list(self.reads):
             node, round_number, count = read
             if node.is_up and node.consensus.is_confirmed(round_number):
-                assert len(node.machine.changes) >= count, "a read shows an older state"
+                assert len(node.machine.changes) >= count, "a confirmed read returns an older state"
                 self.reads.remove(read)
 
 
 def run_at_random(seed, steps=400, size=3, **options):
-    """Drive a group at random, then let it settle and check that nothing was lost."""
+    """Run a group with random events and check that no acknowledged change is lost."""
     group = Group(seed, size, **options)
     rng = group.rng
     wiped_s = -1e9
     for _ in range(steps):
-        draw = rng.random()
+        choice = rng.random()
         nodes = group.up()
-        if draw < 0.35 and group.in_flight:
+        if choice < 0.35 and group.in_flight:
             group.deliver(rng.randrange(min(len(group.in_flight), 4)))
-        elif draw < 0.50:
+        elif choice < 0.50:
             group.advance()
-        elif draw < 0.68 and nodes:
+        elif choice < 0.68 and nodes:
             rng.choice(nodes).sync()
-        elif draw < 0.78 and nodes:
+        elif choice < 0.78 and nodes:
             group.propose(rng.choice(nodes))
-        elif draw < 0.83 and nodes:
+        elif choice < 0.83 and nodes:
             group.begin_read(rng.choice(nodes))
-        elif draw < 0.87 and group.in_flight:
+        elif choice < 0.87 and group.in_flight:
             group.in_flight.pop(rng.randrange(len(group.in_flight)))
-        elif draw < 0.90 and group.in_flight:
+        elif choice < 0.90 and group.in_flight:
             group.in_flight.append(rng.choice(group.in_flight))
-        elif draw < 0.92 and nodes:
+        elif choice < 0.92 and nodes:
             rng.choice(nodes).crash()
-        elif draw < 0.95:
+        elif choice < 0.95:
             for node in group.nodes.values():
                 if not node.is_up:
                     node.start()
-        elif draw < 0.98 and size > 1:
+        elif choice < 0.98 and size > 1:
             addresses = list(group.nodes)
             pair = frozenset(rng.sample(addresses, 2))
-            group.cut ^= {pair}
+            group.cut_pairs ^= {pair}
         elif size > 2 and group.now_s - wiped_s > 6.0 and len(nodes) == len(group.nodes):
             group.settle(4.0)
             wiped_s = group.now_s
@@ -299,7 +314,7 @@
             node.start()
     group.settle(8.0)
     leaders = [node for node in group.up() if node.consensus.is_leader]
-    assert len(leaders) == 1, "no leader although everything works again"
+    assert len(leaders) == 1, "no leader after all faults have ended"
     for node in group.up():
         changes = node.machine.changes
         assert changes[: len(group.acknowledged)] == group.acknowledged, "a change was lost"
--- a/tests/unit/test_changelog.py
+++ b/tests/unit/test_changelog.py
@@ -1,3 +1,5 @@
+"""Reading logs that are intact, cut short or damaged."""
+
 import hypothesis
 import pytest
 from hypothesis import strategies
--- a/tests/unit/test_consensus.py
+++ b/tests/unit/test_consensus.py
@@ -1,4 +1,4 @@
-"""Agreement under loss, crashes, wiped disks and replaced members; and defects that it catches."""
+"""Consensus under lost messages, crashes, wiped disks and replaced members, and seeded defects."""
 
 import hypothesis
 import pytest
@@ -23,7 +23,10 @@
 
 @pytest.mark.parametrize("size", [3, 5, 6])
 def test_a_member_that_starts_vouches_for_nothing_older_than_was_acknowledged(size):
-    """What it begins with is the snapshot on its disk; only a leader knows what came after."""
+    """A member starts with the snapshot on its disk, which may be older than acknowledged changes.
+
+    It must not report that it has caught up before a leader has sent it the later changes.
+    """
     for seed in range(20):
         consensus_group.run_at_random(seed, size=size, streams_end_with_processes=True)
 
@@ -56,12 +59,12 @@
 
 
 def test_a_minority_that_missed_a_change_cannot_lead_after_another_was_wiped():
-    """The case that kills naive designs: C misses a change, A is wiped, B is dark."""
+    """C misses a change, A loses its disk, B is down: C and A must not elect a leader."""
     group = consensus_group.Group(3)
     group.settle(2.0)
     a, b, c = sorted(group.nodes)
-    group.cut = {frozenset((a, c)), frozenset((b, c))}
-    # The cut stays while the change is made, so settle, which heals, is not used here.
+    group.cut_pairs = {frozenset((a, c)), frozenset((b, c))}
+    # settle() ends all cuts, so it cannot be used while the change is made.
     for _ in range(80):
         group.advance()
         for node in group.up():
@@ -99,7 +102,10 @@
 
 @pytest.mark.parametrize("size", [3, 4, 6])
 def test_a_wiped_member_is_swapped_in_one_step(size):
-    """With one taken out and none in yet, a group of three could bear no further loss."""
+    """Removal and addition in two steps would leave a group of three with two members in between.
+
+    A further loss would then stop the group.
+    """
     group = consensus_group.Group(17, size)
     group.settle(2.0)
     sizes = set()
@@ -113,10 +119,11 @@
 
 
 def test_a_newcomer_that_knows_only_followers_becomes_a_member():
-    """A keeper whose disk was lost was given three of six keepers, none of them the leader.
+    """A member that lost its disk knows three of six members, none of them the leader.
 
-    It asked them to join for the rest of the day, they passed the request over, and nobody
-    noticed that the group had one member less to lose. See ``functional/test_old_tables.py``.
+    Guards against followers that ignore the join request instead of forwarding it to the leader:
+    the group then stays one member short without anyone noticing. See
+    ``functional/test_old_tables.py``.
     """
     group = consensus_group.Group(17, 6)
     group.settle(2.0)
@@ -129,8 +136,8 @@
     assert all(wiped.member_id in node.consensus.members for node in group.up())
 
 
-def _lose_disks_and_all_power(group, count):
-    """Lose some disks, and what was not synced everywhere else."""
+def _lose_disks_and_power(group, count):
+    """Lose some members' disks, and the unsynced records of all others."""
     nodes = sorted(group.nodes)
     lost = group.rng.sample(nodes, count)
     for address in nodes:
@@ -144,9 +151,9 @@
 
 
 def test_a_newcomer_that_knows_nobody_alive_asks_the_leader_that_it_hears():
-    """Its settings name itself and two that were replaced when it lost its disk.
+    """A member that lost its disk knows only itself and two members that have been replaced.
 
-    The leader goes on sending to its address, where its former life was.
+    The leader still sends to its address, where the previous member was, and so becomes known.
     """
     group = consensus_group.Group(19, 6)
     group.settle(2.0)
@@ -168,12 +175,16 @@
             for size, count in ((3, 1), (4, 1), (5, 2), (6, 2))
             for seed in range(8)
         ),
-        # A newcomer whose seeds were itself and two that were replaced at the same time.
+        # A newcomer whose seeds were its own address and two members that were replaced at the same
+        # time.
         (7, 3, 114),
     ],
 )
 def test_what_the_group_can_bear_it_can_bear_again_and_again(size, count, seed):
-    """Each time all have come back, as many disks may be lost as before, beside all power."""
+    """Once all members are back, the group survives the same number of lost disks again.
+
+    All processes lose power each time.
+    """
     group = consensus_group.Group(seed, size, streams_end_with_processes=True)
     for _ in range(6):
         group.settle(6.0)
@@ -181,7 +192,7 @@
         assert len(leader.consensus.members) == size
         group.propose(leader)
         group.settle(0.5)
-        _lose_disks_and_all_power(group, count)
+        _lose_disks_and_power(group, count)
         group.settle(group.rng.uniform(3.0, 6.0))
         assert all(node.machine.changes == group.acknowledged for node in group.up())
     assert len(group.acknowledged) == 6
@@ -229,14 +240,14 @@
     monkeypatch.setattr(consensus.Consensus, "_is_log_current", lambda self, request: True)
 
 
-def _vouch_at_once(monkeypatch):
-    def _note(self, leader_index):
+def _report_caught_up_at_once(monkeypatch):
+    def _set_caught_up(self, leader_index):
         self.has_caught_up = True
 
-    monkeypatch.setattr(consensus.Consensus, "_update_caught_up", _note)
+    monkeypatch.setattr(consensus.Consensus, "_update_caught_up", _set_caught_up)
 
 
-def _is_caught(seeds=60, steps=500):
+def _is_detected(seeds=60, steps=500):
     for seed in range(seeds):
         try:
             consensus_group.run_at_random(seed, steps=steps)
@@ -251,7 +262,7 @@
     group.ignores_syncs = ignores_syncs
     leader = next(node for node in group.up() if node.consensus.is_leader)
     follower, other = (node for node in group.up() if node is not leader)
-    group.cut = {frozenset((leader.address, other.address))}
+    group.cut_pairs = {frozenset((leader.address, other.address))}
     group.propose(leader)
     leader.sync()
     for _ in range(40):
@@ -284,17 +295,17 @@
 )
 def test_defect_is_caught(monkeypatch, defect):
     defect(monkeypatch)
-    assert _is_caught()
+    assert _is_detected()
 
 
 def test_defect_a_member_that_vouches_for_what_it_starts_with_is_caught(monkeypatch):
-    _vouch_at_once(monkeypatch)
+    _report_caught_up_at_once(monkeypatch)
     with pytest.raises(AssertionError):
         test_a_member_that_starts_vouches_for_nothing_older_than_was_acknowledged(3)
 
 
 def test_defect_a_wiped_member_that_votes_as_its_old_self_is_caught(monkeypatch):
-    """The minority that missed a change elects itself with the help of the wiped one."""
+    """With the wiped member's vote, the minority that missed a change elects a leader."""
 
     def _wipe(self, address):
         node = self.nodes[address]
@@ -308,7 +319,7 @@
 
 
 def test_an_entry_of_an_earlier_term_is_not_committed_by_count_alone():
-    """Figure 8 of the Raft paper in short: a majority holds it, but no entry of this term."""
+    """Figure 8 of the Raft paper, abridged: a majority has the entry, but none of this term."""
     group = consensus_group.Group(13)
     group.settle(2.0)
     leader = next(node for node in group.up() if node.consensus.is_leader)
@@ -323,7 +334,7 @@
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
-    """The same by hypothesis, which shrinks what it finds."""
+    """The same checks under hypothesis, which minimizes failing sequences."""
 
     @stateful.initialize(seed=strategies.integers(0, 10_000))
     def begin(self, seed):
--- a/tests/unit/test_content_orders.py
+++ b/tests/unit/test_content_orders.py
@@ -1,4 +1,4 @@
-"""An operator's order on a content, at a keeper: when it is confirmed."""
+"""When a keeper confirms an operator's order to hold or release a content."""
 
 import time
 
@@ -24,7 +24,7 @@
 
 
 def _has_saved(folder):
-    """Tell whether a keeper that starts now knows the content as held by hand."""
+    """Return whether a keeper that starts now reads the content as held by an operator."""
     session = Session()
     relay = content_relay.ContentRelay(list, folder, simulated_clock.Clock())
     relay.send_contents(session, messages.GetContents(request=1))
@@ -33,7 +33,7 @@
 
 
 def test_an_order_is_confirmed_once_it_is_on_the_disk(tmp_path):
-    """Guards against a content that an operator holds and that a kill lets go."""
+    """Guards against a confirmed hold that is lost when the keeper is killed."""
     clock = simulated_clock.Clock()
     relay = content_relay.ContentRelay(list, tmp_path, clock)
     session = Session()
--- a/tests/unit/test_evacuations.py
+++ b/tests/unit/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuated halls: orders in any order and number, what keepers tell, what entries do."""
+"""Evacuated halls: late and repeated orders, the keepers' state, and the entries' behaviour."""
 
 import json
 
@@ -37,7 +37,7 @@
 
 
 def test_a_withdrawal_of_nothing_still_overtakes_the_order():
-    """The operator gave the order up and takes it back to be sure; then it arrives."""
+    """An operator gives an order up and withdraws it to be sure; the order arrives after that."""
     state = evacuations.Evacuations()
     late = _make_order(state, "a", True)
     assert state.carry_out(_make_order(state, "a", False))
@@ -62,7 +62,7 @@
     )
 )
 def test_whatever_is_repeated_late_an_acknowledged_order_holds(steps):
-    """Each order is carried out once at once; old ones come again at any later moment."""
+    """Each order is applied when it is sent; earlier orders arrive again at any later time."""
     state = evacuations.Evacuations()
     sent = []
     wanted = {}
@@ -85,9 +85,9 @@
     assert (copy.table.version, copy.table.document) == (4, b"four")
     assert copy.evacuations.pack() == state.evacuations.pack()
     assert copy.evacuations.evacuated_halls == {"a"}
-    former = replicated_state.ReplicatedState()
-    former.load(msgpack.packb([7, b"seven"]))
-    assert (former.table.version, former.evacuations.revision) == (7, 0)
+    old_format = replicated_state.ReplicatedState()
+    old_format.load(msgpack.packb([7, b"seven"]))
+    assert (old_format.table.version, old_format.evacuations.revision) == (7, 0)
 
 
 def test_an_order_put_to_two_leaders_has_one_outcome():
--- a/tests/unit/test_keeper_feed.py
+++ b/tests/unit/test_keeper_feed.py
@@ -1,4 +1,4 @@
-"""What a keeper sends to the entries that follow it, and how often."""
+"""Messages that a keeper sends to the entries that follow it, and how often."""
 
 import random
 
@@ -53,14 +53,14 @@
     keeper.timers.pass_interval()
     keeper.timers.pass_interval()
     for session in sessions:
-        told = session.get(route_messages.Fleet)
-        assert len(told) == 2
-        assert not told[0].entries
-        assert len(told[-1].entries) == 50
+        received = session.get(route_messages.Fleet)
+        assert len(received) == 2
+        assert not received[0].entries
+        assert len(received[-1].entries) == 50
 
 
 def test_only_what_changed_in_the_fleet_is_sent_and_one_that_joins_gets_all(keeper):
-    """195 entries are 8 KB to each of them."""
+    """A full list of 195 entries takes 8 KB per receiver."""
     sessions = [keeper.join(f"e{number}") for number in range(50)]
     keeper.timers.pass_interval()
     keeper.feed.remove_follower(sessions[3])
@@ -108,7 +108,7 @@
 
 
 def test_only_what_changed_in_a_list_is_sent_and_one_that_joins_gets_all(keeper):
-    """A hundred instances are 10 KB; of them a few come or go at a time."""
+    """A full list of a hundred instances takes 10 KB; only a few come or go at a time."""
     first = keeper.join("e1")
     listed = [gateway_setting.make_instance(f"i-{number}") for number in range(100)]
     keeper.feed.broadcast_instances(1, listed)
@@ -126,7 +126,7 @@
 
 
 def test_lists_sent_as_changes_come_to_the_same_as_whole_ones(keeper):
-    """Whatever is listed in turn, a follower's list is the keeper's."""
+    """After any sequence of lists, the follower's list equals the keeper's."""
     session = keeper.join("e")
     rng = random.Random(4)
     held = {}
--- a/tests/unit/test_log_losses.py
+++ b/tests/unit/test_log_losses.py
@@ -1,4 +1,4 @@
-"""``spoolhead losses``: what became of requests, from saved lines."""
+"""``spoolhead losses``: outcomes of requests, from saved log lines."""
 
 import json
 
--- a/tests/unit/test_log_trace.py
+++ b/tests/unit/test_log_trace.py
@@ -1,4 +1,4 @@
-"""``spoolhead explain --log``: a request's story from saved lines."""
+"""``spoolhead explain --log``: trace of a request, from saved log lines."""
 
 import json
 import subprocess
@@ -39,13 +39,13 @@
     return [str(path), str(other)]
 
 
-def _tell(lines, request_id):
+def _trace(lines, request_id):
     read = [log_trace.read_line("entry-1", line) for line in lines]
     return log_trace.build_trace([line for line in read if line is not None], request_id)
 
 
 def test_the_story_has_the_request_and_what_its_process_believed():
-    trace = _tell(reversed(LINES), "r1")
+    trace = _trace(reversed(LINES), "r1")
     assert [line.text for line in trace.own] == ["attempt", "copy ordered"]
     assert [line.text for line in trace.beliefs] == [
         "table in force",
@@ -92,5 +92,5 @@
         _line(30.0, "attempt", request="r1", upstream="", evacuated=4),
         _line(30.0, "refused", request="r1", code=2005),
     )
-    trace = _tell(lines, "r1")
+    trace = _trace(lines, "r1")
     assert [line.fields["revision"] for line in trace.beliefs] == [2]
--- a/tests/unit/test_once_journal.py
+++ b/tests/unit/test_once_journal.py
@@ -1,4 +1,4 @@
-"""The journal against a naive one: a key is granted once, whatever else happens."""
+"""Compares the journal with a simple model: each key is granted once, whatever else happens."""
 
 from hypothesis import stateful, strategies
 
@@ -7,7 +7,7 @@
 RETENTION_MS = 1_000
 KEYS = strategies.sampled_from(["a", "b"])
 OWNERS = strategies.sampled_from(["entry-1", "entry-2"])
-PRINTS = strategies.sampled_from([b"1", b"2"])
+FINGERPRINTS = strategies.sampled_from([b"1", b"2"])
 
 
 class JournalMachine(stateful.RuleBasedStateMachine):
@@ -18,7 +18,7 @@
         self.granted = {}
         self.ended = {}
 
-    @stateful.rule(key=KEYS, owner=OWNERS, fingerprint=PRINTS, gone=strategies.booleans())
+    @stateful.rule(key=KEYS, owner=OWNERS, fingerprint=FINGERPRINTS, gone=strategies.booleans())
     def claim(self, key, owner, fingerprint, gone):
         state = self.journal.get_state(key, fingerprint, owner_is_gone=gone)
         if key not in self.granted:
@@ -43,16 +43,16 @@
     @stateful.rule(key=KEYS, owner=OWNERS, known=strategies.booleans())
     def finish(self, key, owner, known):
         outcome = once_journal.Outcome(200, "", b"x") if known else None
-        may = key in self.granted and self.granted[key][0] == owner and key not in self.ended
-        assert self.journal.finish(key, owner, outcome) == may
-        if may:
+        is_allowed = key in self.granted and self.granted[key][0] == owner and key not in self.ended
+        assert self.journal.finish(key, owner, outcome) == is_allowed
+        if is_allowed:
             self.ended[key] = outcome
 
     @stateful.rule(key=KEYS, owner=OWNERS)
     def release(self, key, owner):
-        may = key in self.granted and self.granted[key][0] == owner and key not in self.ended
-        assert self.journal.release(key, owner) == may
-        if may:
+        is_allowed = key in self.granted and self.granted[key][0] == owner and key not in self.ended
+        assert self.journal.release(key, owner) == is_allowed
+        if is_allowed:
             del self.granted[key]
 
     @stateful.rule(passed_ms=strategies.integers(0, 600))
@@ -65,7 +65,7 @@
                 self.ended.pop(key, None)
 
     @stateful.invariant()
-    def holds_just_the_claims_in_force(self):
+    def holds_exactly_the_granted_claims(self):
         assert set(self.journal.claims) == set(self.granted)
 
 
--- a/tests/unit/test_peer_streams.py
+++ b/tests/unit/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Streams between the fleet's processes when a handler of their messages fails."""
+"""Streams between processes when the handler of a message raises an exception."""
 
 import pytest
 
@@ -57,7 +57,7 @@
 
 
 def test_a_message_that_cannot_be_handled_ends_the_stream(setting):
-    """What follows builds on it; a new stream begins with all that is known."""
+    """Later messages build on the lost one; a new stream starts with the complete state."""
     client, links, user = setting
     link = _begin(client, links)
     data = b"".join(messages.encode(messages.Current(version=version)) for version in (12, 13, 14))
@@ -108,7 +108,10 @@
 
 
 def test_a_session_whose_message_cannot_be_handled_is_closed():
-    """A follower that could not be taken in would live on and be told nothing."""
+    """Guards against a session that stays open although its follower was not registered.
+
+    Such a follower would receive no messages and would not reconnect.
+    """
     server = _make_server("a")
     with pytest.raises(RuntimeError):
         server._on_read("a", messages.encode(messages.Current(version=1)))
@@ -118,7 +121,7 @@
 def test_a_follower_that_cannot_be_sent_to_does_not_keep_the_others_from_being_told():
     server = _make_server("a", "b", "c")
     server._server.failing = "b"
-    told = feed.Feed(
+    keeper_feed = feed.Feed(
         gateway_setting.FakeTimers(),
         "h",
         list,
@@ -126,7 +129,7 @@
         evacuations.Evacuations,
     )
     for session in server._sessions.values():
-        told._followers[session] = route_messages.Subscribe(hall="h", address="x:1")
-    told.broadcast_version()
+        keeper_feed._followers[session] = route_messages.Subscribe(hall="h", address="x:1")
+    keeper_feed.broadcast_version()
     assert server._server.sent == ["a", "c"]
     assert server._server.closed == ["b"]
--- a/tests/unit/test_quorum_storage.py
+++ b/tests/unit/test_quorum_storage.py
@@ -1,4 +1,4 @@
-"""A keeper's disk: what was synced is read back, what was not is no reason to stay down."""
+"""A keeper's disk: synced records are read back, unsynced ones do not prevent a start."""
 
 import errno
 import os
@@ -80,7 +80,7 @@
 
 @hypothesis.given(strategies.data())
 def test_records_behind_the_last_sync_may_be_torn_each_by_itself(tmp_path_factory, data):
-    """A torn record with whole ones behind it ends the reading; the synced part stays."""
+    """A torn record ends the reading even if valid ones follow; the synced part is kept."""
     folder = tmp_path_factory.mktemp("disk")
     synced = b"".join(storage._pack(record) for record in RECORDS)
     unsynced = [storage._pack(replicated_log.Appended(i, 3, 1, b"late" * 9)) for i in (3, 4, 5)]
@@ -97,7 +97,7 @@
 
 
 def test_reading_a_log_takes_time_in_line_with_its_size():
-    """Counted in bytes copied, not in seconds: each record is looked at once."""
+    """Counts copied bytes instead of seconds: each record is read once."""
     payload = b"x" * 1_000
 
     class _Counting(bytes):
@@ -115,7 +115,7 @@
 
 
 def test_a_start_waits_for_a_disk_that_is_full_for_a_while(tmp_path, monkeypatch):
-    """A keeper that ends instead is one less to lose until somebody starts it again."""
+    """A keeper that exits instead stays down until somebody starts it again."""
     storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
     replace_file = storage.files.replace_file
     refusals = [None, None]
--- a/tests/unit/test_table_register.py
+++ b/tests/unit/test_table_register.py
@@ -1,4 +1,4 @@
-"""The replicated state: the table with the highest version, whatever the order of arrival."""
+"""The replicated table is the one with the highest version, whatever the order of arrival."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/unit/test_versioned_table.py
+++ b/tests/unit/test_versioned_table.py
@@ -1,4 +1,4 @@
-"""The table against a naive one that keeps every accepted edit in a list."""
+"""Compares the table with a simple model that keeps every accepted edit in a list."""
 
 import hypothesis
 from hypothesis import stateful, strategies
@@ -16,7 +16,7 @@
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """Proposals in any order, resends included; a follower that misses some."""
+    """Proposals in any order, with resends, and a follower that misses some changes."""
 
     def __init__(self):
         super().__init__()
@@ -26,7 +26,7 @@
         self.follower = following.FollowedTable()
         self.follower.take_snapshot("log", 0, {})
 
-    def _get_naive_rows(self):
+    def _get_model_rows(self):
         rows = {}
         for change in self.changes:
             for edit in change.proposal.edits:
@@ -43,8 +43,8 @@
         offset=strategies.integers(-1, 1),
     )
     def propose(self, edit_id, key, value, offset):
-        naive = self._get_naive_rows()
-        version = naive.get(key, (0, None))[0]
+        expected = self._get_model_rows()
+        version = expected.get(key, (0, None))[0]
         edit = versioned_table.RowEdit(key, version + offset, value)
         proposal = versioned_table.Proposal(
             edit_id=str(edit_id), author="x", time_ms=0, edits=[edit]
@@ -106,10 +106,10 @@
         self.follower.take_snapshot("log", self.table.version, self.table.rows)
 
     @stateful.invariant()
-    def equals_the_naive_table(self):
-        naive = self._get_naive_rows()
-        real = {key: (row.version, row.value) for key, row in self.table.rows.items()}
-        assert real == naive
+    def equals_the_model(self):
+        expected = self._get_model_rows()
+        actual = {key: (row.version, row.value) for key, row in self.table.rows.items()}
+        assert actual == expected
         assert self.table.version == len(self.changes)
 
     @stateful.invariant()
