--- a/src/spoolhead/_internal/commands/diff.py
+++ b/src/spoolhead/_internal/commands/diff.py
@@ -15,7 +15,7 @@
     answer = keepers.get_table(config)
     differences = documents.get_differences(keepers.unpack_rows(answer), document)
     if as_json:
-        output.print_json([_make_item(item) for item in differences])
+        output.print_json([_as_dict(difference) for difference in differences])
     else:
         print_differences(differences)
     return exit_codes.ExitCode.DIFFERENT if differences else exit_codes.ExitCode.OK
@@ -25,15 +25,20 @@
     """Print differences in a human-readable form."""
     if not differences:
         print("no differences")
-    for item in differences:
-        print(f"{item.kind} {item.key}")
-        if item.kind is documents.DifferenceKind.REMOVED:
+    for difference in differences:
+        print(f"{difference.kind} {difference.key}")
+        if difference.kind is documents.DifferenceKind.REMOVED:
             continue
-        for column in item.get_changed_columns():
-            old = output.format_cell((item.old or {}).get(column))
-            new = output.format_cell((item.new or {}).get(column))
+        for column in difference.get_changed_columns():
+            old = output.format_cell((difference.old or {}).get(column))
+            new = output.format_cell((difference.new or {}).get(column))
             print(f"  {column}: {old} -> {new}")
 
 
-def _make_item(item: documents.Difference) -> dict[str, object]:
-    return {"row": str(item.key), "kind": item.kind, "old": item.old, "new": item.new}
+def _as_dict(difference: documents.Difference) -> dict[str, object]:
+    return {
+        "row": str(difference.key),
+        "kind": difference.kind,
+        "old": difference.old,
+        "new": difference.new,
+    }
--- a/src/spoolhead/_internal/commands/edit.py
+++ b/src/spoolhead/_internal/commands/edit.py
@@ -44,30 +44,30 @@
     if change.is_removal == bool(change.assignments):
         output.print_error("name columns as COLUMN=VALUE, or give --remove, not both")
         return exit_codes.ExitCode.BAD_INPUT
-    wrong = [item for item in change.assignments if "=" not in item]
-    if wrong:
-        output.print_error(f"not COLUMN=VALUE: {', '.join(wrong)}")
+    malformed = [assignment for assignment in change.assignments if "=" not in assignment]
+    if malformed:
+        output.print_error(f"not COLUMN=VALUE: {', '.join(malformed)}")
         return exit_codes.ExitCode.BAD_INPUT
     table_rows = keepers.unpack_rows(keepers.get_table(config))
     key = versioned_table.RowKey(change.sheet, change.name)
-    known = table_rows.get(key)
-    if change.is_removal and known is None:
+    row = table_rows.get(key)
+    if change.is_removal and row is None:
         output.print_error(f"there is no row {key}")
         return exit_codes.ExitCode.NOT_FOUND
-    version = known.version if known is not None else versioned_table.ABSENT_VERSION
+    version = row.version if row is not None else versioned_table.ABSENT_VERSION
     if change.expected_version is not None:
         version = change.expected_version
-    value = None if change.is_removal else _assign(known, change.assignments)
+    value = None if change.is_removal else _assign(row, change.assignments)
     edit = versioned_table.RowEdit(key, version, value)
     return keepers.send_edit(config, [edit], options)
 
 
 def _assign(
-    known: versioned_table.VersionedRow | None, assignments: Sequence[str]
+    row: versioned_table.VersionedRow | None, assignments: Sequence[str]
 ) -> dict[str, object]:
-    value = dict(known.value) if known is not None else {}
-    for item in assignments:
-        column, _, text = item.partition("=")
+    value = dict(row.value) if row is not None else {}
+    for assignment in assignments:
+        column, _, text = assignment.partition("=")
         value[column] = _parse_value(text)
     return value
 
--- a/src/spoolhead/_internal/commands/evacuate.py
+++ b/src/spoolhead/_internal/commands/evacuate.py
@@ -19,7 +19,7 @@
     :param is_withdrawal: whether to withdraw an earlier order.
     """
     key = versioned_table.RowKey(rows.Sheet.HALLS, hall)
-    known = keepers.unpack_rows(keepers.get_table(config)).get(key)
-    version = known.version if known is not None else versioned_table.ABSENT_VERSION
+    row = keepers.unpack_rows(keepers.get_table(config)).get(key)
+    version = row.version if row is not None else versioned_table.ABSENT_VERSION
     edit = versioned_table.RowEdit(key, version, {"evacuated": not is_withdrawal})
     return keepers.send_edit(config, [edit], options)
--- a/src/spoolhead/_internal/commands/explain.py
+++ b/src/spoolhead/_internal/commands/explain.py
@@ -25,18 +25,18 @@
     if as_json:
         output.print_json(decisions)
         return exit_codes.ExitCode.OK
-    for item in decisions:
-        _print_decision(item)
+    for decision in decisions:
+        _print_decision(decision)
     return exit_codes.ExitCode.OK
 
 
-def _print_decision(item: dict) -> None:
-    code = f"{item['result']} [{item['result_code']}]"
-    place = f" at {item['upstream']}" if item["upstream"] else ""
-    print(f"after {item['wait_ms']} ms: {item['action']}{place}, {code}")
-    print(f"  workspace {item['workspace'] or '-'}, service {item['service'] or '-'}")
-    if item["detail"]:
-        print(f"  {item['detail']}")
-    for candidate in item["candidates"]:
+def _print_decision(decision: dict) -> None:
+    code = f"{decision['result']} [{decision['result_code']}]"
+    place = f" at {decision['upstream']}" if decision["upstream"] else ""
+    print(f"after {decision['wait_ms']} ms: {decision['action']}{place}, {code}")
+    print(f"  workspace {decision['workspace'] or '-'}, service {decision['service'] or '-'}")
+    if decision["detail"]:
+        print(f"  {decision['detail']}")
+    for candidate in decision["candidates"]:
         reason = candidate["lost_because"] or "chosen"
         print(f"  {candidate['upstream']}: fill {candidate['fill']}, {reason}")
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -15,7 +15,7 @@
         answer = call.ask(question, messages.HistoryAnswer)
     changes = [versioned_table.Change.unpack(packed) for packed in answer.changes]
     if as_json:
-        output.print_json([_make_item(change) for change in changes])
+        output.print_json([_as_dict(change) for change in changes])
         return exit_codes.ExitCode.OK
     lines = [
         [
@@ -31,14 +31,14 @@
     return exit_codes.ExitCode.OK
 
 
-def _make_item(change: versioned_table.Change) -> dict[str, object]:
-    item = change.proposal
+def _as_dict(change: versioned_table.Change) -> dict[str, object]:
+    proposal = change.proposal
     return {
         "version": change.version,
-        "time_ms": item.time_ms,
-        "author": item.author,
-        "edit_id": item.edit_id,
-        "rows": [{"row": str(edit.key), "value": edit.value} for edit in item.edits],
+        "time_ms": proposal.time_ms,
+        "author": proposal.author,
+        "edit_id": proposal.edit_id,
+        "rows": [{"row": str(edit.key), "value": edit.value} for edit in proposal.edits],
     }
 
 
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -127,10 +127,10 @@
         output.print_error(
             f"refused, nothing changed: {codes.CODE_INFO[code].meaning} [{int(code)}]"
         )
-        for item in report["faults"]:
-            output.print_error(f"  {item['path']}: {item['text']}")
-        for item in report["conflicts"]:
-            output.print_error(f"  {item['row']} is now version {item['version']}: {item['value']}")
+        for fault in report["faults"]:
+            output.print_error(f"  {fault['path']}: {fault['text']}")
+        for row in report["conflicts"]:
+            output.print_error(f"  {row['row']} is now version {row['version']}: {row['value']}")
         return
     print(f"accepted as version {report['version']}, edit id {report['edit_id']}")
     for entry in report.get("entries", []):
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -37,9 +37,9 @@
 
     def send_known(self, session: peer_server.PeerSession) -> None:
         """Send all known records to an entry that has just connected."""
-        known = self._pack(self._registry.get_ids())
-        if known:
-            session.send(messages.Contents(items=known))
+        items = self._pack(self._registry.get_ids())
+        if items:
+            session.send(messages.Contents(items=items))
 
     def handle_contents(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
         """Merge the records of an entry and relay those that changed."""
--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -172,10 +172,10 @@
         return packed
 
     def _make_evacuated_halls(self, table: CommittedTable) -> route_messages.EvacuatedHalls:
-        known = self._get_evacuations()
+        state = self._get_evacuations()
         return route_messages.EvacuatedHalls(
-            revision=known.revision,
-            halls=sorted(known.evacuated_halls),
+            revision=state.revision,
+            halls=sorted(state.evacuated_halls),
             is_confirmed=table.is_confirmed,
         )
 
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -142,9 +142,9 @@
         seeds = [messages.make_member_id(seed, FIRST_START_MARK) for seed in self._config.keepers]
         mark = FIRST_START_MARK if self._config.is_first_start else secrets.token_hex(MARK_BYTES)
         self.member_id = saved.member_id or messages.make_member_id(address, mark)
-        founders = seeds if self.member_id in seeds and self._config.is_first_start else []
+        initial_members = seeds if self.member_id in seeds and self._config.is_first_start else []
         log = replicated_log.ReplicatedLog(
-            replicated_log.Snapshot(0, 0, founders, len(founders), b"")
+            replicated_log.Snapshot(0, 0, initial_members, len(initial_members), b"")
         )
         for record in saved.records:
             log.restore(record)
@@ -162,6 +162,7 @@
         return log
 
     def _wake_from_thread(self, number: int) -> None:
+        """Wake the event loop; called from the storage's writer thread."""
         self._synced_number = number
         try:
             self._wake_write.send(b"\0")
@@ -215,6 +216,7 @@
         logger.info("join request received", extra={"fields": fields})
 
     def _apply_effects(self) -> None:
+        """Write the records and send the messages that the consensus has produced."""
         while True:
             effects = self._consensus.take_effects()
             if not effects.records and not effects.envelopes:
@@ -228,6 +230,7 @@
         self._report_changes()
 
     def _send_ready(self) -> None:
+        """Send the messages whose record is synced; keep the others."""
         if not self._unsent:
             return
         envelopes, self._unsent = self._unsent, []
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -29,7 +29,7 @@
 AnswerCallback = Callable[[bool], None]
 
 
-class _Order:
+class _TableOrder:
     """A table that waits to be committed.
 
     :ivar deadline_s: monotonic time at which the order fails, in seconds.
@@ -104,7 +104,7 @@
         self._member = own_member
         self._answer_s = config.answer_ms / 1000
         self._numbers = itertools.count(1)
-        self._orders: list[_Order] = []
+        self._table_orders: list[_TableOrder] = []
         self._hall_orders: list[_HallOrder] = []
         self._reads: list[_Read] = []
         timers.call_every(CHECK_INTERVAL_S, self._check)
@@ -112,15 +112,15 @@
     @property
     def open_count(self) -> int:
         """Number of orders and reads without an answer."""
-        return len(self._orders) + len(self._hall_orders) + len(self._reads)
+        return len(self._table_orders) + len(self._hall_orders) + len(self._reads)
 
     def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
         :param answer: called with whether this or a higher version is committed.
         """
-        order = _Order(version, document, answer, clocks.get_s() + self._answer_s)
-        self._orders.append(order)
+        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_s)
+        self._table_orders.append(order)
         self._check()
 
     def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
@@ -134,8 +134,8 @@
             base_revision=self._member.state.evacuations.get_revision(hall),
             order_id=secrets.token_hex(ORDER_ID_BYTES),
         )
-        item = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_TIMEOUT_S)
-        self._hall_orders.append(item)
+        pending = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_TIMEOUT_S)
+        self._hall_orders.append(pending)
         self._check()
 
     def confirm_read(self, answer: AnswerCallback) -> None:
@@ -189,26 +189,26 @@
 
     def _check(self) -> None:
         now_s = clocks.get_s()
-        for order in list(self._orders):
-            self._check_order(order, now_s)
-        for item in list(self._hall_orders):
-            self._check_hall_order(item, now_s)
+        for order in list(self._table_orders):
+            self._check_table_order(order, now_s)
+        for pending in list(self._hall_orders):
+            self._check_hall_order(pending, now_s)
         for read in list(self._reads):
             self._check_read(read, now_s)
 
-    def _check_order(self, order: _Order, now_s: float) -> None:
-        if order not in self._orders:
+    def _check_table_order(self, order: _TableOrder, now_s: float) -> None:
+        if order not in self._table_orders:
             return
         if self._member.register.version >= order.version:
-            self._orders.remove(order)
+            self._table_orders.remove(order)
             order.answer(True)
         elif now_s >= order.deadline_s:
-            self._orders.remove(order)
+            self._table_orders.remove(order)
             order.answer(False)
         elif now_s - order.sent_s >= RETRY_INTERVAL_S:
-            self._propose(order, now_s)
+            self._propose_table_order(order, now_s)
 
-    def _propose(self, order: _Order, now_s: float) -> None:
+    def _propose_table_order(self, order: _TableOrder, now_s: float) -> None:
         if self._member.is_leader:
             order.sent_s = now_s
             self._member.propose(order.version, order.document)
@@ -217,25 +217,25 @@
             if self._peers.send(self._member.leader_address, message):
                 order.sent_s = now_s
 
-    def _check_hall_order(self, item: _HallOrder, now_s: float) -> None:
-        if item not in self._hall_orders:
+    def _check_hall_order(self, pending: _HallOrder, now_s: float) -> None:
+        if pending not in self._hall_orders:
             return
-        outcome = self._member.state.get_outcome(item.order.order_id)
-        if outcome is not None or now_s >= item.deadline_s:
-            self._hall_orders.remove(item)
-            item.answer(bool(outcome))
-        elif now_s - item.sent_s >= RETRY_INTERVAL_S:
-            self._propose_hall_order(item, now_s)
-
-    def _propose_hall_order(self, item: _HallOrder, now_s: float) -> None:
-        data = evacuations.pack_order(item.order)
+        outcome = self._member.state.get_outcome(pending.order.order_id)
+        if outcome is not None or now_s >= pending.deadline_s:
+            self._hall_orders.remove(pending)
+            pending.answer(bool(outcome))
+        elif now_s - pending.sent_s >= RETRY_INTERVAL_S:
+            self._propose_hall_order(pending, now_s)
+
+    def _propose_hall_order(self, pending: _HallOrder, now_s: float) -> None:
+        data = evacuations.pack_order(pending.order)
         if self._member.is_leader:
-            item.sent_s = now_s
+            pending.sent_s = now_s
             self._member.propose_hall_order(data)
         elif self._member.leader_address:
             message = route_messages.ForwardHallOrder(order=data)
             if self._peers.send(self._member.leader_address, message):
-                item.sent_s = now_s
+                pending.sent_s = now_s
 
     def _check_read(self, read: _Read, now_s: float) -> None:
         if read not in self._reads:
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -171,6 +171,7 @@
             self._on_synced(number)
 
     def _write_with_retries(self, rewrite: bytes | None, data: bytes) -> None:
+        """Write and sync data, retrying until the disk accepts it."""
         while True:
             try:
                 if rewrite is not None:
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -104,8 +104,8 @@
         If its address belonged to a previous member, the leader still sends to that address and so
         becomes known.
         """
-        known = {*self.members, self.leader} - {"", self.member_id}
-        return {messages.get_address(member) for member in known}
+        others = {*self.members, self.leader} - {"", self.member_id}
+        return {messages.get_address(member) for member in others}
 
     def take_effects(self) -> consensus_types.Effects:
         """Return and clear the effects that have accumulated since the last call."""
@@ -229,8 +229,8 @@
         )
 
     def _is_log_current(self, request: messages.VoteRequest) -> bool:
-        theirs = (request.last_term, request.last_index)
-        return theirs >= (self._log.last_term, self._log.last_index)
+        candidate_last = (request.last_term, request.last_index)
+        return candidate_last >= (self._log.last_term, self._log.last_index)
 
     def _has_live_leader(self, now_s: float) -> bool:
         # A member that lost only its own connection to the leader must not depose a leader that a
@@ -387,6 +387,7 @@
             self._send(self.leader, forwarded)
 
     def _change_membership(self, now_s: float) -> None:
+        """Start the next membership change, unless the previous one is not committed yet."""
         is_settled = self._log.membership_index <= self.commit_index
         if not is_settled or self.commit_index < self._term_start_index:
             return
@@ -401,6 +402,7 @@
     # Following
 
     def _accept_leader(self, term: int, leader: str, now_s: float) -> bool:
+        """Follow the sender of a leader's message; return False if its term is outdated."""
         if term < self.term:
             return False
         if term > self.term or self.leader != leader:
--- a/src/spoolhead/coordination/joining.py
+++ b/src/spoolhead/coordination/joining.py
@@ -51,6 +51,7 @@
     def _admit(
         self, newcomer: str, membership: logs.Membership, lost: str | None
     ) -> logs.Membership:
+        """Return the membership that admits a newcomer, or that first removes the lost member."""
         members = set(membership.members)
         target_size = membership.target_size
         address = messages.get_address(newcomer)
--- a/src/spoolhead/coordination/versioned_table.py
+++ b/src/spoolhead/coordination/versioned_table.py
@@ -132,9 +132,9 @@
 
     def pack(self) -> list[object]:
         """Return the change as a plain list for serialization."""
-        item = self.proposal
-        edits = [edit.pack() for edit in item.edits]
-        return [self.version, item.edit_id, item.author, item.time_ms, edits]
+        proposal = self.proposal
+        edits = [edit.pack() for edit in proposal.edits]
+        return [self.version, proposal.edit_id, proposal.author, proposal.time_ms, edits]
 
     @classmethod
     def unpack(cls, packed: Sequence[object]) -> "Change":
@@ -222,9 +222,9 @@
         :param proposal: the edit.
         :returns: the change to make durable and apply, or the refusal.
         """
-        known = self._accepted.get(proposal.edit_id)
-        if known is not None:
-            return self._prepare_resend(known, proposal)
+        first_change = self._accepted.get(proposal.edit_id)
+        if first_change is not None:
+            return self._prepare_resend(first_change, proposal)
         conflicts = self._get_conflicts(proposal)
         if conflicts:
             return expression.Error(Refusal(RefusalKind.CONFLICT, conflicts=conflicts))
@@ -256,14 +256,16 @@
         return list(self._accepted.values())
 
     @staticmethod
-    def _prepare_resend(known: Change, proposal: Proposal) -> expression.Result[Prepared, Refusal]:
+    def _prepare_resend(
+        first_change: Change, proposal: Proposal
+    ) -> expression.Result[Prepared, Refusal]:
         # A repeated command reads the rows again, so its expected versions may differ. The edit is
         # the same if the resulting rows are the same.
         sent = [(edit.key, edit.value) for edit in proposal.edits]
-        accepted = [(edit.key, edit.value) for edit in known.proposal.edits]
+        accepted = [(edit.key, edit.value) for edit in first_change.proposal.edits]
         if sent != accepted:
             return expression.Error(Refusal(RefusalKind.EDIT_ID_REUSED))
-        return expression.Ok(Prepared(known, is_resend=True))
+        return expression.Ok(Prepared(first_change, is_resend=True))
 
     def _get_conflicts(self, proposal: Proposal) -> dict[RowKey, VersionedRow | None]:
         conflicts = {}
