--- a/src/spoolhead/_internal/keeper/records.py
+++ b/src/spoolhead/_internal/keeper/records.py
@@ -51,7 +51,7 @@
     """
     elements = msgpack.unpackb(payload)
     if not isinstance(elements, list) or not elements:
-        raise ValueError("not a record")
+        raise ValueError("a record must be a list that begins with its kind")
     return [RecordKind(elements[0]), *elements[1:]]
 
 
--- a/src/spoolhead/_internal/quorum/__init__.py
+++ b/src/spoolhead/_internal/quorum/__init__.py
@@ -1,1 +1,1 @@
-"""Keepers that agree on the route table."""
+"""Keepers that replicate the route table by consensus."""
--- a/src/spoolhead/coordination/versioned_table.py
+++ b/src/spoolhead/coordination/versioned_table.py
@@ -93,7 +93,7 @@
         sheet, name, expected, value = packed
         shape_ok = isinstance(sheet, str) and isinstance(name, str) and isinstance(expected, int)
         if not shape_ok or not (value is None or isinstance(value, dict)):
-            raise ValueError("not a row edit")
+            raise ValueError("a row edit must be [sheet, name, expected version, value]")
         return cls(RowKey(sheet, name), expected, value)
 
 
@@ -145,7 +145,7 @@
         version, edit_id, author, time_ms, edits = packed
         shape_ok = isinstance(version, int) and isinstance(time_ms, int)
         if not shape_ok or not isinstance(edit_id, str) or not isinstance(edits, list):
-            raise ValueError("not a change")
+            raise ValueError("a change must be [version, edit id, author, time, edits]")
         proposal = Proposal(
             edit_id=edit_id,
             author=str(author),
@@ -240,7 +240,7 @@
         :raises ValueError: if the change's version is not the next one.
         """
         if change.version != self.version + 1:
-            raise ValueError(f"change {change.version} does not follow {self.version}")
+            raise ValueError(f"change {change.version} does not follow version {self.version}")
         for edit in change.proposal.edits:
             if edit.value is None:
                 self.rows.pop(edit.key, None)
--- a/tests/unit/test_consensus.py
+++ b/tests/unit/test_consensus.py
@@ -37,16 +37,16 @@
     group.propose(next(node for node in group.up() if node.consensus.is_leader))
     group.settle(1.0)
     assert all(node.consensus.has_caught_up for node in group.up())
-    alone, *others = group.up()
-    for node in (alone, *others):
+    first, *others = group.up()
+    for node in (first, *others):
         node.crash()
-    alone.start()
+    first.start()
     group.settle(4.0)
-    assert not alone.consensus.has_caught_up
+    assert not first.consensus.has_caught_up
     others[0].start()
     group.settle(4.0)
-    assert alone.consensus.has_caught_up
-    assert alone.machine.changes == [b"change-1"]
+    assert first.consensus.has_caught_up
+    assert first.machine.changes == [b"change-1"]
 
 
 def test_a_change_is_applied_everywhere():
@@ -202,7 +202,7 @@
 def test_once_a_wiped_member_is_back_another_loss_stops_nothing(seed):
     group = consensus_group.Group(seed)
     group.settle(2.0)
-    wiped, kept, lost = group.rng.sample(sorted(group.nodes), 3)
+    wiped, remaining, lost = group.rng.sample(sorted(group.nodes), 3)
     group.wipe(wiped)
     returned = group.nodes[wiped]
     for _ in range(40):
@@ -214,7 +214,7 @@
     leader = next(node for node in group.up() if node.consensus.is_leader)
     group.propose(leader)
     group.settle(1.0)
-    assert group.nodes[kept].machine.changes == returned.machine.changes == [b"change-1"]
+    assert group.nodes[remaining].machine.changes == returned.machine.changes == [b"change-1"]
 
 
 def test_a_member_cut_off_for_long_stays_a_member():
--- a/tests/unit/test_evacuations.py
+++ b/tests/unit/test_evacuations.py
@@ -29,19 +29,19 @@
 
 def test_an_order_overtaken_by_its_withdrawal_comes_to_nothing():
     state = evacuations.Evacuations()
-    late = _make_order(state, "a", True, "first")
+    delayed_order = _make_order(state, "a", True, "first")
     assert state.carry_out(_make_order(state, "a", True, "again"))
     assert state.carry_out(_make_order(state, "a", False))
-    assert not state.carry_out(late)
+    assert not state.carry_out(delayed_order)
     assert state.evacuated_halls == frozenset()
 
 
 def test_a_withdrawal_of_nothing_still_overtakes_the_order():
     """An operator gives an order up and withdraws it to be sure; the order arrives after that."""
     state = evacuations.Evacuations()
-    late = _make_order(state, "a", True)
+    delayed_order = _make_order(state, "a", True)
     assert state.carry_out(_make_order(state, "a", False))
-    assert not state.carry_out(late)
+    assert not state.carry_out(delayed_order)
     assert not state.is_evacuated("a")
 
 
@@ -66,12 +66,12 @@
     state = evacuations.Evacuations()
     sent = []
     wanted = {}
-    for number, (hall, is_evacuated, old) in enumerate(steps):
+    for number, (hall, is_evacuated, earlier) in enumerate(steps):
         order = _make_order(state, hall, is_evacuated, f"o-{number}")
         sent.append(order)
         assert state.carry_out(order)
         wanted[hall] = is_evacuated
-        state.carry_out(sent[old % len(sent)])
+        state.carry_out(sent[earlier % len(sent)])
         assert {name: state.is_evacuated(name) for name in wanted} == wanted
 
 
--- a/tests/unit/test_keeper_feed.py
+++ b/tests/unit/test_keeper_feed.py
@@ -90,9 +90,9 @@
     first, second = keeper.join("e1"), keeper.join("e2")
     keeper.feed.send_table(first, 0)
     keeper.feed.send_table(second, 0)
-    (one,) = first.get(route_messages.RouteTableDocument)
-    (other,) = second.get(route_messages.RouteTableDocument)
-    assert one is other
+    (first_document,) = first.get(route_messages.RouteTableDocument)
+    (second_document,) = second.get(route_messages.RouteTableDocument)
+    assert first_document is second_document
     keeper.table = feed.CommittedTable(4, b"four", is_confirmed=True)
     keeper.feed.send_table(first, 0)
     assert first.get(route_messages.RouteTableDocument)[-1].version == 4
@@ -129,7 +129,7 @@
     """After any sequence of lists, the follower's list equals the keeper's."""
     session = keeper.join("e")
     rng = random.Random(4)
-    held = {}
+    list_at_follower = {}
     for _ in range(200):
         names = rng.sample(range(30), rng.randrange(30))
         listed = [
@@ -138,9 +138,9 @@
         keeper.feed.broadcast_instances(rng.randrange(1, 3), listed)
         sent = session.get(route_messages.InstanceList)[-1]
         for name in sent.gone:
-            del held[name]
-        held.update({item[0]: item for item in sent.changed})
-        assert set(instances.unpack(list(held.values()))) == set(listed)
+            del list_at_follower[name]
+        list_at_follower.update({item[0]: item for item in sent.changed})
+        assert set(instances.unpack(list(list_at_follower.values()))) == set(listed)
 
 
 def test_one_that_has_the_table_before_gets_the_difference(keeper):
--- a/tests/unit/test_peer_streams.py
+++ b/tests/unit/test_peer_streams.py
@@ -23,7 +23,7 @@
 
 class _User:
     def __init__(self):
-        self.taken = []
+        self.received = []
         self.lost = 0
 
     def on_peer_ready(self):
@@ -32,13 +32,13 @@
     def on_peer_message(self, message):
         if isinstance(message, messages.Current) and message.version == 13:
             raise RuntimeError("cannot be handled")
-        self.taken.append(message)
+        self.received.append(message)
 
     def on_peer_lost(self):
         self.lost += 1
 
 
-def _begin(client, links):
+def _connect(client, links):
     link = links.opened[-1]
     challenge = messages.Challenge(protocol=messages.PROTOCOL_VERSION, nonce=b"n" * 16)
     client.on_data(messages.encode(challenge))
@@ -59,15 +59,15 @@
 def test_a_message_that_cannot_be_handled_ends_the_stream(setting):
     """Later messages build on the lost one; a new stream starts with the complete state."""
     client, links, user = setting
-    link = _begin(client, links)
+    link = _connect(client, links)
     data = b"".join(messages.encode(messages.Current(version=version)) for version in (12, 13, 14))
     with pytest.raises(RuntimeError):
         client.on_data(data)
     assert link.is_closed
     assert (user.lost, client.is_ready) == (1, False)
-    assert [message.version for message in user.taken] == [12]
-    (again,) = client._scheduler.timers
-    assert again.delay_s >= peer_client.DEFAULT_TIMING.longest_retry_ms / 2_000
+    assert [message.version for message in user.received] == [12]
+    (reconnection,) = client._scheduler.timers
+    assert reconnection.delay_s >= peer_client.DEFAULT_TIMING.longest_retry_ms / 2_000
 
 
 class _Service:
--- a/tests/unit/test_quorum_storage.py
+++ b/tests/unit/test_quorum_storage.py
@@ -20,7 +20,7 @@
 ]
 
 
-class _Synced:
+class _SyncWaiter:
     def __init__(self):
         self.number = 0
         self._condition = threading.Condition()
@@ -36,7 +36,7 @@
 
 
 def test_what_was_synced_is_read_back(tmp_path):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", RECORDS[:1], synced)
     disk.write(RECORDS[1:])
     synced.wait_for(2)
@@ -51,7 +51,7 @@
 
 
 def test_the_file_is_written_anew_and_stands_for_all_before(tmp_path):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", RECORDS, synced)
     disk.rewrite(RECORDS[:1])
     disk.write(RECORDS[2:])
@@ -60,7 +60,7 @@
 
 
 def test_a_full_disk_is_tried_until_it_takes_the_write(tmp_path, monkeypatch):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", [], synced)
     refusals = [1, 1]
     write = os.pwrite
@@ -86,10 +86,10 @@
     unsynced = [storage._pack(replicated_log.Appended(i, 3, 1, b"late" * 9)) for i in (3, 4, 5)]
     rest = b""
     for record in unsynced:
-        kept = data.draw(strategies.sampled_from(["present", "absent", "torn"]))
-        if kept == "torn":
+        outcome = data.draw(strategies.sampled_from(["present", "absent", "torn"]))
+        if outcome == "torn":
             record = record[: len(record) // 2] + b"\0" * (len(record) - len(record) // 2)
-        elif kept == "absent":
+        elif outcome == "absent":
             record = b"\0" * len(record)
         rest += record
     (folder / storage.FILE_NAME).write_bytes(synced + rest)
@@ -116,7 +116,7 @@
 
 def test_a_start_waits_for_a_disk_that_is_full_for_a_while(tmp_path, monkeypatch):
     """A keeper that exits instead stays down until somebody starts it again."""
-    storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+    storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
     replace_file = storage.files.replace_file
     refusals = [None, None]
 
@@ -128,7 +128,7 @@
 
     monkeypatch.setattr(storage.files, "replace_file", _replace)
     monkeypatch.setattr(disk_refusals, "RETRY_S", 0.01)
-    storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+    storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
     assert storage.read(tmp_path).records == RECORDS
 
 
@@ -140,4 +140,4 @@
     monkeypatch.setattr(storage, "START_TIMEOUT_S", 0.05)
     monkeypatch.setattr(disk_refusals, "RETRY_S", 0.01)
     with pytest.raises(exceptions.DiskError):
-        storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+        storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
--- a/tests/unit/test_table_register.py
+++ b/tests/unit/test_table_register.py
@@ -13,12 +13,12 @@
 @hypothesis.given(TABLES)
 def test_the_highest_version_holds_and_the_first_of_its_number(tables):
     register = table_register.TableRegister()
-    held = (0, b"")
+    expected = (0, b"")
     for version, document in tables:
         register.apply(table_register.pack_change(version, document))
-        if version > held[0]:
-            held = (version, document)
-        assert (register.version, register.document) == held
+        if version > expected[0]:
+            expected = (version, document)
+        assert (register.version, register.document) == expected
 
 
 @hypothesis.given(TABLES)
