--- a/src/spoolhead/_internal/keeper/log_file.py
+++ b/src/spoolhead/_internal/keeper/log_file.py
@@ -30,14 +30,16 @@
             data = self._path.read_bytes()
         except OSError as error:
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
-        found = changelog.scan(data)
-        if found.damage is not None:
-            raise exceptions.LogDamagedError(str(self._path), found.good_bytes, found.damage)
-        self.payloads = found.payloads
-        self._length = found.good_bytes
-        if found.torn:
-            cut = len(data) - found.good_bytes
-            logger.warning("%s: truncated %d bytes of a torn last write", self._path, cut)
+        scan_result = changelog.scan(data)
+        if scan_result.damage is not None:
+            raise exceptions.LogDamagedError(
+                str(self._path), scan_result.good_bytes, scan_result.damage
+            )
+        self.payloads = scan_result.payloads
+        self._length = scan_result.good_bytes
+        if scan_result.torn:
+            cut_bytes = len(data) - scan_result.good_bytes
+            logger.warning("%s: truncated %d bytes of a torn last write", self._path, cut_bytes)
         self._truncate()
         files.sync_folder(folder)
 
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -116,8 +116,8 @@
         if follower is None or follower.session is not session:
             raise messages.MessageError("an entry must follow on its current stream")
         follower.is_following = True
-        missed = self._state.get_changes_after(message.log_id, message.version)
-        if missed is None:
+        missed_changes = self._state.get_changes_after(message.log_id, message.version)
+        if missed_changes is None:
             session.send(
                 messages.Snapshot(
                     log_id=self._state.log_id,
@@ -126,7 +126,7 @@
                 )
             )
             return
-        for change in missed:
+        for change in missed_changes:
             session.send_encoded(self._encode_change(change))
         session.send(messages.Current(version=self.version))
 
@@ -201,13 +201,15 @@
         self._state.once.drop_expired(time_ms)
         claim = self._state.once.claims.get(message.key)
         owner_is_gone = claim is not None and self._is_owner_gone(claim.owner)
-        found = self._state.once.get_state(
+        claim_state = self._state.once.get_state(
             message.key, message.fingerprint, owner_is_gone=owner_is_gone
         )
-        state_name = found.value
-        if found is once_journal.ClaimState.GRANTED:
+        state_name = claim_state.value
+        if claim_state is once_journal.ClaimState.GRANTED:
             state_name = self._grant(session.name, message, time_ms)
-        outcome = claim.outcome if found is once_journal.ClaimState.FINISHED and claim else None
+        outcome = (
+            claim.outcome if claim_state is once_journal.ClaimState.FINISHED and claim else None
+        )
         session.send(
             messages.ClaimAnswer(
                 request=message.request,
--- a/src/spoolhead/_internal/keeper/state.py
+++ b/src/spoolhead/_internal/keeper/state.py
@@ -72,7 +72,7 @@
         """
         if log_id != self.log_id or version > self.table.version:
             return None
-        missed = self.table.version - version
-        if missed > len(self._recent):
+        missed_count = self.table.version - version
+        if missed_count > len(self._recent):
             return None
-        return list(self._recent)[len(self._recent) - missed :]
+        return list(self._recent)[len(self._recent) - missed_count :]
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -138,8 +138,8 @@
         self._saved_contents.record()
 
     def _get_other_hubs(self) -> list[endpoints.Endpoint]:
-        own = f"{self._config.host}:{self._config.peer_port}"
-        others = [address for address in self._member.member_addresses if address != own]
+        own_address = f"{self._config.host}:{self._config.peer_port}"
+        others = [address for address in self._member.member_addresses if address != own_address]
         return [endpoints.split(address) for address in others]
 
     def on_opened(self, session: peer_server.PeerSession) -> None:
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -65,12 +65,12 @@
         data = path.read_bytes() if path.exists() else b""
     except OSError as error:
         raise exceptions.DiskError(f"{path}: {error.strerror}") from error
-    found = changelog.scan(data)
-    if found.good_bytes < len(data):
-        cut = len(data) - found.good_bytes
-        fields = {"path": str(path), "bytes": cut, "reason": found.damage or "torn"}
+    scan_result = changelog.scan(data)
+    if scan_result.good_bytes < len(data):
+        cut_bytes = len(data) - scan_result.good_bytes
+        fields = {"path": str(path), "bytes": cut_bytes, "reason": scan_result.damage or "torn"}
         logger.warning("unsynced end of the log ignored", extra={"fields": fields})
-    for payload in found.payloads:
+    for payload in scan_result.payloads:
         tag, *values = msgpack.unpackb(payload)
         if tag == _IDENTITY:
             saved.member_id = values[0]
--- a/src/spoolhead/coordination/replicated_log.py
+++ b/src/spoolhead/coordination/replicated_log.py
@@ -221,11 +221,11 @@
             membership.target_size,
             state,
         )
-        drop = applied_index - KEPT_APPLIED_ENTRIES - self._first_index + 1
-        if drop > 0:
-            self._term_before_first = self._entries[drop - 1].term
-            del self._entries[:drop]
-            self._first_index += drop
+        drop_count = applied_index - KEPT_APPLIED_ENTRIES - self._first_index + 1
+        if drop_count > 0:
+            self._term_before_first = self._entries[drop_count - 1].term
+            del self._entries[:drop_count]
+            self._first_index += drop_count
 
     def get_records(self) -> Sequence[Record]:
         """Return the records that restore the log in its present state."""
