--- a/src/spoolhead/_internal/cli/start.py
+++ b/src/spoolhead/_internal/cli/start.py
@@ -1,4 +1,4 @@
-"""What the daemons' entry points share: arguments, settings, logging, exit codes."""
+"""Start-up shared by the daemons: arguments, settings, logging and exit codes."""
 
 import sys
 from collections.abc import Callable
@@ -16,12 +16,14 @@
 _SettingsT = TypeVar("_SettingsT", settings.EntrySettings, settings.KeeperSettings)
 
 
-def start(kind: type[_SettingsT], run: Callable[[_SettingsT], None], summary: str) -> None:
+def start(
+    settings_class: type[_SettingsT], run: Callable[[_SettingsT], None], summary: str
+) -> None:
     """Run a daemon with the settings file named on its command line.
 
-    :param kind: settings class of the program.
-    :param run: the program; returns when it has stopped.
-    :param summary: what the program is, for ``--help``.
+    :param settings_class: settings class of the program.
+    :param run: runs the program; returns when it has stopped.
+    :param summary: description of the program for ``--help``.
     """
 
     def _command(
@@ -31,7 +33,7 @@
         check: Annotated[bool, typer.Option(help="Check the settings and exit.")] = False,
     ) -> None:
         try:
-            config = settings.read_settings(kind, settings_file)
+            config = settings.read_settings(settings_class, settings_file)
             if check:
                 return
             logs.set_up(config.log)
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -1,4 +1,4 @@
-"""What several commands share: reading the table from a keeper and sending it an edit."""
+"""Functions shared by commands: reading the table from a keeper and sending it an edit."""
 
 import getpass
 import secrets
@@ -13,17 +13,18 @@
 from spoolhead._internal.utils import clocks
 from spoolhead.coordination import versioned_table
 
-SEND_ATTEMPTS = 3
-POLL_S = 0.1
+MAX_SEND_ATTEMPTS = 3
+POLL_INTERVAL_S = 0.1
 
 
 class EditOptions:
-    """How an edit is sent.
+    """Options for sending an edit.
 
-    :ivar author: who makes it; empty for the user's name.
-    :ivar edit_id: id of an edit that is sent again; empty for a new edit.
-    :ivar wait_ms: longest wait for it to be in force everywhere; 0 for none.
-    :ivar as_json: print JSON.
+    :ivar author: author of the edit; the user's name by default.
+    :ivar edit_id: id of the edit; a resend gives the id of the first attempt, a new edit gets a
+        random one.
+    :ivar wait_ms: longest wait until the edit is in force at all entries; 0 for no wait.
+    :ivar as_json: whether to print JSON.
     """
 
     __slots__ = ("as_json", "author", "edit_id", "wait_ms")
@@ -36,13 +37,13 @@
 
 
 def get_table(config: settings.OperatorSettings) -> messages.TableAnswer:
-    """Read the table from the first keeper that answers."""
+    """Return the table from the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetTable(request=1), messages.TableAnswer)
 
 
 def get_keeper_status(config: settings.OperatorSettings) -> dict:
-    """Read the status of the first keeper that answers."""
+    """Return the status of the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
         return call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
 
@@ -52,7 +53,7 @@
     edits: Sequence[versioned_table.RowEdit],
     options: EditOptions,
 ) -> exit_codes.ExitCode:
-    """Send an edit, print what became of it and, if asked to, wait until it is in force."""
+    """Send an edit, print its result and, if requested, wait until it is in force."""
     answer = _propose(config, edits, options)
     code = messages.get_code(answer.code)
     report: dict[str, object] = {
@@ -68,7 +69,7 @@
     }
     result = exit_codes.get_exit_code(code)
     if code is codes.ResultCode.OK and options.wait_ms:
-        report["entries"] = _wait_in_force(config, answer.version, options.wait_ms)
+        report["entries"] = _wait_until_in_force(config, answer.version, options.wait_ms)
         if not all(entry["is_in_force"] for entry in report["entries"]):
             result = exit_codes.ExitCode.NOT_IN_FORCE
     _print_report(report, code, as_json=options.as_json)
@@ -87,22 +88,22 @@
         time_ms=time.time_ns() // 1_000_000,
         edits=[edit.pack() for edit in edits],
     )
-    # The edit id makes a resend harmless, so a lost answer is simply asked for again.
-    for left in range(SEND_ATTEMPTS - 1, -1, -1):
+    # The edit id makes resends idempotent, so the edit is sent again if the answer is lost.
+    for attempts_left in range(MAX_SEND_ATTEMPTS - 1, -1, -1):
         try:
             with peer_call.open_to_any(config.keepers, config) as call:
                 return call.ask(message, messages.ProposeAnswer)
         except exceptions.PeerError as error:
             if error.code is not codes.ResultCode.PEER_UNREACHABLE:
                 raise
-            if not left:
+            if not attempts_left:
                 text = f"{error}; send it again with --edit-id {options.edit_id}"
                 raise exceptions.PeerError(codes.ResultCode.EDIT_OUTCOME_UNKNOWN, text) from error
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
     raise AssertionError("unreachable")
 
 
-def _wait_in_force(
+def _wait_until_in_force(
     config: settings.OperatorSettings, version: int, wait_ms: int
 ) -> list[dict[str, object]]:
     deadline_s = clocks.get_s() + wait_ms / 1000
@@ -115,7 +116,7 @@
             return entries
         if clocks.get_s() >= deadline_s:
             return entries
-        time.sleep(POLL_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
 def _print_report(report: dict[str, object], code: codes.ResultCode, *, as_json: bool) -> None:
@@ -126,10 +127,10 @@
         output.print_error(
             f"refused, nothing changed: {codes.CODE_INFO[code].meaning} [{int(code)}]"
         )
-        for item in report["faults"]:
-            output.print_error(f"  {item['path']}: {item['text']}")
-        for item in report["conflicts"]:
-            output.print_error(f"  {item['row']} is now version {item['version']}: {item['value']}")
+        for fault in report["faults"]:
+            output.print_error(f"  {fault['path']}: {fault['text']}")
+        for row in report["conflicts"]:
+            output.print_error(f"  {row['row']} is now version {row['version']}: {row['value']}")
         return
     print(f"accepted as version {report['version']}, edit id {report['edit_id']}")
     for entry in report.get("entries", []):
--- a/src/spoolhead/_internal/commands/losses.py
+++ b/src/spoolhead/_internal/commands/losses.py
@@ -1,20 +1,19 @@
-"""``spoolhead losses``: what became of requests and why some were lost, from saved log lines."""
+"""``spoolhead losses``: counts outcomes of requests and causes of losses in saved log lines."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.commands import explain_logs
 from spoolhead._internal.utils import log_losses
 
-BAR_CHARACTERS = 40
-"""Width of the longest bar."""
+MAX_BAR_CHARACTERS = 40
 
 
 def run(paths: list[str], *, as_json: bool) -> exit_codes.ExitCode:
-    """Print how many requests of each route ended how, as bars.
+    """Print for each route how many requests had which outcome, as a bar chart.
 
-    :param paths: files, one a process or merged; ``-`` for standard input.
+    :param paths: files, one per process or merged; ``-`` for standard input.
     """
     try:
-        counts = log_losses.count(explain_logs.read(paths))
+        counts = log_losses.count(explain_logs.read_lines(paths))
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
@@ -23,7 +22,9 @@
         output.print_json([_as_dict(route, cause, count) for (route, cause), count in ordered])
         return exit_codes.ExitCode.OK
     for route in sorted({route for route, _ in counts}):
-        _print_route(route, {cause: n for (name, cause), n in ordered if name == route})
+        _print_route(
+            route, {cause: route_count for (name, cause), route_count in ordered if name == route}
+        )
     return exit_codes.ExitCode.OK
 
 
@@ -31,9 +32,9 @@
     total = sum(count.requests for count in counts.values())
     print(f"{route or '(no route)'}: {total} requests")
     for cause, count in counts.items():
-        bar = "#" * max(1, round(BAR_CHARACTERS * count.requests / total))
-        part = 100 * count.requests / total
-        print(f"  {count.requests:6d} {part:5.1f}%  {cause.value:38s} {bar}")
+        bar = "#" * max(1, round(MAX_BAR_CHARACTERS * count.requests / total))
+        percent = 100 * count.requests / total
+        print(f"  {count.requests:6d} {percent:5.1f}%  {cause.value:38s} {bar}")
         if cause is not log_losses.Cause.IN_TIME:
             print(f"          {count.events} events passed on; {' '.join(count.examples)}")
 
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -1,4 +1,4 @@
-"""Operators' orders and reads on their way to the leading keeper and back."""
+"""Operators' orders and reads that wait for the leading keeper."""
 
 import itertools
 import logging
@@ -12,73 +12,84 @@
 
 logger = logging.getLogger(__name__)
 
-CHECK_S = 0.02
-"""Pause between looks at open questions; a round between halls takes a few milliseconds."""
+CHECK_INTERVAL_S = 0.02
+"""Interval between checks of pending operations; a round trip between halls takes a few
+milliseconds."""
 RETRY_INTERVAL_S = 0.3
-"""Pause before a question is put to the leader again: a few times the longest round."""
+"""Time after which an operation is sent to the leader again: a few times the longest round trip."""
 
 ORDER_ID_BYTES = 8
-"""Random bytes in an order's id; two of them are alike once in 10^19 pairs."""
-HALL_ORDER_S = 0.9
-"""Longest time for which an order on a hall is put to leaders: below the second after which an
-operator turns to another keeper, so that what operators have given up does not come to hold later.
-A calm group answers within some 10 ms, an election takes half a second to a second."""
+"""Random bytes in an order id; two ids collide once in 10^19 pairs."""
+HALL_ORDER_TIMEOUT_S = 0.9
+"""Time for which an order on a hall is sent to leaders. It is below the second after which an
+operator turns to another keeper, so that an order that the operator has given up does not take
+effect later. A stable group answers within about 10 ms; an election takes half a second to a
+second."""
 
-Answer = Callable[[bool], None]
+AnswerCallback = Callable[[bool], None]
 
 
-class _Order:
-    """A table that waits to be committed."""
+class _TableOrder:
+    """A table that waits to be committed.
 
-    __slots__ = ("answer", "asked_s", "document", "until_s", "version")
+    :ivar deadline_s: monotonic time at which the order fails, in seconds.
+    :ivar sent_s: monotonic time at which it was last proposed or sent to the leader.
+    """
+
+    __slots__ = ("answer", "sent_s", "document", "deadline_s", "version")
 
-    def __init__(self, version: int, document: bytes, answer: Answer, until_s: float) -> None:
+    def __init__(
+        self, version: int, document: bytes, answer: AnswerCallback, deadline_s: float
+    ) -> None:
         self.version = version
         self.document = document
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
 
 
 class _HallOrder:
-    """An order on a hall that waits to be carried out."""
+    """An order on a hall that waits to be committed."""
 
-    __slots__ = ("answer", "asked_s", "order", "until_s")
+    __slots__ = ("answer", "sent_s", "order", "deadline_s")
 
-    def __init__(self, order: evacuations.HallOrder, answer: Answer, until_s: float) -> None:
+    def __init__(
+        self, order: evacuations.HallOrder, answer: AnswerCallback, deadline_s: float
+    ) -> None:
         self.order = order
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
 
 
 class _Read:
-    """A read that waits for the confirmation of the newest version.
+    """A read that waits until this keeper is known to hold the newest version.
 
-    :ivar round_number: broadcast to be answered where this keeper leads; None before it began.
-    :ivar version: version confirmed by the leader; None before its answer.
+    :ivar round_number: if this keeper is the leader, number of the broadcast that must be answered;
+        None before it started.
+    :ivar version: version that the leader has confirmed; None before its reply.
     """
 
-    __slots__ = ("answer", "asked_s", "request", "round_number", "until_s", "version")
+    __slots__ = ("answer", "sent_s", "request", "round_number", "deadline_s", "version")
 
-    def __init__(self, request: int, answer: Answer, until_s: float) -> None:
+    def __init__(self, request: int, answer: AnswerCallback, deadline_s: float) -> None:
         self.request = request
         self.answer = answer
-        self.until_s = until_s
-        self.asked_s = 0.0
+        self.deadline_s = deadline_s
+        self.sent_s = 0.0
         self.round_number: int | None = None
         self.version: int | None = None
 
 
 class PendingOperations:
-    """Open orders and reads of one keeper.
+    """Pending orders and reads of one keeper.
 
-    An order is done once a version as high as its own is committed here, whoever brought that
-    about, so it may be put to several leaders without harm.
+    An order is done once its own version or a higher one is committed here, whoever proposed it. It
+    can therefore be sent to several leaders without harm.
 
-    :param timers: calls back.
+    :param timers: scheduler for periodic checks.
     :param peers: streams to other keepers.
-    :param group: this keeper's part in the agreement.
+    :param own_member: this keeper's part in the consensus.
     :param config: the keeper's settings.
     """
 
@@ -86,49 +97,49 @@
         self,
         timers: scheduler.Scheduler,
         peers: mesh.Mesh,
-        group: member.Member,
+        own_member: member.Member,
         config: settings.QuorumKeeperSettings,
     ) -> None:
         self._peers = peers
-        self._group = group
+        self._member = own_member
         self._answer_s = config.answer_ms / 1000
         self._numbers = itertools.count(1)
-        self._orders: list[_Order] = []
+        self._table_orders: list[_TableOrder] = []
         self._hall_orders: list[_HallOrder] = []
         self._reads: list[_Read] = []
-        timers.call_every(CHECK_S, self._check)
+        timers.call_every(CHECK_INTERVAL_S, self._check)
 
     @property
     def open_count(self) -> int:
-        """Orders and reads without an answer."""
-        return len(self._orders) + len(self._hall_orders) + len(self._reads)
+        """Number of orders and reads without an answer."""
+        return len(self._table_orders) + len(self._hall_orders) + len(self._reads)
 
-    def put(self, version: int, document: bytes, answer: Answer) -> None:
+    def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
-        :param answer: called with whether it is, or a higher version.
+        :param answer: called with whether this or a higher version is committed.
         """
-        order = _Order(version, document, answer, clocks.get_s() + self._answer_s)
-        self._orders.append(order)
+        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_s)
+        self._table_orders.append(order)
         self._check()
 
-    def order(self, hall: str, is_evacuated: bool, answer: Answer) -> None:
-        """Have an order on a hall carried out.
+    def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
+        """Have an order on a hall committed.
 
-        :param answer: called with whether what it wants held once it was committed.
+        :param answer: called with whether the order had taken effect when it was committed.
         """
         order = evacuations.HallOrder(
             hall=hall,
             is_evacuated=is_evacuated,
-            base_revision=self._group.state.evacuations.get_revision(hall),
+            base_revision=self._member.state.evacuations.get_revision(hall),
             order_id=secrets.token_hex(ORDER_ID_BYTES),
         )
-        item = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_S)
-        self._hall_orders.append(item)
+        pending = _HallOrder(order, answer, clocks.get_s() + HALL_ORDER_TIMEOUT_S)
+        self._hall_orders.append(pending)
         self._check()
 
-    def confirm(self, answer: Answer) -> None:
-        """Make sure that this keeper holds the newest committed version.
+    def confirm_read(self, answer: AnswerCallback) -> None:
+        """Confirm that this keeper holds the newest committed version.
 
         :param answer: called with whether it does.
         """
@@ -137,40 +148,40 @@
         self._check()
 
     def on_change(self) -> None:
-        """Answer what waited for a version or an order that is now committed."""
+        """Answer the operations that waited for the state committed now."""
         self._check()
 
-    def answer_forwarded(
+    def handle_forwarded_table(
         self, session: peer_server.PeerSession, message: route_messages.ForwardTable
     ) -> None:
-        """Take a table that another keeper passed on."""
-        if self._group.is_leader and message.version > self._group.register.version:
-            self._group.propose(message.version, message.document)
+        """Propose a table that another keeper has forwarded."""
+        if self._member.is_leader and message.version > self._member.register.version:
+            self._member.propose(message.version, message.document)
 
-    def answer_forwarded_order(self, message: route_messages.ForwardHallOrder) -> None:
-        """Take an order on a hall that another keeper passed on."""
-        if self._group.is_leader:
-            self._group.propose_order(message.order)
+    def handle_forwarded_hall_order(self, message: route_messages.ForwardHallOrder) -> None:
+        """Propose an order on a hall that another keeper has forwarded."""
+        if self._member.is_leader:
+            self._member.propose_hall_order(message.order)
 
-    def answer_confirmation(
+    def handle_confirm_read(
         self, session: peer_server.PeerSession, message: route_messages.ConfirmRead
     ) -> None:
-        """Confirm the newest version to another keeper."""
+        """Confirm the newest version to another keeper, if this one is the leader."""
 
         def _answer(is_sure: bool) -> None:
             session.send(
                 route_messages.KeeperAnswer(
                     request=message.request,
                     is_sure=is_sure,
-                    version=self._group.register.version,
+                    version=self._member.register.version,
                 )
             )
 
-        if self._group.is_leader:
-            self.confirm(_answer)
+        if self._member.is_leader:
+            self.confirm_read(_answer)
 
     def handle_answer(self, message: route_messages.KeeperAnswer) -> None:
-        """Take the leader's confirmation of a read."""
+        """Handle the leader's confirmation of a read."""
         for read in self._reads:
             if read.request == message.request and message.is_sure:
                 read.version = message.version
@@ -178,53 +189,53 @@
 
     def _check(self) -> None:
         now_s = clocks.get_s()
-        for order in list(self._orders):
-            self._check_order(order, now_s)
-        for item in list(self._hall_orders):
-            self._check_hall_order(item, now_s)
+        for order in list(self._table_orders):
+            self._check_table_order(order, now_s)
+        for pending in list(self._hall_orders):
+            self._check_hall_order(pending, now_s)
         for read in list(self._reads):
             self._check_read(read, now_s)
 
-    def _check_order(self, order: _Order, now_s: float) -> None:
-        if order not in self._orders:
+    def _check_table_order(self, order: _TableOrder, now_s: float) -> None:
+        if order not in self._table_orders:
             return
-        if self._group.register.version >= order.version:
-            self._orders.remove(order)
+        if self._member.register.version >= order.version:
+            self._table_orders.remove(order)
             order.answer(True)
-        elif now_s >= order.until_s:
-            self._orders.remove(order)
+        elif now_s >= order.deadline_s:
+            self._table_orders.remove(order)
             order.answer(False)
-        elif now_s - order.asked_s >= RETRY_INTERVAL_S:
-            self._propose(order, now_s)
-
-    def _propose(self, order: _Order, now_s: float) -> None:
-        if self._group.is_leader:
-            order.asked_s = now_s
-            self._group.propose(order.version, order.document)
-        elif self._group.leader_address:
+        elif now_s - order.sent_s >= RETRY_INTERVAL_S:
+            self._propose_table_order(order, now_s)
+
+    def _propose_table_order(self, order: _TableOrder, now_s: float) -> None:
+        if self._member.is_leader:
+            order.sent_s = now_s
+            self._member.propose(order.version, order.document)
+        elif self._member.leader_address:
             message = route_messages.ForwardTable(version=order.version, document=order.document)
-            if self._peers.send(self._group.leader_address, message):
-                order.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                order.sent_s = now_s
 
-    def _check_hall_order(self, item: _HallOrder, now_s: float) -> None:
-        if item not in self._hall_orders:
+    def _check_hall_order(self, pending: _HallOrder, now_s: float) -> None:
+        if pending not in self._hall_orders:
             return
-        outcome = self._group.state.get_outcome(item.order.order_id)
-        if outcome is not None or now_s >= item.until_s:
-            self._hall_orders.remove(item)
-            item.answer(bool(outcome))
-        elif now_s - item.asked_s >= RETRY_INTERVAL_S:
-            self._propose_hall_order(item, now_s)
-
-    def _propose_hall_order(self, item: _HallOrder, now_s: float) -> None:
-        data = evacuations.pack_order(item.order)
-        if self._group.is_leader:
-            item.asked_s = now_s
-            self._group.propose_order(data)
-        elif self._group.leader_address:
+        outcome = self._member.state.get_outcome(pending.order.order_id)
+        if outcome is not None or now_s >= pending.deadline_s:
+            self._hall_orders.remove(pending)
+            pending.answer(bool(outcome))
+        elif now_s - pending.sent_s >= RETRY_INTERVAL_S:
+            self._propose_hall_order(pending, now_s)
+
+    def _propose_hall_order(self, pending: _HallOrder, now_s: float) -> None:
+        data = evacuations.pack_order(pending.order)
+        if self._member.is_leader:
+            pending.sent_s = now_s
+            self._member.propose_hall_order(data)
+        elif self._member.leader_address:
             message = route_messages.ForwardHallOrder(order=data)
-            if self._peers.send(self._group.leader_address, message):
-                item.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                pending.sent_s = now_s
 
     def _check_read(self, read: _Read, now_s: float) -> None:
         if read not in self._reads:
@@ -232,23 +243,23 @@
         if self._is_confirmed(read):
             self._reads.remove(read)
             read.answer(True)
-        elif now_s >= read.until_s:
+        elif now_s >= read.deadline_s:
             self._reads.remove(read)
             read.answer(False)
-        elif now_s - read.asked_s >= RETRY_INTERVAL_S:
-            self._ask(read, now_s)
+        elif now_s - read.sent_s >= RETRY_INTERVAL_S:
+            self._request_confirmation(read, now_s)
 
     def _is_confirmed(self, read: _Read) -> bool:
         if read.version is not None:
-            return self._group.register.version >= read.version
-        return read.round_number is not None and self._group.is_confirmed(read.round_number)
-
-    def _ask(self, read: _Read, now_s: float) -> None:
-        if self._group.is_leader:
-            read.round_number = self._group.begin_read()
-            read.asked_s = now_s
-        elif self._group.leader_address:
+            return self._member.register.version >= read.version
+        return read.round_number is not None and self._member.is_confirmed(read.round_number)
+
+    def _request_confirmation(self, read: _Read, now_s: float) -> None:
+        if self._member.is_leader:
+            read.round_number = self._member.begin_read()
+            read.sent_s = now_s
+        elif self._member.leader_address:
             read.round_number = None
             message = route_messages.ConfirmRead(request=read.request)
-            if self._peers.send(self._group.leader_address, message):
-                read.asked_s = now_s
+            if self._peers.send(self._member.leader_address, message):
+                read.sent_s = now_s
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -1,13 +1,13 @@
-"""Agreement on one log among a few members, without I/O and without a clock of its own.
+"""Raft consensus on one log among a few members; performs no I/O, the current time is passed in.
 
-This follows the Raft algorithm (Ongaro and Ousterhout, 2014): a leader elected for a term,
-entries committed by a majority after they are on disk, trial votes so that a member that was
-cut off does not disturb the others, reads confirmed by a round of heartbeats, and membership
-changed by one member at a time.
+The algorithm is Raft (Ongaro and Ousterhout, 2014): a leader is elected for a term, and entries are
+committed once a majority has them on disk. Three extensions from the Raft literature are used:
+pre-votes (trial votes), so that a member that was cut off does not disrupt the others; linearizable
+reads, confirmed by a round of heartbeats; and membership changes of one member at a time.
 
-The owner feeds messages, times and the progress of its disk, and carries out the effects
-(:class:`~spoolhead.coordination.consensus_types.Effects`): records to write and messages to send.
-A message that promises something about the disk names the record that must be synced first.
+The owner passes in messages, the time and the progress of its disk, and carries out the effects
+(:class:`~spoolhead.coordination.consensus_types.Effects`): records to write and messages to send. A
+message that depends on durable state names the record that must be synced before it is sent.
 """
 
 import random
@@ -25,23 +25,24 @@
 from spoolhead.coordination import replicated_log as logs
 
 FIRST_ELECTION_PART = 0.4
-"""Part of the usual wait after which a member that has just started stands: long enough for the
-others to have started too and for a heartbeat of a leader that there may be."""
+"""Fraction of an election timeout after which a member that has just started becomes a candidate:
+long enough for the other members to start and for a heartbeat of an existing leader to arrive."""
 
 
 class Consensus:
     """One member of the group.
 
-    :param member_id: this member's id.
-    :param log: its log, as read from the disk.
-    :param machine: gets the committed changes.
-    :param timing: times.
-    :param rng: source of random numbers.
+    :param member_id: id of this member.
+    :param log: the member's log, as read from its disk.
+    :param machine: state machine to which committed changes are applied.
+    :param timing: timeouts and intervals.
+    :param rng: random number generator.
     :param now_s: monotonic time in seconds.
-    :ivar leader: id of the leader as far as known; empty for none.
+    :ivar leader: id of the leader, if known; else empty.
     :ivar commit_index: index up to which entries are known to be committed and are applied.
-    :ivar has_caught_up: a leader has told this member since its start what is committed, and it
-        is applied here. Before, the state is that of the last snapshot on its disk, however old.
+    :ivar has_caught_up: whether this member, since its start, has learned from a leader up to which
+        index entries are committed, and has applied them. Before that, the state is that of the
+        last snapshot on its disk, which may be arbitrarily old.
     """
 
     def __init__(
@@ -62,17 +63,17 @@
         self._timing = timing
         self._rng = rng
         self._effects = consensus_types.Effects()
-        self._disk = sync_progress.SyncProgress(log.last_index)
+        self._sync_progress = sync_progress.SyncProgress(log.last_index)
         self._ballot = ballot.Ballot()
         self._peers = peer_progress.PeerProgress()
         self._newcomers = joining.Newcomers(timing.newcomer_ms)
         self._round_number = 0
         self._term_start_index = 0
         self._next_broadcast_s = now_s
-        self._heard_leader_s = now_s
-        # A member that starts has no leader to wait for. If there is one, the others refuse the
-        # trial vote.
-        self._elect_s = now_s + self._draw_election_s() * FIRST_ELECTION_PART
+        self._leader_heard_s = now_s
+        # After a start no leader is known, so there is none to wait for. If there is one, the
+        # others refuse the trial vote.
+        self._election_due_s = now_s + self._draw_election_timeout_s() * FIRST_ELECTION_PART
         if log.snapshot.state:
             machine.load(log.snapshot.state)
 
@@ -83,12 +84,12 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads, as far as it knows."""
+        """Whether this member is the leader, as far as it knows."""
         return self.leader == self.member_id
 
     @property
     def members(self) -> Sequence[str]:
-        """Ids of the members by the latest entry on them."""
+        """Ids of the members by the latest membership entry."""
         return self._log.membership.members
 
     @property
@@ -97,30 +98,32 @@
         return self.member_id in self._log.membership.members
 
     def get_known_addresses(self) -> set[str]:
-        """Return where other members may be found: those of the log and the leader that is heard.
+        """Return the addresses of the other members in the log and of the known leader.
 
-        The log of a newcomer names nobody, and its settings may name none that is left; where its
-        address had a former life, the leader still sends to it.
+        A new member's log lists no members, and all members in its settings may have been replaced.
+        If its address belonged to a previous member, the leader still sends to that address and so
+        becomes known.
         """
-        known = {*self.members, self.leader} - {"", self.member_id}
-        return {messages.get_address(member) for member in known}
+        others = {*self.members, self.leader} - {"", self.member_id}
+        return {messages.get_address(member) for member in others}
 
     def take_effects(self) -> consensus_types.Effects:
-        """Return what is to be done since the last call."""
+        """Return and clear the effects that have accumulated since the last call."""
         effects, self._effects = self._effects, consensus_types.Effects()
         return effects
 
     def tick(self, now_s: float) -> None:
-        """Look at the clock; to be called a few times in each heartbeat interval."""
+        """Check timeouts; must be called several times per heartbeat interval."""
         if self.is_leader:
             self._tick_leader(now_s)
-        elif now_s >= self._elect_s and self.is_member:
-            self._begin_election(now_s, is_trial=True)
+        elif now_s >= self._election_due_s and self.is_member:
+            self._start_election(now_s, is_trial=True)
 
     def propose(self, data: bytes, now_s: float) -> bool:
-        """Append a change if this member leads.
+        """Append a change if this member is the leader.
 
-        :returns: whether it was appended. It holds once it is applied, not before.
+        :returns: whether the change was appended. It counts as committed only once it has been
+            applied to the state machine.
         """
         if not self.is_leader:
             return False
@@ -129,9 +132,10 @@
         return True
 
     def begin_read(self, now_s: float) -> int | None:
-        """Begin to confirm that this member still leads.
+        """Start a broadcast that confirms that this member is still the leader.
 
-        :returns: number of a broadcast for :meth:`is_confirmed`, or None if it cannot lead.
+        :returns: number of the broadcast, for :meth:`is_confirmed`; None if this member is not the
+            leader or has not yet committed an entry of its term.
         """
         if not self.is_leader or self.commit_index < self._term_start_index:
             return None
@@ -139,49 +143,49 @@
         return self._round_number
 
     def is_confirmed(self, round_number: int) -> bool:
-        """Tell whether a majority has answered a broadcast or a later one."""
+        """Return whether a majority has answered the given broadcast or a later one."""
         if not self.is_leader or self.commit_index < self._term_start_index:
             return False
         acked = self._peers.count_acked(self._get_others(), round_number)
         return acked + self.is_member >= self._log.membership.quorum_size
 
     def note_synced(self, record_number: int, now_s: float) -> None:
-        """Take note that records up to a number are on the disk."""
-        self._disk.note_synced(record_number)
+        """Record that all records up to the given number are on disk."""
+        self._sync_progress.note_synced(record_number)
         if self.is_leader:
             self._advance_commit(now_s)
         elif self._ballot.is_open:
             self._count_votes(now_s)
 
     def receive(self, message: messages.Message, now_s: float) -> None:
-        """Take a message of another process."""
+        """Handle a message from another process."""
         match message:
             case messages.VoteRequest():
-                self._take_vote_request(message, now_s)
+                self._handle_vote_request(message, now_s)
             case messages.VoteReply():
-                self._take_vote_reply(message, now_s)
+                self._handle_vote_reply(message, now_s)
             case messages.AppendRequest():
-                self._take_append(message, now_s)
+                self._handle_append_request(message, now_s)
             case messages.AppendReply():
-                self._take_append_reply(message, now_s)
+                self._handle_append_reply(message, now_s)
             case messages.SnapshotOffer():
-                self._take_snapshot(message, now_s)
+                self._handle_snapshot_offer(message, now_s)
             case messages.JoinRequest():
-                self._take_join(message, now_s)
+                self._handle_join_request(message, now_s)
 
     # Elections
 
-    def _draw_election_s(self) -> float:
+    def _draw_election_timeout_s(self) -> float:
         return self._timing.election_ms * self._rng.uniform(1.0, 2.0) / 1000
 
-    def _begin_election(self, now_s: float, *, is_trial: bool) -> None:
+    def _start_election(self, now_s: float, *, is_trial: bool) -> None:
         self.leader = ""
         self._ballot.begin(self.member_id, is_trial=is_trial)
-        self._elect_s = now_s + self._draw_election_s()
+        self._election_due_s = now_s + self._draw_election_timeout_s()
         term = self.term + 1
         if not is_trial:
             self._write(self._log.set_vote(term, self.member_id))
-            self._ballot.record_number = self._disk.written
+            self._ballot.record_number = self._sync_progress.written
         request = messages.VoteRequest(
             term=term,
             candidate=self.member_id,
@@ -190,21 +194,21 @@
             is_trial=is_trial,
         )
         for member in self._get_others():
-            self._send(member, request, after_record=0 if is_trial else self._disk.written)
+            self._send(member, request, after_record=0 if is_trial else self._sync_progress.written)
         self._count_votes(now_s)
 
-    def _take_vote_request(self, request: messages.VoteRequest, now_s: float) -> None:
+    def _handle_vote_request(self, request: messages.VoteRequest, now_s: float) -> None:
         if request.is_trial:
             granted = (
                 request.term > self.term
                 and self._is_log_current(request)
-                and not self._hears_leader(now_s)
+                and not self._has_live_leader(now_s)
             )
             term = request.term if granted else self.term
             self._send(request.candidate, self._make_vote_reply(term, granted, True))
             return
         if request.term > self.term:
-            if self._hears_leader(now_s):
+            if self._has_live_leader(now_s):
                 return
             self._step_down(request.term, now_s)
         granted = (
@@ -215,9 +219,9 @@
         if granted and not self._log.vote.voted_for:
             self._write(self._log.set_vote(self.term, request.candidate))
         if granted:
-            self._elect_s = now_s + self._draw_election_s()
+            self._election_due_s = now_s + self._draw_election_timeout_s()
         reply = self._make_vote_reply(self.term, granted, False)
-        self._send(request.candidate, reply, after_record=self._disk.written)
+        self._send(request.candidate, reply, after_record=self._sync_progress.written)
 
     def _make_vote_reply(self, term: int, granted: bool, is_trial: bool) -> messages.VoteReply:
         return messages.VoteReply(
@@ -225,25 +229,25 @@
         )
 
     def _is_log_current(self, request: messages.VoteRequest) -> bool:
-        theirs = (request.last_term, request.last_index)
-        return theirs >= (self._log.last_term, self._log.last_index)
+        candidate_last = (request.last_term, request.last_index)
+        return candidate_last >= (self._log.last_term, self._log.last_index)
 
-    def _hears_leader(self, now_s: float) -> bool:
-        # A leader that a majority still answers must not be unseated by a member that only
-        # lost its own path to it.
+    def _has_live_leader(self, now_s: float) -> bool:
+        # A member that lost only its own connection to the leader must not depose a leader that a
+        # majority still answers.
         if self.is_leader:
             return True
-        silence_s = now_s - self._heard_leader_s
+        silence_s = now_s - self._leader_heard_s
         return bool(self.leader) and silence_s < self._timing.election_ms / 1000
 
-    def _take_vote_reply(self, reply: messages.VoteReply, now_s: float) -> None:
+    def _handle_vote_reply(self, reply: messages.VoteReply, now_s: float) -> None:
         if reply.term > self.term and not (reply.is_trial and reply.granted):
             self._step_down(reply.term, now_s)
             return
-        wanted_term = self.term + 1 if reply.is_trial else self.term
+        expected_term = self.term + 1 if reply.is_trial else self.term
         if not self._ballot.is_open or reply.is_trial is not self._ballot.is_trial:
             return
-        if reply.granted and reply.term == wanted_term:
+        if reply.granted and reply.term == expected_term:
             self._ballot.add(reply.voter)
             self._count_votes(now_s)
 
@@ -252,11 +256,11 @@
         if not self._ballot.is_open or votes < self._log.membership.quorum_size:
             return
         if self._ballot.is_trial:
-            self._begin_election(now_s, is_trial=False)
-        elif self._disk.synced >= self._ballot.record_number:
-            self._begin_leading(now_s)
+            self._start_election(now_s, is_trial=False)
+        elif self._sync_progress.synced >= self._ballot.record_number:
+            self._become_leader(now_s)
 
-    def _begin_leading(self, now_s: float) -> None:
+    def _become_leader(self, now_s: float) -> None:
         self.leader = self.member_id
         self._ballot.close()
         self._newcomers.clear()
@@ -270,7 +274,7 @@
             self._write(self._log.set_vote(term, ""))
         self.leader = ""
         self._ballot.close()
-        self._elect_s = now_s + self._draw_election_s()
+        self._election_due_s = now_s + self._draw_election_timeout_s()
 
     # Leading
 
@@ -280,7 +284,7 @@
         if answering + self.is_member < self._log.membership.quorum_size:
             self._step_down(self.term, now_s)
             return
-        self._consider_membership(now_s)
+        self._change_membership(now_s)
         if now_s >= self._next_broadcast_s:
             self._broadcast(now_s)
 
@@ -307,7 +311,8 @@
         if request is None:
             self._send_snapshot(member, peer)
             return
-        # What was sent is taken as received; a refusal of a later message sets this right.
+        # Assume that the entries arrive; if one is lost, the refusal of a later message resets the
+        # index.
         peer.next_index += len(request.entries)
         self._send(member, request)
 
@@ -316,7 +321,7 @@
         offer = log_transfer.make_offer(self._log, self.member_id, round_number=self._round_number)
         self._send(member, offer)
 
-    def _take_append_reply(self, reply: messages.AppendReply, now_s: float) -> None:
+    def _handle_append_reply(self, reply: messages.AppendReply, now_s: float) -> None:
         if reply.term > self.term:
             self._step_down(reply.term, now_s)
             return
@@ -335,23 +340,24 @@
     def _advance_commit(self, now_s: float) -> None:
         indexes = self._peers.get_match_indexes(self._get_others())
         if self.is_member:
-            indexes.append(self._disk.durable_index)
+            indexes.append(self._sync_progress.durable_index)
         indexes.sort(reverse=True)
         quorum_size = self._log.membership.quorum_size
         if len(indexes) < quorum_size:
             return
         index = indexes[quorum_size - 1]
-        # Entries of earlier terms are committed only together with one of this term.
+        # Entries of earlier terms are committed only together with an entry of the current term.
         if index > self.commit_index and self._log.get_term(index) == self.term:
             self._commit(index)
-            self._note_committed(index)
+            self._update_caught_up(index)
             self._broadcast(now_s)
 
-    def _note_committed(self, leader_index: int) -> None:
-        """Take note of the index up to which the present leader knows entries to be committed.
+    def _update_caught_up(self, leader_index: int) -> None:
+        """Set ``has_caught_up`` once this member has applied what the current leader has committed.
 
-        An entry of its own term among them shows that nothing acknowledged before is missing: a
-        new leader begins with what its own disk says, which may be as old as a member's.
+        An entry of the leader's own term must be among the applied ones. A new leader starts from
+        its own disk, which may be as old as a follower's; a committed entry of its term shows that
+        no acknowledged change is missing.
         """
         is_of_term = self._log.get_term(self.commit_index) == self.term
         if self.commit_index >= leader_index and is_of_term:
@@ -367,19 +373,21 @@
 
     # Membership
 
-    def _take_join(self, request: messages.JoinRequest, now_s: float) -> None:
+    def _handle_join_request(self, request: messages.JoinRequest, now_s: float) -> None:
         if self.is_leader:
             if request.member not in self.members:
                 self._newcomers.take(request, now_s)
         elif self.leader and not request.is_forwarded:
-            # A newcomer is told of a few members, and the leader need not be one of them. Left
-            # out, it is missed when others lose their disks, and the group with it.
+            # A newcomer knows only a few members, and the leader may not be among them. If the
+            # request did not reach the leader, the group would stay one member short, and further
+            # lost disks could cost it its majority.
             forwarded = messages.JoinRequest(
                 member=request.member, is_first_start=request.is_first_start, is_forwarded=True
             )
             self._send(self.leader, forwarded)
 
-    def _consider_membership(self, now_s: float) -> None:
+    def _change_membership(self, now_s: float) -> None:
+        """Start the next membership change, unless the previous one is not committed yet."""
         is_settled = self._log.membership_index <= self.commit_index
         if not is_settled or self.commit_index < self._term_start_index:
             return
@@ -394,16 +402,17 @@
     # Following
 
     def _accept_leader(self, term: int, leader: str, now_s: float) -> bool:
+        """Follow the sender of a leader's message; return False if its term is outdated."""
         if term < self.term:
             return False
         if term > self.term or self.leader != leader:
             self._step_down(term, now_s)
         self.leader = leader
-        self._heard_leader_s = now_s
-        self._elect_s = now_s + self._draw_election_s()
+        self._leader_heard_s = now_s
+        self._election_due_s = now_s + self._draw_election_timeout_s()
         return True
 
-    def _take_append(self, request: messages.AppendRequest, now_s: float) -> None:
+    def _handle_append_request(self, request: messages.AppendRequest, now_s: float) -> None:
         if not self._accept_leader(request.term, request.leader, now_s):
             self._reply(request.leader, False, self._log.last_index, request.round_number)
             return
@@ -419,14 +428,14 @@
             index += 1
             if index <= self.commit_index or self._log.get_term(index) == entry.term:
                 continue
-            self._disk.note_void(index)
+            self._sync_progress.note_void(index)
             self._write(self._log.append(entry, index))
         if request.commit_index > self.commit_index and index > self.commit_index:
             self._commit(min(index, request.commit_index))
-        self._note_committed(request.commit_index)
+        self._update_caught_up(request.commit_index)
         self._reply(request.leader, True, index, request.round_number)
 
-    def _take_snapshot(self, offer: messages.SnapshotOffer, now_s: float) -> None:
+    def _handle_snapshot_offer(self, offer: messages.SnapshotOffer, now_s: float) -> None:
         if not self._accept_leader(offer.term, offer.leader, now_s):
             self._reply(offer.leader, False, self._log.last_index, offer.round_number)
             return
@@ -434,7 +443,7 @@
             self._write(self._log.take_snapshot(log_transfer.read_snapshot(offer)))
             self._machine.load(offer.state)
             self.commit_index = offer.index
-        self._note_committed(offer.index)
+        self._update_caught_up(offer.index)
         self._reply(offer.leader, True, offer.index, offer.round_number)
 
     def _reply(self, leader: str, accepted: bool, match_index: int, round_number: int) -> None:
@@ -445,7 +454,7 @@
             match_index=match_index,
             round_number=round_number,
         )
-        self._send(leader, reply, after_record=self._disk.written)
+        self._send(leader, reply, after_record=self._sync_progress.written)
 
     # Output
 
@@ -454,7 +463,7 @@
 
     def _write(self, record: logs.Record) -> None:
         self._effects.records.append(record)
-        self._disk.note_written(self._log.last_index)
+        self._sync_progress.note_written(self._log.last_index)
 
     def _send(self, member: str, message: messages.Message, *, after_record: int = 0) -> None:
         address = messages.get_address(member)
