--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -8,23 +8,23 @@
 
 logger = logging.getLogger(__name__)
 
-KEPT_S = 0.5
+ALARM_RETENTION_S = 0.5
 """Time for which reports carry an alarm again, so that one lost datagram or a hub that is lost at
 the same time does not lose it."""
-STANDING_KEPT_S = 4.0
+STANDING_ALARM_RETENTION_S = 4.0
 """The same for an alarm that holds for a time, so that a short cut does not lose it either."""
 FAILURE_REPORT_INTERVAL_S = 0.3
 """Pause between two words about one instance that lost requests; a rest begins with 0.5 s."""
 MAX_REPORTED_FAILURES = 1_000
 """Instances for which that pause is kept."""
-TAKEN_KEPT_S = 10.0
+HANDLED_ALARM_TTL_S = 10.0
 """Time for which an alarm that was taken is passed over when it comes again: longer than reports
 and hubs together repeat it."""
 
-_ENDS = (shared_load.AlarmKind.ENDED, shared_load.AlarmKind.REPLACED)
+_TERMINATION_KINDS = (shared_load.AlarmKind.ENDED, shared_load.AlarmKind.REPLACED)
 
 
-class _Raised:
+class _RaisedAlarm:
     """An alarm of this entry, when it was raised and until when reports carry it."""
 
     __slots__ = ("_alarm", "_raised_s", "until_s")
@@ -32,9 +32,9 @@
     def __init__(self, alarm: shared_load.Alarm, raised_s: float) -> None:
         self._alarm = alarm
         self._raised_s = raised_s
-        self.until_s = raised_s + _get_kept_s(alarm)
+        self.until_s = raised_s + _get_retention_s(alarm)
 
-    def make_remaining(self, now_s: float) -> shared_load.Alarm:
+    def make_current(self, now_s: float) -> shared_load.Alarm:
         """Return the alarm with the time for which it still holds."""
         alarm = self._alarm
         if not alarm.for_ms:
@@ -49,11 +49,15 @@
         )
 
 
-def _get_kept_s(alarm: shared_load.Alarm) -> float:
+def _get_retention_s(alarm: shared_load.Alarm) -> float:
     """Return for how long reports carry an alarm, no longer than it holds."""
     if alarm.kind not in standing_alarms.KEPT_KINDS:
-        return KEPT_S
-    return min(STANDING_KEPT_S, alarm.for_ms / 1000) if alarm.for_ms else STANDING_KEPT_S
+        return ALARM_RETENTION_S
+    return (
+        min(STANDING_ALARM_RETENTION_S, alarm.for_ms / 1000)
+        if alarm.for_ms
+        else STANDING_ALARM_RETENTION_S
+    )
 
 
 class AlarmExchange:
@@ -81,10 +85,10 @@
         self._registry = registry
         self._on_alarm = on_alarm
         self._on_ended = on_ended
-        self._raised: list[_Raised] = []
+        self._raised: list[_RaisedAlarm] = []
         self._reported_failure_s: dict[str, float] = {}
         self._unlisted = standing_alarms.StandingAlarms()
-        self._taken_s: dict[tuple[str, int], float] = {}
+        self._handled_s: dict[tuple[str, int], float] = {}
 
     def raise_alarm(
         self, incarnation_id: str, kind: shared_load.AlarmKind, now_s: float, *, for_ms: int = 0
@@ -94,7 +98,7 @@
         alarm = shared_load.Alarm(
             incarnation_id, kind, reporter=self._name, sequence=self._sequence, for_ms=for_ms
         )
-        self._raised.append(_Raised(alarm, now_s))
+        self._raised.append(_RaisedAlarm(alarm, now_s))
 
     def is_failure_due(self, incarnation_id: str, now_s: float) -> bool:
         """Tell whether an instance that lost a request should be told of again."""
@@ -108,23 +112,23 @@
     def get_raised(self, now_s: float) -> list[shared_load.Alarm]:
         """Return the alarms that a report made now should carry."""
         self._raised = [item for item in self._raised if now_s <= item.until_s]
-        return [item.make_remaining(now_s) for item in self._raised]
+        return [item.make_current(now_s) for item in self._raised]
 
     def handle_alarms(self, alarms: Iterable[shared_load.Alarm], now_s: float) -> None:
         """Take what other entries found, each alarm once however often it is sent."""
         for alarm in alarms:
             name = (alarm.reporter, alarm.sequence)
-            if self._is_own(alarm) or name in self._taken_s:
+            if self._is_from_this_run(alarm) or name in self._handled_s:
                 continue
-            self._taken_s[name] = now_s
+            self._handled_s[name] = now_s
             self._handle_new(alarm, now_s)
 
-    def handle_listed(self, now_s: float) -> None:
+    def handle_list_change(self, now_s: float) -> None:
         """Take what was found of instances before they were listed here."""
-        self._taken_s = {
+        self._handled_s = {
             name: taken_s
-            for name, taken_s in self._taken_s.items()
-            if now_s - taken_s <= TAKEN_KEPT_S
+            for name, taken_s in self._handled_s.items()
+            if now_s - taken_s <= HANDLED_ALARM_TTL_S
         }
         for alarm in self._unlisted.get_all(now_s):
             if self._registry.get(alarm.incarnation_id) is not None:
@@ -132,7 +136,7 @@
                 self._handle_new(alarm, now_s)
 
     def _handle_new(self, alarm: shared_load.Alarm, now_s: float) -> None:
-        if alarm.kind in _ENDS:
+        if alarm.kind in _TERMINATION_KINDS:
             self._on_ended(alarm.incarnation_id, f"told by {alarm.reporter}")
         if alarm.kind is shared_load.AlarmKind.ENDED:
             return
@@ -142,7 +146,7 @@
         elif not upstream.is_leaving:
             self._apply_alarm(alarm, upstream, now_s)
 
-    def _is_own(self, alarm: shared_load.Alarm) -> bool:
+    def _is_from_this_run(self, alarm: shared_load.Alarm) -> bool:
         """Tell whether this run of the entry raised an alarm; a former run may have."""
         return alarm.reporter == self._name and alarm.sequence > self._first_sequence
 
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -22,7 +22,7 @@
 connections and of the shortest rest of an upstream."""
 
 
-PERMIT_WAIT_PART = 1 / 6
+PERMIT_WAIT_FRACTION = 1 / 6
 """Part of its time for which a request waits for a permit where all instances are limited, and no
 longer than its route's objective: after that its caller may as well come back."""
 
@@ -57,13 +57,13 @@
         self._deadline_s = self._arrived_s + wait_ms / 1000
         self._timer = context.timers.call_later(wait_ms / 1000, self._on_deadline)
         self._tried: set[str] = set()
-        self._misdirected = 0
+        self._misdirected_count = 0
         self._ran = codes.Ran.NO
         self._attempt: attempts.Attempt | None = None
-        self._runs_apart = False
+        self._prefers_least_shared = False
         self._is_trial = False
         self._is_awaiting_permit = False
-        self._permitted = ""
+        self._permitted_id = ""
         caller.on_gone = self._on_caller_gone
 
     @property
@@ -75,7 +75,7 @@
         """Tell whether the route's objective has passed since the request came."""
         return (clocks.get_s() - self._arrived_s) * 1000 > self.job.route.objective_ms
 
-    def get_fields(self) -> dict[str, object]:
+    def get_log_fields(self) -> dict[str, object]:
         """Return the fields that each log line of the request has."""
         return {
             "request": self.job.head.request_id,
@@ -93,12 +93,12 @@
             case quarantine.Verdict.REFUSE:
                 self.reject_held()
             case quarantine.Verdict.CLAIM:
-                logger.info("trial of a held request", extra={"fields": self.get_fields()})
+                logger.info("trial of a held request", extra={"fields": self.get_log_fields()})
                 self._is_trial = True
                 self._context.contents.claim_trial(content_id)
                 self._context.timers.call_later(quarantine.CLAIM_S, self._run_claimed_trial)
             case verdict:
-                self._runs_apart = verdict is quarantine.Verdict.RUN_APART
+                self._prefers_least_shared = verdict is quarantine.Verdict.RUN_APART
                 self.start()
 
     def reject_held(self) -> None:
@@ -122,7 +122,7 @@
             now_s=now_s,
             gate=context.gate,
             request_priority=self.job.request_priority,
-            permitted=self._permitted,
+            permitted=self._permitted_id,
             rng=context.rng,
         )
         choice = upstream_choice.choose(
@@ -132,10 +132,12 @@
             excluded=self._tried,
             view=view,
         )
-        if self._runs_apart:
+        if self._prefers_least_shared:
             # What may end its instance should take few others with it.
             choice = choice.prefer_least_shared()
-        return choice.prefer(lambda upstream: upstream.instance.incarnation_id == self._permitted)
+        return choice.prefer(
+            lambda upstream: upstream.instance.incarnation_id == self._permitted_id
+        )
 
     def request_permit_if_limited(self, choice: upstream_choice.Choice) -> bool:
         """Ask for a permit if the chosen instance is limited.
@@ -143,7 +145,7 @@
         :returns: whether the request has to wait; :meth:`on_permit` is called with the reply.
         """
         upstream = choice.upstream
-        if upstream is None or upstream.instance.incarnation_id == self._permitted:
+        if upstream is None or upstream.instance.incarnation_id == self._permitted_id:
             return False
         if not self._context.gate.is_limited(upstream):
             return False
@@ -154,7 +156,7 @@
             wait_ms=self._get_permit_wait_ms(choice),
             is_final=len(choice.candidates) == 1,
         )
-        fields = {**self.get_fields(), "upstream": upstream.instance.incarnation_id}
+        fields = {**self.get_log_fields(), "upstream": upstream.instance.incarnation_id}
         fields["wait_ms"] = request.wait_ms
         logger.info("waits for a permit", extra={"fields": fields})
         self._context.permits.request_permit(
@@ -170,32 +172,32 @@
         """Return how long the request may wait for a permit: not where others may take it."""
         if not all(self._context.gate.is_limited(item.upstream) for item in choice.candidates):
             return 0
-        longest_ms = min(self._wait_ms * PERMIT_WAIT_PART, self.job.route.objective_ms)
+        longest_ms = min(self._wait_ms * PERMIT_WAIT_FRACTION, self.job.route.objective_ms)
         waits_until_s = self._arrived_s + longest_ms / 1000
         return max(0, int((waits_until_s - clocks.get_s()) * 1000))
 
     def _handle_permit(self, upstream: upstream_registry.Upstream, is_granted: bool) -> None:
         self._is_awaiting_permit = False
-        fields = {**self.get_fields(), "upstream": upstream.instance.incarnation_id}
+        fields = {**self.get_log_fields(), "upstream": upstream.instance.incarnation_id}
         fields["is_granted"] = is_granted
         fields["is_over"] = self.is_over
         logger.info("permit decided", extra={"fields": fields})
         if self.is_over:
             return
-        self._permitted = upstream.instance.incarnation_id if is_granted else ""
+        self._permitted_id = upstream.instance.incarnation_id if is_granted else ""
         self.on_permit()
 
     def log_choice(self, action: str, choice: upstream_choice.Choice) -> None:
         """Log where the request goes and what it was chosen from."""
         chosen = choice.upstream.instance.incarnation_id if choice.upstream is not None else ""
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": chosen,
             "candidates": [
                 [item.upstream.instance.incarnation_id, round(item.cost, 2)]
                 for item in choice.candidates[:4]
             ],
-            "news_age_ms": self._context.get_news_age_ms(),
+            "news_age_ms": self._context.get_load_age_ms(),
             "remaining_ms": self.remaining_ms,
         }
         if choice.blocked:
@@ -216,7 +218,7 @@
         )
         self._context.metrics.attempts.labels(self.job.route.kind.value).inc()
         upstream.record_sent(clocks.get_s())
-        self._permitted = ""
+        self._permitted_id = ""
         return self._context.calls.open(
             upstream.instance.address,
             data,
@@ -250,7 +252,7 @@
             retry_after_ms=retry_after_ms,
         )
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "code": int(code),
             "reason": text,
             "status": status,
@@ -362,7 +364,7 @@
             attempt.call.cancel()
             attempt.on_call_lost("the upstream has started again")
 
-    def drop_attempt(self) -> None:
+    def cancel_attempt(self) -> None:
         """Cancel the present attempt and give back what it holds."""
         attempt, self._attempt = self._attempt, None
         if attempt is None:
@@ -392,11 +394,11 @@
             self._is_trial = False
             self.reject_held()
             return
-        self._runs_apart = True
+        self._prefers_least_shared = True
         self.start()
 
     def _on_caller_gone(self) -> None:
         if self.is_over:
             return
-        logger.info("caller left", extra={"fields": self.get_fields()})
+        logger.info("caller left", extra={"fields": self.get_log_fields()})
         self.end("left")
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -31,7 +31,7 @@
     :ivar on_answer: called with an instance, the head of its answer and when it came.
     :ivar on_replaced: called with an instance at whose address another one was found to answer.
     :ivar get_silent_halls: returns the halls from which nothing has been heard for a while.
-    :ivar get_news_age_ms: returns the age of what is known of other entries' work.
+    :ivar get_load_age_ms: returns the age of what is known of other entries' work.
     :ivar metrics: counters and histograms.
     :ivar queue: generations that wait for an engine with room.
     :ivar entry_count: entries that there are.
@@ -58,7 +58,7 @@
         "entry_count",
         "metrics",
         "gate",
-        "get_news_age_ms",
+        "get_load_age_ms",
         "get_silent_halls",
         "limits",
         "on_answer",
@@ -89,7 +89,7 @@
         permits: permit_exchange.PermitExchange,
         query_end: Callable[[upstream_registry.Upstream], None],
         get_silent_halls: Callable[[], frozenset[str]],
-        get_news_age_ms: Callable[[], int],
+        get_load_age_ms: Callable[[], int],
         metrics: entry_metrics.EntryMetrics,
     ) -> None:
         self.config = config
@@ -105,7 +105,7 @@
         self.contents = contents
         self.query_end = query_end
         self.get_silent_halls = get_silent_halls
-        self.get_news_age_ms = get_news_age_ms
+        self.get_load_age_ms = get_load_age_ms
         self.metrics = metrics
         self.queue = run_queue.RunQueue(timers, rng)
         self.entry_count = 1
--- a/src/spoolhead/_internal/gateway/followed_keeper.py
+++ b/src/spoolhead/_internal/gateway/followed_keeper.py
@@ -61,7 +61,7 @@
     :ivar client: the stream.
     :ivar version: newest version that it told.
     :ivar is_confirmed: what it told on the present stream, a leader has told it.
-    :ivar asked_s: monotonic time at which a table was asked for that has not come; 0 for none.
+    :ivar fetch_sent_s: monotonic time at which a table was asked for that has not come; 0 for none.
     :ivar evacuated: the halls that it told to be evacuated; None before it told any on this stream.
     :ivar listed: the instances that it lists, by id; None before a whole list on this stream.
     :ivar fleet: what it knows of the fleet; None before it told that on this stream.
@@ -69,11 +69,11 @@
 
     def __init__(self, follower: Follower, address: str) -> None:
         self._follower = follower
-        self._has_told = False
+        self._has_reported = False
         self.address = address
         self.version = 0
         self.is_confirmed = False
-        self.asked_s = 0.0
+        self.fetch_sent_s = 0.0
         self.evacuated: route_messages.EvacuatedHalls | None = None
         self.listed: dict[str, instances.Instance] | None = None
         self.fleet: KnownFleet | None = None
@@ -89,9 +89,9 @@
 
     def on_peer_lost(self) -> None:
         """Forget what holds for one stream only, and tell that it is over."""
-        self._has_told = False
+        self._has_reported = False
         self.is_confirmed = False
-        self.asked_s = 0.0
+        self.fetch_sent_s = 0.0
         self.evacuated = None
         self.listed = None
         self.fleet = None
@@ -102,7 +102,7 @@
 
         :param taken_version: the one that the entry has in force.
         """
-        if not self._has_told or self.is_confirmed is not message.is_confirmed:
+        if not self._has_reported or self.is_confirmed is not message.is_confirmed:
             fields = {
                 "address": self.address,
                 "version": message.version,
@@ -110,7 +110,7 @@
                 "taken_version": taken_version,
             }
             logger.info("keeper tells its version", extra={"fields": fields})
-        self._has_told = True
+        self._has_reported = True
         self.is_confirmed = message.is_confirmed
         self.version = message.version
 
@@ -120,7 +120,7 @@
             self.fleet = KnownFleet()
         self.fleet.take(message)
 
-    def take_list(
+    def apply_list(
         self,
         message: route_messages.InstanceList,
         known: Sequence[Mapping[str, instances.Instance]],
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -18,14 +18,14 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_S = 0.5
+ANSWER_TIMEOUT_S = 0.5
 """Longest wait for an answer: many times the usual few milliseconds."""
 
-SILENCES_TO_ALARM = 2
+MIN_SILENT_PROBES = 2
 """Questions in a row without any answer that raise an alarm. One comes from this entry itself
 standing still for half a second, or its link, and would have every engine emptied at once."""
 
-LIMITED_PAUSE_S = 1.0
+LIMITED_PROBE_INTERVAL_S = 1.0
 """Least pause between two questions to an instance that states a rate limit."""
 
 _OK = 200
@@ -76,7 +76,7 @@
 
     def on_call_lost(self, reason: str) -> None:
         if self.call is not None and self.call.is_reused:
-            self.owner.probe_again(self)
+            self.owner.retry_probe(self)
             return
         is_silent = reason == links.CONNECT_TIMEOUT
         self.owner.handle_probe_end(self, reason, is_silent=is_silent)
@@ -91,7 +91,7 @@
     :param dialect: how instances speak.
     :param registry: the instances.
     :param get_table: returns the table in force.
-    :param get_watchers: returns the entries that are alive.
+    :param get_entries: returns the entries that are alive.
     :param get_silent_halls: returns the halls that look cut off; nothing is asked there, since
         no answer would say nothing of an instance.
     :param on_alarm: called with an instance that was found bad, and how.
@@ -111,7 +111,7 @@
         registry: upstream_registry.UpstreamRegistry,
         *,
         get_table: Callable[[], matcher.Matcher | None],
-        get_watchers: Callable[[], Sequence[fleet.Process]],
+        get_entries: Callable[[], Sequence[fleet.Process]],
         get_silent_halls: Callable[[], frozenset[str]],
         on_alarm: Callable[[upstream_registry.Upstream, shared_load.AlarmKind], None],
         on_cold: Callable[[upstream_registry.Upstream, int], None],
@@ -124,7 +124,7 @@
         self.dialect = dialect
         self._registry = registry
         self._get_table = get_table
-        self._get_watchers = get_watchers
+        self._get_entries = get_entries
         self._duties = watch_duty.WatchDuties(config.name)
         self._get_silent_halls = get_silent_halls
         self._on_alarm = on_alarm
@@ -134,7 +134,7 @@
         self._is_limited = is_limited
         self._probed_s: dict[str, float] = {}
         self._probes: dict[str, _Probe] = {}
-        self._silences: dict[str, int] = {}
+        self._silent_probes: dict[str, int] = {}
         loop.scheduler.call_every(config.health_interval_ms / 1000, self._probe_all)
 
     def handle_probe_end(self, probe: _Probe, outcome: str, *, is_silent: bool = False) -> None:
@@ -144,7 +144,7 @@
         """
         incarnation_id = probe.upstream.instance.incarnation_id
         self._probes.pop(incarnation_id, None)
-        silences = self._silences.pop(incarnation_id, 0)
+        silences = self._silent_probes.pop(incarnation_id, 0)
         if probe.instance_id not in ("", probe.upstream.instance.instance_id):
             self._handle_replaced(probe.upstream, probe.instance_id)
             return
@@ -157,8 +157,8 @@
             return
         if probe.upstream.instance.hall in self._get_silent_halls():
             return
-        if is_silent and silences + 1 < SILENCES_TO_ALARM:
-            self._silences[incarnation_id] = silences + 1
+        if is_silent and silences + 1 < MIN_SILENT_PROBES:
+            self._silent_probes[incarnation_id] = silences + 1
             return
         now_s = clocks.get_s()
         kind = (
@@ -185,7 +185,7 @@
         logger.info("upstream says that it is cold", extra={"fields": fields})
         self._on_cold(upstream, cold_ms)
 
-    def probe_again(self, probe: _Probe) -> None:
+    def retry_probe(self, probe: _Probe) -> None:
         """Repeat on a new connection a question whose kept connection turned out to be gone."""
         self._send(probe, fresh=True)
 
@@ -195,11 +195,11 @@
             return
         now_s = clocks.get_s()
         for probe in list(self._probes.values()):
-            if now_s - probe.began_s > ANSWER_S and probe.call is not None:
+            if now_s - probe.began_s > ANSWER_TIMEOUT_S and probe.call is not None:
                 probe.call.cancel()
                 self.handle_probe_end(probe, "no answer", is_silent=True)
         listed = [upstream.instance for upstream in self._registry.get_all()]
-        self._duties.update(self._get_watchers(), listed)
+        self._duties.update(self._get_entries(), listed)
         silent_halls = self._get_silent_halls()
         for service in table.services:
             if service.engine is None or not service.health_path:
@@ -211,7 +211,7 @@
                 if instance.hall in silent_halls:
                     continue
                 if self._duties.has(instance) and self._may_probe(upstream, now_s):
-                    self._ask(upstream, service.health_path)
+                    self._start_probe(upstream, service.health_path)
 
     def _may_probe(self, upstream: upstream_registry.Upstream, now_s: float) -> bool:
         """Tell whether a probe fits the rest or the rate limit that the instance asked for."""
@@ -221,12 +221,12 @@
         if not self._is_limited(upstream):
             self._probed_s.pop(incarnation_id, None)
             return True
-        if now_s - self._probed_s.get(incarnation_id, -math.inf) < LIMITED_PAUSE_S:
+        if now_s - self._probed_s.get(incarnation_id, -math.inf) < LIMITED_PROBE_INTERVAL_S:
             return False
         self._probed_s[incarnation_id] = now_s
         return True
 
-    def _ask(self, upstream: upstream_registry.Upstream, path: str) -> None:
+    def _start_probe(self, upstream: upstream_registry.Upstream, path: str) -> None:
         probe = _Probe(self, upstream, path)
         self._probes[upstream.instance.incarnation_id] = probe
         self._send(probe, fresh=False)
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -26,9 +26,9 @@
 REPORT_BYTES_PER_S = 6_000
 """What reports may come to: a third of what a process may spend on control. A report names what the
 entry holds, some 60 bytes with four runs and 1.4 KB with 120 at as many instances."""
-REPORT_AGAIN_S = 0.25
+REPORT_INTERVAL_S = 0.25
 """Time after which the same is reported again, so that the hub knows the entry to be alive."""
-CHECK_S = 0.1
+HUB_CHECK_INTERVAL_S = 0.1
 """Pause between looks at the hub; a third of the silence that makes one look for another."""
 BEACON_ENTRIES = 3
 """Entries of a hall that show themselves to all hubs, not to theirs alone: where hubs are cut off
@@ -37,14 +37,14 @@
 """Pause between two such signs; a third of the silence that makes a hall count as cut off."""
 ENTRY_HUBS = 2
 """Entries of a hall, the first by name, that are its hub where no keeper can be reached."""
-HALL_CHECK_S = 0.2
+HALL_CHECK_INTERVAL_S = 0.2
 """Pause between looks at which halls are silent; a third of the silence that makes one so."""
-REBUILD_S = 1.0
+REBUILD_INTERVAL_S = 1.0
 """Pause between looks at whether what was told is too old."""
 
-_KEEPER_HERE = 0
-_KEEPER_ELSEWHERE = 1
-_FIRST_ENTRY = 2
+_SAME_HALL_KEEPER = 0
+_OTHER_HALL_KEEPER = 1
+_FIRST_ENTRY_HUB = 2
 
 
 class LoadSharing:
@@ -57,7 +57,7 @@
     :param limits: rate limits that instances stated; told along.
     :param send: sends a datagram.
     :param on_alarm: called with an instance that another entry found bad.
-    :param on_news: called when what others hold has changed.
+    :param on_load_update: called when what others hold has changed.
     :param clock: monotonic time in seconds.
     :param wall_clock: the time of day in seconds.
     """
@@ -72,13 +72,13 @@
         *,
         send: Callable[[bytes, endpoints.Endpoint], None],
         on_alarm: Callable[[upstream_registry.Upstream], None],
-        on_news: Callable[[], None],
+        on_load_update: Callable[[], None],
         clock: clocks.Clock = clocks.get_s,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._timers = timers
         self._send = send
-        self._on_news = on_news
+        self._on_load_update = on_load_update
         self._clock = clock
         self._name = config.name
         self._hall = config.hall
@@ -92,7 +92,7 @@
             timers,
             hub,
             send=send,
-            get_hubs=self._get_far_hubs,
+            get_hubs=self._get_other_hall_hubs,
             bytes_per_s=config.hub_bytes_per_s,
             clock=clock,
         )
@@ -106,9 +106,9 @@
         self._reported_s = 0.0
         self._report_bytes = 0
         self._beacon_sent_s = 0.0
-        timers.call_every(CHECK_S, self._check_hub)
-        timers.call_every(REBUILD_S, self.refresh)
-        timers.call_every(HALL_CHECK_S, self._log_halls)
+        timers.call_every(HUB_CHECK_INTERVAL_S, self._check_hub)
+        timers.call_every(REBUILD_INTERVAL_S, self.refresh)
+        timers.call_every(HALL_CHECK_INTERVAL_S, self._log_halls)
 
     @property
     def has_snapshot(self) -> bool:
@@ -121,12 +121,12 @@
         candidates = [
             hub_choice.Candidate(
                 keeper.endpoint,
-                _KEEPER_HERE if keeper.hall == self._hall else _KEEPER_ELSEWHERE,
+                _SAME_HALL_KEEPER if keeper.hall == self._hall else _OTHER_HALL_KEEPER,
             )
             for keeper in known.keepers
         ]
-        for number, entry in enumerate(self._get_first_entries(self._hall)):
-            candidates.append(hub_choice.Candidate(entry.endpoint, _FIRST_ENTRY + number))
+        for number, entry in enumerate(self._get_entry_hubs(self._hall)):
+            candidates.append(hub_choice.Candidate(entry.endpoint, _FIRST_ENTRY_HUB + number))
         self._choice.set_candidates(candidates)
         self._check_hub()
 
@@ -135,7 +135,7 @@
         self._choice.record_lost(endpoints.split(address), self._clock())
         self._check_hub()
 
-    def get_watchers(self) -> Sequence[fleet.Process]:
+    def get_entries(self) -> Sequence[fleet.Process]:
         """Return the entries that there are, this one among them."""
         if any(entry.name == self._name for entry in self._fleet.entries):
             return self._fleet.entries
@@ -150,7 +150,7 @@
         """Tell whether nothing is heard of any other hall, as in one that is cut off."""
         return self._view.is_isolated(self._clock())
 
-    def get_news_age_ms(self) -> int:
+    def get_load_age_ms(self) -> int:
         """Return the age of what is known of the others; -1 if nothing is."""
         return self._view.get_age_ms(self._clock())
 
@@ -185,7 +185,7 @@
     def refresh(self) -> None:
         """Count again what the others hold, after the list of instances has changed."""
         now_s = self._clock()
-        self._alarms.handle_listed(now_s)
+        self._alarms.handle_list_change(now_s)
         self._view.rebuild(now_s)
 
     def handle_datagram(
@@ -213,13 +213,13 @@
         if heard is hub_choice.UpdateSource.NEW:
             self._change_hub(before, now_s)
         if self._view.handle_update(update, now_s):
-            self._on_news()
+            self._on_load_update()
 
     def _check_hub(self) -> None:
         now_s = self._clock()
         if self._choice.choose(now_s) and self._choice.probing is not None:
             self._send(self._make_report(is_reporter=True), self._choice.probing)
-        pause_s = REPORT_AGAIN_S if self._view.has_snapshot else CHECK_S
+        pause_s = REPORT_INTERVAL_S if self._view.has_snapshot else HUB_CHECK_INTERVAL_S
         if now_s - self._reported_s >= pause_s:
             self._report()
         if now_s - self._beacon_sent_s >= BEACON_INTERVAL_S:
@@ -239,7 +239,7 @@
 
     def _send_beacons(self) -> None:
         """Show other hubs than the own one that entries of this hall are alive."""
-        heralds = self._get_entries(self._hall)[:BEACON_ENTRIES]
+        heralds = self._get_hall_entries(self._hall)[:BEACON_ENTRIES]
         if all(entry.name != self._name for entry in heralds):
             return
         data = self._make_report(is_reporter=False)
@@ -285,17 +285,17 @@
         return shared_load.encode_report(report)
 
     def _get_known_hubs(self) -> Iterable[endpoints.Endpoint]:
-        return [keeper.endpoint for keeper in self._fleet.keepers] or self._get_far_hubs()
+        return [keeper.endpoint for keeper in self._fleet.keepers] or self._get_other_hall_hubs()
 
-    def _get_far_hubs(self) -> list[endpoints.Endpoint]:
+    def _get_other_hall_hubs(self) -> list[endpoints.Endpoint]:
         """Return the entries that other halls would have for hubs."""
         halls = sorted({entry.hall for entry in self._fleet.entries} - {self._hall})
-        return [entry.endpoint for hall in halls for entry in self._get_first_entries(hall)]
+        return [entry.endpoint for hall in halls for entry in self._get_entry_hubs(hall)]
 
-    def _get_first_entries(self, hall: str) -> list[fleet.Process]:
-        return self._get_entries(hall)[:ENTRY_HUBS]
+    def _get_entry_hubs(self, hall: str) -> list[fleet.Process]:
+        return self._get_hall_entries(hall)[:ENTRY_HUBS]
 
-    def _get_entries(self, hall: str) -> list[fleet.Process]:
+    def _get_hall_entries(self, hall: str) -> list[fleet.Process]:
         entries = [entry for entry in self._fleet.entries if entry.hall == hall]
         return sorted(entries, key=lambda entry: entry.name)
 
--- a/src/spoolhead/_internal/gateway/run_move.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -12,21 +12,21 @@
 from spoolhead._internal.policy import upstream_registry
 
 _OK = 200
-UNREACHABLE = 0
+NO_ANSWER_STATUS = 0
 """Status of an order that got no answer."""
 
 
-class MoveUser(Protocol):
+class CopyOwner(Protocol):
     """What the owner of a move is told."""
 
-    def on_copied(self, move: "RunMove") -> None:
+    def on_copied(self, move: "MemoryCopy") -> None:
         """The target holds a copy."""
 
-    def on_move_failed(self, move: "RunMove") -> None:
+    def on_copy_failed(self, move: "MemoryCopy") -> None:
         """The last order came to nothing."""
 
 
-class RunMove:
+class MemoryCopy:
     """One move.
 
     :param request_id: id of the request that runs.
@@ -35,7 +35,7 @@
     :param calls: makes HTTP requests.
     :param dialect: how instances speak.
     :param user: is told of it.
-    :ivar status: HTTP status of the last answer; :data:`UNREACHABLE` if none came.
+    :ivar status: HTTP status of the last answer; :data:`NO_ANSWER_STATUS` if none came.
     :ivar handle: handle of the copy; empty for none.
     """
 
@@ -47,13 +47,13 @@
         target_address: str,
         calls: upstream_calls.UpstreamCalls,
         dialect: dialects.EntryDialect,
-        user: MoveUser,
+        user: CopyOwner,
     ) -> None:
         self.request_id = request_id
         self.source_address = source.instance.address
         self._source = source
         self.target_address = target_address
-        self.status = UNREACHABLE
+        self.status = NO_ANSWER_STATUS
         self.handle = ""
         self._calls = calls
         self._dialect = dialect
@@ -104,16 +104,16 @@
             self._free()
             return
         if self.status != _OK:
-            self._user.on_move_failed(self)
+            self._user.on_copy_failed(self)
             return
         self._user.on_copied(self)
 
     def on_call_lost(self, reason: str) -> None:
         """Take the loss of the connection."""
         del reason
-        self.status = UNREACHABLE
+        self.status = NO_ANSWER_STATUS
         if not self._must_free:
-            self._user.on_move_failed(self)
+            self._user.on_copy_failed(self)
 
     def _free(self) -> None:
         if not self.handle or self._source.has_restarted:
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -20,15 +20,15 @@
 
 logger = logging.getLogger(__name__)
 
-RESEND_S = 0.06
+REPLY_TIMEOUT_S = 0.06
 """Wait for a reply: a few times the longest way between two regions."""
-MISSED_TO_SILENT = 3
+MAX_MISSED_REPLIES = 3
 """Asks in a row without a reply after which a granter counts as silent."""
 UNANSWERED_BACKOFF_MS = 250
 """Time without an ask for an instance after none of its granters replied."""
-SILENT_S = 5.0
+SILENT_GRANTER_TTL_S = 5.0
 """Time for which a silent granter is passed over."""
-LEAST_POLL_S = 0.001
+MIN_POLL_DELAY_S = 0.001
 
 
 class PermitTerms:
@@ -136,9 +136,9 @@
         :param on_reply: called later with whether the request may go there.
         """
         self._last_id += 1
-        ask = _PendingRequest(upstream, request, on_reply, self._find_turn(upstream, 0))
+        ask = _PendingRequest(upstream, request, on_reply, self._find_responsive_turn(upstream, 0))
         self._pending_requests[self._last_id] = ask
-        self._try(self._last_id)
+        self._send_request(self._last_id)
 
     def handle_datagram(
         self, message: permits.PermitRequest | permits.PermitReply, sender: endpoints.Endpoint
@@ -166,7 +166,7 @@
             self._granters[incarnation_id] = granters
         return granters
 
-    def _find_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
+    def _find_responsive_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
         """Return the first granter from one on that is not known to be silent."""
         granters = self._get_granters(upstream)
         now_s = self._clock()
@@ -175,13 +175,15 @@
                 return turn
         return len(granters)
 
-    def _try(self, permit_id: int) -> None:
+    def _send_request(self, permit_id: int) -> None:
         ask = self._pending_requests[permit_id]
         granters = self._get_granters(ask.upstream)
         if ask.turn >= len(granters):
-            self._give_up(permit_id)
+            self._reject_unanswered(permit_id)
             return
-        ask.timer = self._timers.call_later(RESEND_S, lambda: self._on_silence(permit_id))
+        ask.timer = self._timers.call_later(
+            REPLY_TIMEOUT_S, lambda: self._on_reply_timeout(permit_id)
+        )
         granter = granters[ask.turn]
         message = self._make_permit_request(permit_id, ask)
         if granter.name == self._name:
@@ -207,7 +209,7 @@
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
         )
 
-    def _on_silence(self, permit_id: int) -> None:
+    def _on_reply_timeout(self, permit_id: int) -> None:
         ask = self._pending_requests.get(permit_id)
         if ask is None:
             return
@@ -216,21 +218,21 @@
             self._record_missed(granters[ask.turn], ask)
         if not ask.request.wait_ms:
             # Another instance may take the request at once.
-            self._give_up(permit_id)
+            self._reject_unanswered(permit_id)
             return
-        ask.turn = self._find_turn(ask.upstream, ask.turn)
-        self._try(permit_id)
+        ask.turn = self._find_responsive_turn(ask.upstream, ask.turn)
+        self._send_request(permit_id)
 
     def _record_missed(self, granter: fleet.Process, ask: _PendingRequest) -> None:
         self._missed[granter.name] += 1
-        if self._missed[granter.name] < MISSED_TO_SILENT:
+        if self._missed[granter.name] < MAX_MISSED_REPLIES:
             return
         del self._missed[granter.name]
-        self._silent_until_s[granter.name] = self._clock() + SILENT_S
+        self._silent_until_s[granter.name] = self._clock() + SILENT_GRANTER_TTL_S
         fields = {"entry": granter.name, "upstream": ask.upstream.instance.incarnation_id}
         logger.warning("granter of permits does not reply", extra={"fields": fields})
 
-    def _give_up(self, permit_id: int) -> None:
+    def _reject_unanswered(self, permit_id: int) -> None:
         """Take the silence of all granters for a rejection."""
         reply = permits.PermitReply(
             permit_id=permit_id,
@@ -250,13 +252,15 @@
         if ask.timer is not None:
             ask.timer.cancel()
         if reply.verdict is permits.Verdict.QUEUED:
-            wait_s = ask.request.wait_ms / 1000 + RESEND_S
-            ask.timer = self._timers.call_later(wait_s, lambda: self._give_up(reply.permit_id))
+            wait_s = ask.request.wait_ms / 1000 + REPLY_TIMEOUT_S
+            ask.timer = self._timers.call_later(
+                wait_s, lambda: self._reject_unanswered(reply.permit_id)
+            )
             return
         del self._pending_requests[reply.permit_id]
         is_granted = reply.verdict is not permits.Verdict.REJECTED
         if not is_granted:
-            self._back_off(ask, reply, now_s)
+            self._record_backoff(ask, reply, now_s)
         ask.on_reply(is_granted)
 
     def _record_reply(self, permit_id: int) -> None:
@@ -265,7 +269,9 @@
         if ask is not None and ask.turn < len(granters):
             self._missed.pop(granters[ask.turn].name, None)
 
-    def _back_off(self, ask: _PendingRequest, reply: permits.PermitReply, now_s: float) -> None:
+    def _record_backoff(
+        self, ask: _PendingRequest, reply: permits.PermitReply, now_s: float
+    ) -> None:
         request_priority = ask.request.request_priority
         self.backoff.record(
             ask.upstream.key,
@@ -280,21 +286,21 @@
         now_s = self._clock()
         self._limits.merge([ask.stated], now_s, reported_by=ask.sender)
         self._send_replies(self._granter.handle_request(ask, now_s))
-        self._poll_later()
+        self._schedule_poll()
 
     def _poll(self) -> None:
         self._poll_timer = None
         self._send_replies(self._granter.poll(self._clock()))
-        self._poll_later()
+        self._schedule_poll()
 
-    def _poll_later(self) -> None:
+    def _schedule_poll(self) -> None:
         if self._poll_timer is not None:
             self._poll_timer.cancel()
             self._poll_timer = None
         now_s = self._clock()
         due_s = self._granter.get_due_s(now_s)
         if due_s is not None:
-            delay_s = max(LEAST_POLL_S, due_s - now_s)
+            delay_s = max(MIN_POLL_DELAY_S, due_s - now_s)
             self._poll_timer = self._timers.call_later(delay_s, self._poll)
 
     def _send_replies(self, replies: Iterable[permit_granter.AddressedReply]) -> None:
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -17,7 +17,7 @@
     """One plain request."""
 
     _attempts_made = 0
-    _kept: attempts.Attempt | None = None
+    _last_server_error: attempts.Attempt | None = None
 
     def start(self) -> None:
         """Make an attempt at the best instance."""
@@ -26,8 +26,8 @@
             return
         self.log_choice("attempt", choice)
         if choice.upstream is None:
-            if self._kept is not None:
-                self._deliver(self._kept)
+            if self._last_server_error is not None:
+                self._deliver(self._last_server_error)
             else:
                 self.fail_without_upstream(choice)
             return
@@ -53,7 +53,7 @@
 
     def release(self) -> None:
         """Cancel the present attempt."""
-        self.drop_attempt()
+        self.cancel_attempt()
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
         """Take a part of an attempt's answer."""
@@ -82,7 +82,7 @@
             self._retry(codes.ResultCode.UPSTREAM_LOST, "the answer is not the upstream's own")
         elif head.status in _SERVER_ERRORS:
             attempt.upstream.record_answer()
-            self._kept = attempt
+            self._last_server_error = attempt
             self._retry(codes.ResultCode.UPSTREAM_LOST, f"status {head.status}")
         else:
             attempt.upstream.record_answer()
@@ -110,21 +110,21 @@
         if not arrived:
             self._attempts_made -= 1
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "code": int(code),
             "reason": text,
         }
         logger.info("attempt failed", extra={"fields": fields})
-        self.drop_attempt()
-        if self._may_try_again(arrived):
+        self.cancel_attempt()
+        if self._may_retry(arrived):
             self.start()
-        elif self._kept is not None:
-            self._deliver(self._kept)
+        elif self._last_server_error is not None:
+            self._deliver(self._last_server_error)
         else:
             self.fail(code, text)
 
-    def _may_try_again(self, arrived: bool) -> bool:
+    def _may_retry(self, arrived: bool) -> bool:
         kind = self.job.route.kind
         if kind is not route_table.RequestKind.REPEATABLE and self._ran is not codes.Ran.NO:
             return False
@@ -145,7 +145,7 @@
         self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "status": head.status,
             "attempts": self._attempts_made,
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -48,17 +48,17 @@
 
 logger = logging.getLogger(__name__)
 
-STOP_LISTEN_S = 3.0
+STOP_LISTEN_DURATION_S = 3.0
 """Time from the order to stop for which new connections are still served: the balancer asks
 each second and leaves an entry out after two bad answers."""
-STOP_CHECK_S = 0.05
+STOP_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.5
 """Time before the end of a planned stop at which what still runs is cut."""
-EARLY_WAIT_S = 1.5
+EARLY_REQUEST_WAIT_S = 1.5
 """Age up to which an entry without a table keeps requests for it; a start with an election takes
 less than a second."""
-READY_CHECK_S = 0.05
-REACH_CHECK_S = 0.2
+READY_CHECK_INTERVAL_S = 0.05
+REACH_CHECK_INTERVAL_S = 0.2
 """Pause between looks at which services can be reached; a fifth of the balancer's pause between
 two questions."""
 
@@ -82,7 +82,7 @@
         self._began_s = clocks.get_s()
         self._stop_s = 0.0
         self._exchanges: set[exchange.Exchange] = set()
-        self._early: list[caller_front.Caller] = []
+        self._early_callers: list[caller_front.Caller] = []
         self.loop = loop.Loop(self._begin_stop)
         outgoing = links.Links(self.loop, channel="links").register(self.loop)
         calls = upstream_calls.UpstreamCalls(self.loop, outgoing, config.upstreams)
@@ -120,9 +120,9 @@
             self._limits,
             send=sock.send,
             on_alarm=lambda upstream: self._upstream_events.drain(upstream),
-            on_news=self._on_news,
+            on_load_update=self._on_load_update,
         )
-        self._metrics.news_age_ms.set_function(self._sharing.get_news_age_ms)
+        self._metrics.news_age_ms.set_function(self._sharing.get_load_age_ms)
         self._end_watch = end_watch.EndWatch(
             calls,
             self.loop.scheduler,
@@ -148,7 +148,7 @@
             permits=self._permits,
             query_end=self._query_end,
             get_silent_halls=self._sharing.get_silent_halls,
-            get_news_age_ms=self._sharing.get_news_age_ms,
+            get_load_age_ms=self._sharing.get_load_age_ms,
             metrics=self._metrics,
         )
         self._upstream_events = upstream_events.UpstreamEvents(
@@ -159,7 +159,10 @@
         )
         self._metrics.waiting.set_function(lambda: len(self._context.queue))
         self._front = caller_front.CallerFront(
-            self.loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
+            self.loop,
+            config,
+            on_request=self._handle_request,
+            on_bad_request=self._refuse_malformed,
         ).register(self.loop)
         small_server.SmallServer(
             (config.ready_host, config.ready_port),
@@ -176,7 +179,7 @@
             dialect,
             self._registry,
             get_table=lambda: self._matcher,
-            get_watchers=self._sharing.get_watchers,
+            get_entries=self._sharing.get_entries,
             get_silent_halls=self._sharing.get_silent_halls,
             on_alarm=self._upstream_events.handle_alarm,
             on_cold=self._upstream_events.handle_cold,
@@ -184,8 +187,8 @@
             on_answer=self._handle_health_answer,
             is_limited=lambda upstream: self._context.gate.is_limited(upstream),
         )
-        self.loop.scheduler.call_every(READY_CHECK_S, self._check_ready)
-        self.loop.scheduler.call_every(REACH_CHECK_S, self._check_reach)
+        self.loop.scheduler.call_every(READY_CHECK_INTERVAL_S, self._check_ready)
+        self.loop.scheduler.call_every(REACH_CHECK_INTERVAL_S, self._check_reach)
 
     def run(self) -> None:
         """Serve until told to stop and all that is in flight has ended."""
@@ -214,7 +217,7 @@
 
     def on_instances(self, listed: list[instances.Instance]) -> None:
         """Take over a reading of the list of instances."""
-        self._upstream_events.take_list(listed)
+        self._upstream_events.apply_list(listed)
         self._has_instances = True
 
     def on_evacuations(self, halls: frozenset[str]) -> None:
@@ -224,7 +227,7 @@
     def on_fleet(self, known: fleet.Fleet) -> None:
         """Take over which processes there are."""
         self._sharing.set_fleet(known)
-        entries = self._sharing.get_watchers()
+        entries = self._sharing.get_entries()
         self._context.cold_starts.set_entries(entries)
         self._permits.set_entries(entries)
         self._context.entry_count = max(self._context.entry_count, len(known.entries))
@@ -243,7 +246,7 @@
         else:
             self._sharing.handle_datagram(message, sender)
 
-    def _on_news(self) -> None:
+    def _on_load_update(self) -> None:
         self._context.queue.schedule_check()
 
     def _on_limit_change(self, key: int) -> None:
@@ -263,17 +266,17 @@
 
     def _answer_probe(self, request: request_reader.WireRequest) -> small_server.SmallAnswer:
         del request
-        status = HTTPStatus.OK if self._get_ready() else HTTPStatus.SERVICE_UNAVAILABLE
+        status = HTTPStatus.OK if self._can_serve() else HTTPStatus.SERVICE_UNAVAILABLE
         return small_server.SmallAnswer(status)
 
-    def _get_ready(self) -> bool:
+    def _can_serve(self) -> bool:
         return self._is_ready and not self._is_stopping and not self._unreachable
 
     def _check_ready(self) -> None:
         if self._is_ready:
             return
         age_s = clocks.get_s() - self._began_s
-        if age_s > EARLY_WAIT_S:
+        if age_s > EARLY_REQUEST_WAIT_S:
             self._handle_early_requests()
         known = startup.StartupState(
             age_s=age_s,
@@ -282,7 +285,7 @@
             has_limits=self._sharing.has_snapshot,
             has_instances=self._has_instances,
             is_sure=self._feed.is_sure,
-            reaches_most=self._feed.connected_count * 2 > self._feed.keeper_count,
+            reaches_majority=self._feed.connected_count * 2 > self._feed.keeper_count,
         )
         step = startup.decide(known)
         self._feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
@@ -331,18 +334,18 @@
         return ""
 
     def _handle_early_requests(self) -> None:
-        early, self._early = self._early, []
+        early, self._early_callers = self._early_callers, []
         for caller in early:
             if not caller.is_gone:
-                self._take(caller)
+                self._handle_request(caller)
 
-    def _take(self, caller: caller_front.Caller) -> None:
+    def _handle_request(self, caller: caller_front.Caller) -> None:
         if self._dialect.is_ready_probe(caller.request):
-            caller.send_whole(200 if self._get_ready() else 503, [], b"")
+            caller.send_whole(200 if self._can_serve() else 503, [], b"")
             return
         age_s = clocks.get_s() - self._began_s
-        if not self._is_ready and age_s < EARLY_WAIT_S and not self._is_stopping:
-            self._early.append(caller)
+        if not self._is_ready and age_s < EARLY_REQUEST_WAIT_S and not self._is_stopping:
+            self._early_callers.append(caller)
             return
         read = self._dialect.read_request(caller.request)
         if read.is_error():
@@ -350,7 +353,7 @@
             return
         matched = self._match(read.ok, caller)
         if isinstance(matched, fault.Fault):
-            self._refuse(caller, read.ok.request_id, self._soften_refusal(matched))
+            self._refuse(caller, read.ok.request_id, self._adjust_refusal(matched))
             return
         allowance = self._context.get_allowance(matched.service.name)
         allowance.record_request(clocks.get_s())
@@ -397,7 +400,7 @@
         content_id = request_content.get_content_id(caller.request, head.host, owner)
         return routed_job.Job(head, route, service, workspace, table.version, content_id)
 
-    def _soften_refusal(self, item: fault.Fault) -> fault.Fault:
+    def _adjust_refusal(self, item: fault.Fault) -> fault.Fault:
         """Return what a caller is told whom the table lets nowhere.
 
         Callers take it as final. An entry that cannot tell whether its table is the newest says
@@ -426,7 +429,7 @@
         }
         logger.info("refused", extra={"fields": fields})
 
-    def _refuse_bytes(self, caller: caller_front.Caller, item: fault.Fault) -> None:
+    def _refuse_malformed(self, caller: caller_front.Caller, item: fault.Fault) -> None:
         self._refuse(caller, "", item)
 
     def _begin_stop(self) -> None:
@@ -435,13 +438,13 @@
         fields = {"in_flight": len(self._exchanges)}
         logger.info("entry stops", extra={"fields": fields})
         self._front.close_after_answers()
-        self.loop.scheduler.call_later(STOP_LISTEN_S, self._front.close_when_idle)
-        self.loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
+        self.loop.scheduler.call_later(STOP_LISTEN_DURATION_S, self._front.close_when_idle)
+        self.loop.scheduler.call_every(STOP_CHECK_INTERVAL_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
         age_s = clocks.get_s() - self._stop_s
         is_due = age_s > self._config.stop_ms / 1000 - STOP_MARGIN_S
-        is_empty = age_s > STOP_LISTEN_S and not self._front.connection_count
+        is_empty = age_s > STOP_LISTEN_DURATION_S and not self._front.connection_count
         if is_empty or is_due:
             logger.info("entry ends", extra={"fields": {"cut": len(self._exchanges)}})
             self.loop.finish()
--- a/src/spoolhead/_internal/gateway/routed_job.py
+++ b/src/spoolhead/_internal/gateway/routed_job.py
@@ -5,7 +5,7 @@
 
 RANKS_PER_WORKSPACE = 10
 """The workspace's rank goes before the route's."""
-LEAST_URGENT = 9
+MAX_ENGINE_RANK = 9
 """Lowest rank that engines know."""
 
 
@@ -51,7 +51,7 @@
         read and stops its stream. So only the routes' ranks go there; the workspaces' decide
         among this entry's own requests.
         """
-        return min(LEAST_URGENT, self.route.priority)
+        return min(MAX_ENGINE_RANK, self.route.priority)
 
     @property
     def workspace_rank(self) -> int:
@@ -63,5 +63,5 @@
     @property
     def request_priority(self) -> upstream_gate.RequestPriority:
         """What the request may claim where not all get something."""
-        rank = self.workspace_rank * RANKS_PER_WORKSPACE + min(self.route.priority, LEAST_URGENT)
+        rank = self.workspace_rank * RANKS_PER_WORKSPACE + min(self.route.priority, MAX_ENGINE_RANK)
         return upstream_gate.RequestPriority(rank, self.workspace_name)
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -6,17 +6,17 @@
 import logging
 from typing import Protocol
 
-from spoolhead._internal.gateway import exchange_context, permit_exchange, routed_job, run_move
+from spoolhead._internal.gateway import exchange_context, memory_copy, permit_exchange, routed_job
 from spoolhead._internal.network import scheduler
 from spoolhead._internal.policy import run_migration_policy, upstream_registry
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
 
-TRY_AGAIN_S = 0.12
+RETRY_INTERVAL_S = 0.12
 """Pause before a failed order is tried again: a run that has not begun yet begins within some
 prompts' reading time (200 ms each), and an instance leaves within about two seconds."""
-NO_ROOM = 503
+NO_ROOM_STATUS = 503
 """Status of an order that the other instance has no room for."""
 
 
@@ -71,11 +71,11 @@
         self._run = run
         self._job = job
         self._context = context
-        self._holder: upstream_registry.Upstream | None = None
-        self._move: run_move.RunMove | None = None
+        self._target: upstream_registry.Upstream | None = None
+        self._move: memory_copy.MemoryCopy | None = None
         self._timer: scheduler.Timer | None = None
         self._is_awaiting_permit = False
-        self._refusers: set[str] = set()
+        self._excluded_targets: set[str] = set()
 
     def check(self) -> None:
         """Do what the present state asks for; called when instances leave."""
@@ -83,7 +83,7 @@
         if self._run.is_over or running_at is None:
             return
         now_s = clocks.get_s()
-        holder = self._holder
+        holder = self._target
         if holder is not None and (holder.may_be_leaving(now_s) or holder.is_evacuated):
             fields = {
                 "request": self._job.head.request_id,
@@ -92,36 +92,36 @@
                 "is_evacuated": holder.is_evacuated,
             }
             logger.info("copy lost", extra={"fields": fields})
-            self.drop_copy()
+            self.release_copy()
         must_move = running_at.may_be_leaving(now_s) and self._context.config.moves_runs
-        if must_move and self._holder is None:
+        if must_move and self._target is None:
             self._make_copy(running_at)
 
     def pop_copy(self) -> Copy | None:
         """Take the copy, if there is one, for the run to go on from it."""
-        holder, move = self._holder, self._move
+        holder, move = self._target, self._move
         if holder is None or holder.is_gone or holder.is_evacuated:
             return None
         if move is None or not move.handle:
             return None
-        self._holder = self._move = None
-        self._refusers.clear()
+        self._target = self._move = None
+        self._excluded_targets.clear()
         self._cancel_timer()
-        self._release(holder)
+        self._release_reservation(holder)
         move.abandon(must_free=False)
         return Copy(holder, move.source_address, move.handle)
 
-    def drop_copy(self) -> None:
+    def release_copy(self) -> None:
         """Give up the copy."""
-        holder, move = self._holder, self._move
-        self._holder = self._move = None
+        holder, move = self._target, self._move
+        self._target = self._move = None
         self._cancel_timer()
         if move is not None:
             move.abandon(must_free=True)
         if holder is not None:
-            self._release(holder)
+            self._release_reservation(holder)
 
-    def on_copied(self, move: run_move.RunMove) -> None:
+    def on_copied(self, move: memory_copy.MemoryCopy) -> None:
         """Have the run go on at the copy, unless its instance stays after all."""
         fields = {"request": move.request_id, "handle": move.handle}
         logger.info("copy made", extra={"fields": fields})
@@ -130,9 +130,9 @@
         if running_at is not None and running_at.may_be_leaving(clocks.get_s()):
             self._run.on_copy_ready()
         else:
-            self.drop_copy()
+            self.release_copy()
 
-    def on_move_failed(self, move: run_move.RunMove) -> None:
+    def on_copy_failed(self, move: memory_copy.MemoryCopy) -> None:
         """Try elsewhere, or again a little later."""
         fields = {
             "request": self._job.head.request_id,
@@ -142,30 +142,30 @@
         }
         logger.info("copy failed", extra={"fields": fields})
         self._context.metrics.copies.labels("failed").inc()
-        holder = self._holder
-        self.drop_copy()
-        if move.status == NO_ROOM and holder is not None:
-            self._refusers.add(holder.instance.incarnation_id)
+        holder = self._target
+        self.release_copy()
+        if move.status == NO_ROOM_STATUS and holder is not None:
+            self._excluded_targets.add(holder.instance.incarnation_id)
             self.check()
         else:
-            self._check_later(TRY_AGAIN_S)
+            self._check_later(RETRY_INTERVAL_S)
 
     def _make_copy(self, running_at: upstream_registry.Upstream) -> None:
         engine = self._job.service.engine
         if engine is None or not engine.can_move or self._is_awaiting_permit:
             return
-        holder = self._choose(running_at) if self._run.events else None
+        holder = self._choose_target(running_at) if self._run.events else None
         if holder is None:
-            self._refusers.clear()
+            self._excluded_targets.clear()
             # There is no run to copy yet, or no room for a copy just now.
-            self._check_later(TRY_AGAIN_S)
+            self._check_later(RETRY_INTERVAL_S)
             return
         if self._context.gate.is_limited(holder):
-            self._ask(running_at, holder)
+            self._request_permit(running_at, holder)
             return
-        self._order_copy(running_at, holder)
+        self._start_copy(running_at, holder)
 
-    def _ask(
+    def _request_permit(
         self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream
     ) -> None:
         """Ask for a permit for the run to go on at a limited instance."""
@@ -179,9 +179,9 @@
             if self._run.is_over or self._run.upstream is not running_at:
                 return
             if is_granted and not self._is_blocked(holder):
-                self._order_copy(running_at, holder)
+                self._start_copy(running_at, holder)
             else:
-                self._check_later(TRY_AGAIN_S)
+                self._check_later(RETRY_INTERVAL_S)
 
         self._context.permits.request_permit(holder, request, _handle_permit)
 
@@ -195,12 +195,12 @@
         )
         return bar is not None
 
-    def _order_copy(
+    def _start_copy(
         self, running_at: upstream_registry.Upstream, holder: upstream_registry.Upstream
     ) -> None:
         self._log("copy ordered", running_at, holder)
-        self._hold(holder)
-        self._move = run_move.RunMove(
+        self._reserve(holder)
+        self._move = memory_copy.MemoryCopy(
             request_id=self._job.head.request_id,
             source=running_at,
             target_address=holder.instance.address,
@@ -223,26 +223,28 @@
         }
         logger.info(text, extra={"fields": fields})
 
-    def _choose(self, running_at: upstream_registry.Upstream) -> upstream_registry.Upstream | None:
+    def _choose_target(
+        self, running_at: upstream_registry.Upstream
+    ) -> upstream_registry.Upstream | None:
         return run_migration_policy.choose_copy_target(
             self._job.service,
             self._context.registry.get_service(self._job.service.name),
             running_at=running_at,
-            excluded=self._refusers,
+            excluded=self._excluded_targets,
             now_s=clocks.get_s(),
             gate=self._context.gate,
             request_priority=self._job.request_priority,
         )
 
-    def _hold(self, holder: upstream_registry.Upstream) -> None:
+    def _reserve(self, holder: upstream_registry.Upstream) -> None:
         request_id = self._job.head.request_id
-        self._holder = holder
+        self._target = holder
         holder.in_flight[request_id] = upstream_registry.InFlightRequest(
             request_id, self._run.need_tokens, prefill_tokens=0, is_copy=True
         )
         self._context.on_change()
 
-    def _release(self, holder: upstream_registry.Upstream) -> None:
+    def _release_reservation(self, holder: upstream_registry.Upstream) -> None:
         holder.in_flight.pop(self._job.head.request_id, None)
         self._context.on_change()
 
--- a/src/spoolhead/_internal/gateway/run_queue.py
+++ b/src/spoolhead/_internal/gateway/run_queue.py
@@ -7,19 +7,19 @@
 from spoolhead._internal.policy import run_admission
 from spoolhead._internal.utils import clocks
 
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """Longest pause between looks at what waits; a small part of the shortest objective."""
-SPREAD_S = 0.015
+MAX_JITTER_S = 0.015
 """Random delay of a look after news, so that the entries do not all rush to the same engine: a
 few times what it takes to tell the others of a start."""
 
 
-class Waiting(Protocol):
+class QueuedRun(Protocol):
     """A generation that waits."""
 
     admission: run_admission.Request
 
-    def try_to_begin(self) -> bool:
+    def try_start(self) -> bool:
         """Begin, or be refused, if that is due; False to go on waiting."""
 
 
@@ -33,20 +33,20 @@
     def __init__(self, timers: scheduler.Scheduler, rng: random.Random) -> None:
         self._timers = timers
         self._rng = rng
-        self._waiting: list[Waiting] = []
+        self._waiting: list[QueuedRun] = []
         self._timer: scheduler.Timer | None = None
-        self._look_s = 0.0
+        self._check_due_s = 0.0
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, item: Waiting) -> None:
+    def add(self, item: QueuedRun) -> None:
         """Have a generation wait."""
         self._waiting.append(item)
         self._waiting.sort(key=lambda each: (each.admission.rank, each.admission.arrived_s))
-        self._look_within(self._get_longest_pause_s())
+        self._check_within(self._get_check_delay_s())
 
-    def remove(self, item: Waiting) -> None:
+    def remove(self, item: QueuedRun) -> None:
         """Forget a generation."""
         if item in self._waiting:
             self._waiting.remove(item)
@@ -54,9 +54,9 @@
     def schedule_check(self) -> None:
         """Take note that an engine may have got room."""
         if self._waiting:
-            self._look_within(self._rng.uniform(0.0, SPREAD_S))
+            self._check_within(self._rng.uniform(0.0, MAX_JITTER_S))
 
-    def _get_longest_pause_s(self) -> float:
+    def _get_check_delay_s(self) -> float:
         now_s = clocks.get_s()
         dues_s = [
             due_s
@@ -64,21 +64,21 @@
             for due_s in (item.admission.refuse_s, item.admission.offer_s)
             if due_s > now_s
         ]
-        return min([LOOK_S, *(due_s - now_s for due_s in dues_s)])
+        return min([CHECK_INTERVAL_S, *(due_s - now_s for due_s in dues_s)])
 
-    def _look_within(self, delay_s: float) -> None:
+    def _check_within(self, delay_s: float) -> None:
         due_s = clocks.get_s() + delay_s
         if self._timer is not None:
-            if self._look_s <= due_s:
+            if self._check_due_s <= due_s:
                 return
             self._timer.cancel()
-        self._look_s = due_s
-        self._timer = self._timers.call_later(delay_s, self._look)
+        self._check_due_s = due_s
+        self._timer = self._timers.call_later(delay_s, self._check)
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         self._timer = None
         for item in list(self._waiting):
-            if item in self._waiting and item.try_to_begin():
+            if item in self._waiting and item.try_start():
                 self.remove(item)
         if self._waiting:
-            self._look_within(self._get_longest_pause_s())
+            self._check_within(self._get_check_delay_s())
--- a/src/spoolhead/_internal/gateway/startup.py
+++ b/src/spoolhead/_internal/gateway/startup.py
@@ -25,7 +25,7 @@
     :ivar has_limits: the hub has told all rate limits that instances state.
     :ivar has_instances: a list of instances is here.
     :ivar is_sure: more than half of the keepers confirm the table that is in force.
-    :ivar reaches_most: more than half of the keepers that it follows can be reached.
+    :ivar reaches_majority: more than half of the keepers that it follows can be reached.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
         "has_limits",
         "has_table",
         "is_sure",
-        "reaches_most",
+        "reaches_majority",
     )
 
     def __init__(
@@ -47,7 +47,7 @@
         has_limits: bool,
         has_instances: bool,
         is_sure: bool,
-        reaches_most: bool,
+        reaches_majority: bool,
     ) -> None:
         self.age_s = age_s
         self.has_table = has_table
@@ -55,7 +55,7 @@
         self.has_limits = has_limits
         self.has_instances = has_instances
         self.is_sure = is_sure
-        self.reaches_most = reaches_most
+        self.reaches_majority = reaches_majority
 
 
 class Step(enum.Enum):
@@ -76,6 +76,6 @@
         has_new = known.has_contents and known.has_limits
         is_complete = known.is_sure and known.has_instances and has_new
         return Step.SERVE if is_complete or known.age_s > CONFIRMED_WAIT_S else Step.WAIT
-    if known.age_s > UNCONFIRMED_WAIT_S and not known.reaches_most:
+    if known.age_s > UNCONFIRMED_WAIT_S and not known.reaches_majority:
         return Step.TAKE_UNCONFIRMED
     return Step.WAIT
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-UNREAD_BYTES = 1_048_576
+MAX_UNREAD_BYTES = 1_048_576
 """Bytes kept for a caller that reads slowly: several of the longest answers seen (120 KiB)."""
 _OK = 200
 
@@ -41,7 +41,7 @@
         on_end: Callable[[exchange.Exchange], None],
     ) -> None:
         super().__init__(job, caller, context, on_end)
-        self._splice = splice.Splice(job.head.last_event_id)
+        self._splice = splice.EventSplicer(job.head.last_event_id)
         self._migration = run_migration.RunMigration(self, job, context)
         self._pace = pace_meter.PaceMeter(self._arrived_s)
 
@@ -88,7 +88,7 @@
         """Begin the run at the best instance."""
         self._begin_run()
 
-    def try_to_begin(self) -> bool:
+    def try_start(self) -> bool:
         """Begin at an engine with room, or be refused, if that is due."""
         if self._is_awaiting_permit:
             return False
@@ -114,14 +114,14 @@
 
     def on_permit(self) -> None:
         """Begin the run, here or at another engine, unless it has to wait for room."""
-        if self.try_to_begin():
+        if self.try_start():
             self._context.queue.remove(self)
 
     def release(self) -> None:
         """Cancel the run and give up its copy."""
         self._context.queue.remove(self)
-        self._migration.drop_copy()
-        self.drop_attempt()
+        self._migration.release_copy()
+        self.cancel_attempt()
 
     def on_instances_changed(self) -> None:
         """See whether the run or its copy must move."""
@@ -142,7 +142,7 @@
         """Take a part of the answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
-        if not self._is_good(attempt.head):
+        if not self._is_valid(attempt.head):
             attempt.body.append(data)
             return
         self._record_prefill_end(attempt)
@@ -151,16 +151,16 @@
         spliced = self._splice.feed(data)
         if spliced.events:
             self._pace.record_events(events_before, clocks.get_s())
-        if spliced.data and not self._pass_on(attempt.head, spliced.data):
+        if spliced.data and not self._forward(attempt.head, spliced.data):
             return
         if spliced.problem:
-            self._break(spliced.problem)
+            self._fail_lost(spliced.problem)
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
         """Take the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
-        if not self._is_good(attempt.head):
+        if not self._is_valid(attempt.head):
             self._handle_refusal(attempt, attempt.head)
         else:
             attempt.upstream.record_answer()
@@ -176,11 +176,11 @@
             return
         self._log_attempt_failure(attempt, reason)
         if not attempt.call.may_have_arrived and not attempt.is_resumed:
-            self._migration.drop_copy()
-            self.drop_attempt()
+            self._migration.release_copy()
+            self.cancel_attempt()
             self._begin_run()
             return
-        self._break(reason)
+        self._fail_lost(reason)
 
     def _begin_run(self) -> None:
         generation = self.job.head.generation
@@ -191,9 +191,9 @@
             objective_ms=self.job.route.objective_ms,
             arrived_s=self._arrived_s,
         )
-        if not self.try_to_begin():
+        if not self.try_start():
             if not self._is_awaiting_permit:
-                logger.info("waits for room", extra={"fields": self.get_fields()})
+                logger.info("waits for room", extra={"fields": self.get_log_fields()})
             self._context.queue.add(self)
 
     def _refuse(self, choice: upstream_choice.Choice) -> None:
@@ -203,7 +203,7 @@
         code = codes.ResultCode.DEADLINE_UNREACHABLE
         self.fail(code, "no engine is expected to have room in time", retry_after_ms=come_back_ms)
 
-    def _is_good(self, head: dialects.AnswerHead) -> bool:
+    def _is_valid(self, head: dialects.AnswerHead) -> bool:
         own_id = self.job.head.request_id
         return (
             head.status == _OK
@@ -215,15 +215,15 @@
     def _handle_refusal(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
         self._log_attempt_failure(attempt, f"status {head.status}")
         if attempt.is_resumed or self._splice.events:
-            self._break(f"the run could not go on: status {head.status}")
+            self._fail_lost(f"the run could not go on: status {head.status}")
             return
         if head.has_not_run:
-            self._migration.drop_copy()
-            self.drop_attempt()
+            self._migration.release_copy()
+            self.cancel_attempt()
             allowance = self._context.get_allowance(self.job.service.name)
             # One that never reached the instance it was meant for is no attempt.
-            self._misdirected += head.is_misdirected
-            may_repeat = len(self._tried) - self._misdirected < self.job.route.attempts
+            self._misdirected_count += head.is_misdirected
+            may_repeat = len(self._tried) - self._misdirected_count < self.job.route.attempts
             if may_repeat and allowance.try_acquire(clocks.get_s()):
                 self._begin_run()
             else:
@@ -231,18 +231,18 @@
             return
         self._ran = codes.Ran.UNKNOWN
         if head.status == _OK or head.request_id not in ("", self.job.head.request_id):
-            self._break("the answer is not the upstream's own")
+            self._fail_lost("the answer is not the upstream's own")
             return
         self._ran = codes.Ran.YES
         self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
-        fields = {**self.get_fields(), "status": head.status}
+        fields = {**self.get_log_fields(), "status": head.status}
         logger.info("answered", extra={"fields": fields})
         self.end()
 
     def _log_attempt_failure(self, attempt: attempts.Attempt, reason: str) -> None:
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "events": self.events,
             "reason": reason,
@@ -290,7 +290,7 @@
             address=copy.address, handle=copy.handle, last_event_id=self._splice.last_event_id
         )
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": copy.upstream.instance.incarnation_id,
             "copy_of": copy.address,
             "events": self.events,
@@ -298,19 +298,19 @@
         }
         logger.info("run goes on elsewhere", extra={"fields": fields})
         self._context.metrics.moves.inc()
-        self.drop_attempt()
+        self.cancel_attempt()
         self._tried.clear()
         self._splice.begin_connection()
         self._open(copy.upstream, point)
 
-    def _pass_on(self, head: dialects.AnswerHead, data: bytes) -> bool:
+    def _forward(self, head: dialects.AnswerHead, data: bytes) -> bool:
         """Send bytes to the caller; False where that ended the exchange."""
         self._ran = codes.Ran.YES
         if not self.caller.is_started:
             self.caller.start_stream(head.status, head.headers, data)
             return not self.is_over
         unsent = self.caller.send_part(data)
-        if unsent > UNREAD_BYTES:
+        if unsent > MAX_UNREAD_BYTES:
             self.fail(codes.ResultCode.CALLER_TOO_SLOW, f"the caller left {unsent} bytes unread")
         return not self.is_over
 
@@ -318,16 +318,16 @@
         self.record_whole_answer(head.status)
         rest = self._splice.finish()
         if rest or not self.caller.is_started:
-            self._pass_on(head, rest)
+            self._forward(head, rest)
         self.caller.end_stream()
         route = self.job.route
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "status": head.status,
             "events": self.events,
             "first_ms": self._pace.first_ms,
             "longest_pause_ms": self._pace.longest_pause_ms,
-            "pause_after_events": self._pace.longest_after,
+            "pause_after_events": self._pace.events_before_longest_pause,
             "is_late": (self._pace.first_ms or 0) > route.objective_ms,
             "has_long_pause": self._pace.longest_pause_ms
             > run_migration_policy.get_max_pause_ms(route),
@@ -337,7 +337,7 @@
         self._context.metrics.longest_pause_ms.observe(self._pace.longest_pause_ms)
         self.end()
 
-    def _break(self, reason: str) -> None:
+    def _fail_lost(self, reason: str) -> None:
         if self._ran is codes.Ran.NO:
             self._ran = codes.Ran.UNKNOWN
         self.fail(codes.ResultCode.UPSTREAM_LOST, reason)
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -25,16 +25,16 @@
 )
 """A keeper sends something each quarter of a second; a cut must be noticed and its end found
 well within the time in which an accepted table has to be in force (two seconds)."""
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """Pause between looks at the age of the instance list; a quarter of its longest age."""
-READ_S_PER_ENTRY = 0.02
+MIN_READ_INTERVAL_PER_ENTRY_S = 0.02
 """Least time between two own readings of the list, for each entry of the fleet: together they make
 50 calls a second, about what the platform takes from all processes."""
-COMING_S = 0.3
+PENDING_FETCH_TTL_S = 0.3
 """Time for which a version that was asked for at one keeper is not asked for at another: twice what
 a table of 1,640 routes takes over a link of 5 Mbit/s, and little enough for a keeper that stands
 still to be passed over well within the time in which a table has to be in force."""
-FETCH_AGAIN_S = 0.5
+FETCH_RETRY_INTERVAL_S = 0.5
 """Time after which a table that was asked for and did not come is asked for again."""
 
 
@@ -87,7 +87,7 @@
         self._document = b""
         self._digest = 0
         self._unusable_version = 0
-        self._takes_unconfirmed = False
+        self._accepts_unconfirmed = False
         self._loop = loop
         self._outgoing = outgoing
         self._config = config
@@ -95,14 +95,14 @@
         self._keepers: dict[str, followed_keeper.FollowedKeeper] = {}
         self._listed_s = clocks.get_s()
         self._reader_term = 0
-        self._reads_itself = False
+        self._reads_directly = False
         self._read_s = -math.inf
         self._entry_count = 1
         self._reader = list_reader.ListReader(
-            loop, calls, config.instance_list, dialect, self._handle_own_reading
+            loop, calls, config.instance_list, dialect, self._handle_direct_reading
         )
         self._follow()
-        loop.scheduler.call_every(CHECK_S, self._check)
+        loop.scheduler.call_every(CHECK_INTERVAL_S, self._check)
 
     @property
     def connected_count(self) -> int:
@@ -132,9 +132,9 @@
 
     def accept_unconfirmed(self, wanted: bool) -> None:
         """Say whether tables are taken of keepers that cannot tell whether they are the newest."""
-        if wanted is self._takes_unconfirmed:
+        if wanted is self._accepts_unconfirmed:
             return
-        self._takes_unconfirmed = wanted
+        self._accepts_unconfirmed = wanted
         if wanted:
             fields = {"keepers": self.connected_count, "followed": self.keeper_count}
             logger.warning("unconfirmed tables are taken", extra={"fields": fields})
@@ -219,7 +219,7 @@
         told = keeper.evacuated
         if told is None or told.revision <= self.evacuation_revision:
             return
-        if not told.is_confirmed and not self._takes_unconfirmed:
+        if not told.is_confirmed and not self._accepts_unconfirmed:
             return
         fields = {
             "address": keeper.address,
@@ -233,28 +233,28 @@
         self._user.on_evacuations(frozenset(told.halls))
 
     def _fetch(self, keeper: followed_keeper.FollowedKeeper) -> None:
-        if not keeper.is_confirmed and not self._takes_unconfirmed:
+        if not keeper.is_confirmed and not self._accepts_unconfirmed:
             return
         now_s = clocks.get_s()
         known_version = max(self.version, self._unusable_version)
-        if keeper.version <= known_version or now_s - keeper.asked_s < FETCH_AGAIN_S:
+        if keeper.version <= known_version or now_s - keeper.fetch_sent_s < FETCH_RETRY_INTERVAL_S:
             return
-        if self._is_coming(keeper.version, now_s):
+        if self._is_fetch_pending(keeper.version, now_s):
             return
-        keeper.asked_s = now_s
+        keeper.fetch_sent_s = now_s
         keeper.client.send(route_messages.GetRouteTable(digest=self._digest))
-        self._loop.scheduler.call_later(COMING_S, self._fetch_elsewhere)
+        self._loop.scheduler.call_later(PENDING_FETCH_TTL_S, self._fetch_elsewhere)
 
     def _fetch_elsewhere(self) -> None:
         """Ask another keeper, if there is one, for what the last one asked did not send."""
-        for keeper in sorted(self._keepers.values(), key=lambda item: item.asked_s):
+        for keeper in sorted(self._keepers.values(), key=lambda item: item.fetch_sent_s):
             if keeper.client.is_ready:
                 self._fetch(keeper)
 
-    def _is_coming(self, version: int, now_s: float) -> bool:
+    def _is_fetch_pending(self, version: int, now_s: float) -> bool:
         """Tell whether another keeper was just asked for a version, or for a newer one."""
         return any(
-            keeper.version >= version and now_s - keeper.asked_s < COMING_S
+            keeper.version >= version and now_s - keeper.fetch_sent_s < PENDING_FETCH_TTL_S
             for keeper in self._keepers.values()
             if keeper.client.is_ready
         )
@@ -262,7 +262,7 @@
     def _handle_table(
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.RouteTableDocument
     ) -> None:
-        keeper.asked_s = 0.0
+        keeper.fetch_sent_s = 0.0
         if message.version > self.version:
             try:
                 document = self._unpack(message)
@@ -277,11 +277,11 @@
                 "is_whole": not message.base_digest,
             }
             logger.info("table comes from a keeper", extra={"fields": fields})
-            if not self._put_in_force(message.version, document):
+            if not self._apply_table(message.version, document):
                 return
         self._fetch(keeper)
 
-    def _put_in_force(self, version: int, document: bytes) -> bool:
+    def _apply_table(self, version: int, document: bytes) -> bool:
         """Pass a table on; it counts as taken only once it is in force.
 
         Otherwise an exception on the way would leave the older one in force until the next
@@ -314,18 +314,18 @@
     ) -> None:
         now_s = clocks.get_s()
         others = [item.listed for item in self._keepers.values() if item is not keeper]
-        keeper.take_list(message, [listed for listed in others if listed is not None])
+        keeper.apply_list(message, [listed for listed in others if listed is not None])
         is_stale = now_s - self._listed_s > self._config.instance_list.fallback_ms / 1000
         if keeper.listed is None or (message.reader_term < self._reader_term and not is_stale):
             return
         self._reader_term = message.reader_term
         self._listed_s = now_s
-        if self._reads_itself:
-            self._reads_itself = False
+        if self._reads_directly:
+            self._reads_directly = False
             logger.info("instance list comes from a keeper again")
         self._user.on_instances(list(keeper.listed.values()))
 
-    def _handle_own_reading(self, listed: list[instances.Instance]) -> None:
+    def _handle_direct_reading(self, listed: list[instances.Instance]) -> None:
         self._user.on_instances(listed)
 
     def _follow(self) -> None:
@@ -344,10 +344,10 @@
         age_s = clocks.get_s() - self._listed_s
         if age_s < self._config.instance_list.fallback_ms / 1000:
             return
-        if not self._reads_itself:
-            self._reads_itself = True
+        if not self._reads_directly:
+            self._reads_directly = True
             fields = {"age_ms": int(age_s * 1000)}
             logger.warning("instance list is read directly", extra={"fields": fields})
-        if clocks.get_s() - self._read_s >= READ_S_PER_ENTRY * self._entry_count:
+        if clocks.get_s() - self._read_s >= MIN_READ_INTERVAL_PER_ENTRY_S * self._entry_count:
             self._read_s = clocks.get_s()
             self._reader.read()
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -34,7 +34,7 @@
         self._exchanges = exchanges
         self._get_table = get_table
 
-    def take_list(self, listed: list[instances.Instance]) -> None:
+    def apply_list(self, listed: list[instances.Instance]) -> None:
         """Take over a reading of the list of instances."""
         registry = self._context.registry
         before = registry.get_all()
@@ -53,7 +53,7 @@
         self._context.queue.schedule_check()
         for upstream in leaving:
             if upstream.has_restarted:
-                self._end_at(upstream)
+                self._end_attempts_at(upstream)
             else:
                 self.drain(upstream)
 
@@ -155,7 +155,7 @@
         self._context.query_end_if_abandoned(upstream)
         self._recheck_runs()
 
-    def _end_at(self, upstream: upstream_registry.Upstream) -> None:
+    def _end_attempts_at(self, upstream: upstream_registry.Upstream) -> None:
         """End what ran at an instance before it was started again."""
         fields = {
             "upstream": upstream.instance.incarnation_id,
--- a/src/spoolhead/_internal/gateway/upstream_limits.py
+++ b/src/spoolhead/_internal/gateway/upstream_limits.py
@@ -8,7 +8,7 @@
 
 logger = logging.getLogger(__name__)
 
-KEPT_S = 4.0
+REPORT_RETENTION_S = 4.0
 """Time for which reports carry a statement again, so that a short cut does not lose it."""
 
 
@@ -58,7 +58,7 @@
         if not self.registry.record(key, head.limit_per_s, now_s):
             return
         self._reported_s[key] = now_s
-        self._note_change(key, before_per_s, reported_by="")
+        self._record_change(key, before_per_s, reported_by="")
         self._request_broadcast()
 
     def handle_health_answer(
@@ -81,14 +81,14 @@
         for item in limits:
             before_per_s = self.registry.get_limit_per_s(item.key)
             self.registry.merge([item], now_s)
-            self._note_change(item.key, before_per_s, reported_by=reported_by)
+            self._record_change(item.key, before_per_s, reported_by=reported_by)
 
     def get_reported(self, now_s: float) -> list[rate_limit.AgedLimit]:
         """Return what a report made now should carry of what this entry read itself."""
         self._reported_s = {
             key: reported_s
             for key, reported_s in self._reported_s.items()
-            if now_s - reported_s <= KEPT_S
+            if now_s - reported_s <= REPORT_RETENTION_S
         }
         return self.registry.get_aged(self._reported_s, now_s)
 
@@ -100,7 +100,7 @@
         fields = {"upstream": upstream.instance.incarnation_id}
         logger.warning("upstream stated an unreadable rate limit", extra={"fields": fields})
 
-    def _note_change(self, key: int, before_per_s: float | None, *, reported_by: str) -> None:
+    def _record_change(self, key: int, before_per_s: float | None, *, reported_by: str) -> None:
         limit_per_s = self.registry.get_limit_per_s(key)
         if limit_per_s == before_per_s:
             return
--- a/src/spoolhead/_internal/relay/event_stream.py
+++ b/src/spoolhead/_internal/relay/event_stream.py
@@ -31,7 +31,7 @@
         self.data = data
 
     @property
-    def is_done_mark(self) -> bool:
+    def is_done_marker(self) -> bool:
         """Whether it is the mark that an answer is complete."""
         return self.data == _DONE
 
@@ -40,19 +40,19 @@
     """Cuts a stream into events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._buffer = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Take bytes and return the events that they complete.
 
         :raises EventTooLargeError: if an event has no end within bounds.
         """
-        data = self._rest + data
+        data = self._buffer + data
         if b"\r" in data:
             data = self._unify_line_ends(data)
         parts = data.split(b"\n\n")
-        self._rest = parts.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._buffer = parts.pop()
+        if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLargeError(f"an event has over {MAX_EVENT_BYTES} bytes")
         return [parse_event(part) for part in parts if part]
 
--- a/src/spoolhead/_internal/relay/pace_meter.py
+++ b/src/spoolhead/_internal/relay/pace_meter.py
@@ -7,17 +7,23 @@
     :param began_s: monotonic time at which the request arrived, in seconds.
     :ivar first_ms: time to the first event; None before it.
     :ivar longest_pause_ms: longest pause between two parts of the stream.
-    :ivar longest_after: events passed on before that pause.
+    :ivar events_before_longest_pause: events passed on before that pause.
     """
 
-    __slots__ = ("_began_s", "_last_s", "first_ms", "longest_after", "longest_pause_ms")
+    __slots__ = (
+        "_began_s",
+        "_last_s",
+        "first_ms",
+        "events_before_longest_pause",
+        "longest_pause_ms",
+    )
 
     def __init__(self, began_s: float) -> None:
         self._began_s = began_s
         self._last_s = began_s
         self.first_ms: int | None = None
         self.longest_pause_ms = 0
-        self.longest_after = 0
+        self.events_before_longest_pause = 0
 
     def record_events(self, events_before: int, now_s: float) -> None:
         """Take note of events.
@@ -30,4 +36,4 @@
             self.first_ms = pause_ms
         elif pause_ms > self.longest_pause_ms:
             self.longest_pause_ms = pause_ms
-            self.longest_after = events_before
+            self.events_before_longest_pause = events_before
--- a/src/spoolhead/_internal/relay/sequencer.py
+++ b/src/spoolhead/_internal/relay/sequencer.py
@@ -50,10 +50,10 @@
         :param event: the event, in the order of arrival on one connection.
         """
         if event.event_id is None:
-            return self._judge_unnumbered()
+            return self._evaluate_unnumbered()
         generation, _, digits = event.event_id.rpartition(b":")
         if not generation or not digits.isdigit():
-            return self._judge_unnumbered()
+            return self._evaluate_unnumbered()
         if not self.generation:
             self.generation = generation
         elif generation != self.generation:
@@ -66,7 +66,7 @@
         self.next_index += 1
         return Verdict.DELIVER
 
-    def _judge_unnumbered(self) -> Verdict:
+    def _evaluate_unnumbered(self) -> Verdict:
         # Whether an unnumbered event was seen before cannot be told after a resume. So it is
         # taken only while the whole answer is unnumbered, and such an answer never resumes.
         if self.generation:
--- a/src/spoolhead/_internal/relay/splice.py
+++ b/src/spoolhead/_internal/relay/splice.py
@@ -7,7 +7,7 @@
 from spoolhead._internal.relay import raw_events
 
 
-class Spliced:
+class SpliceResult:
     """What a part of the stream comes to.
 
     :ivar data: bytes for the caller.
@@ -23,7 +23,7 @@
         self.problem = ""
 
 
-class Splice:
+class EventSplicer:
     """Order of one caller's events.
 
     :ivar last_event_id: id of the last event passed on; empty before the first.
@@ -42,9 +42,9 @@
         """Take note that bytes of another connection follow; half an event is dropped."""
         self._splitter = raw_events.RawEventSplitter()
 
-    def feed(self, data: bytes) -> Spliced:
+    def feed(self, data: bytes) -> SpliceResult:
         """Take bytes of the present connection."""
-        result = Spliced()
+        result = SpliceResult()
         chosen: list[bytes] = []
         for event in self._splitter.feed(data):
             if not event.event_id.isdigit():
--- a/src/spoolhead/_internal/relay/stream_relay.py
+++ b/src/spoolhead/_internal/relay/stream_relay.py
@@ -6,7 +6,7 @@
 _COMMENT = b":"
 
 
-class Relayed:
+class RelayResult:
     """What came of some bytes.
 
     :ivar data: bytes for the caller; may be empty.
@@ -39,12 +39,12 @@
         """Forget the part of an event that a lost connection left."""
         self._splitter = event_stream.EventSplitter()
 
-    def feed(self, data: bytes) -> Relayed:
+    def feed(self, data: bytes) -> RelayResult:
         """Take bytes of the upstream.
 
         :returns: what goes to the caller; a fault ends the relay.
         """
-        relayed = Relayed()
+        relayed = RelayResult()
         if self.is_done:
             return relayed
         try:
@@ -54,7 +54,7 @@
             return relayed
         parts: list[bytes] = []
         for event in events:
-            if self._take(event, parts, relayed):
+            if self._relay_event(event, parts, relayed):
                 break
         relayed.data = b"".join(parts)
         return relayed
@@ -66,11 +66,13 @@
         _, _, digits = done_mark.event_id.rpartition(b":")
         return digits == b"%d" % self.order.next_index
 
-    def _take(self, event: event_stream.Event, parts: list[bytes], relayed: Relayed) -> bool:
+    def _relay_event(
+        self, event: event_stream.Event, parts: list[bytes], relayed: RelayResult
+    ) -> bool:
         """Take one event; return whether the rest is not to be looked at."""
         if event.raw.startswith(_COMMENT) and not event.data:
             return False
-        if event.is_done_mark and self._is_in_place(event):
+        if event.is_done_marker and self._is_in_place(event):
             parts.append(event.raw + b"\n\n")
             self.is_done = relayed.is_done = True
             return True
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -336,7 +336,7 @@
             permits=self.permits,
             query_end=self.asked.append,
             get_silent_halls=frozenset,
-            get_news_age_ms=lambda: 20,
+            get_load_age_ms=lambda: 20,
             metrics=entry_metrics.EntryMetrics(prometheus_metrics.PrometheusMetrics()),
         )
         self.exchanges = set()
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -134,20 +134,20 @@
             self.limits,
             send=process.send,
             on_alarm=lambda upstream: self.alarms.append(upstream.instance.instance_id),
-            on_news=lambda: None,
+            on_load_update=lambda: None,
             clock=fleet_.clock,
             wall_clock=fleet_.clock,
         )
         process.take = self.take
         self.set_fleet(known)
 
-    def take_list(self, listed):
+    def apply_list(self, listed):
         self.registry.update_instances(listed, self.clock())
         self.sharing.refresh()
 
     def set_fleet(self, known):
         self.sharing.set_fleet(known)
-        self.permits.set_entries(self.sharing.get_watchers())
+        self.permits.set_entries(self.sharing.get_entries())
 
     def take(self, message, sender):
         if isinstance(message, permits.PermitRequest | permits.PermitReply):
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -220,7 +220,7 @@
 def test_events_come_once_and_in_order_however_the_run_moves(count, cuts, size):
     """Each connection ends anywhere, and the next begins a little before what was passed on."""
     whole = make_events(1, count)
-    order = splice.Splice()
+    order = splice.EventSplicer()
     passed = b""
     for cut in [*cuts, len(whole)]:
         order.begin_connection()
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -52,7 +52,7 @@
             dialect.Dialect(),
             self.registry,
             get_table=lambda: matcher.Matcher(table),
-            get_watchers=lambda: [
+            get_entries=lambda: [
                 fleet.Process(name=n, hall="hall-a", address="") for n in watchers
             ],
             get_silent_halls=lambda: self.silent,
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -228,7 +228,7 @@
     fleet.run(1.0)
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
-    started.take_list(fleet.listed)
+    started.apply_list(fleet.listed)
     assert started.registry.get(name).is_leaving
     assert started.alarms == [name]
 
--- a/tests/unit/test_list_memory.py
+++ b/tests/unit/test_list_memory.py
@@ -38,7 +38,7 @@
     message = route_messages.InstanceList(
         reader_term=1, sequence=1, is_whole=True, changed=copied, gone=[]
     )
-    keeper.take_list(message, known)
+    keeper.apply_list(message, known)
     return keeper.listed
 
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -201,7 +201,7 @@
     _reply(setting, V.REJECTED, retry_after_ms=1_500, backoff_ms=200)
     if kind is STREAM:
         setting.exchange.admission.arrived_s -= 1.0
-        assert setting.exchange.try_to_begin()
+        assert setting.exchange.try_start()
     assert setting.calls.attempts == []
     assert setting.caller.status == 503
     assert 1.4 < float(setting.caller.get_header("retry-after")) <= 1.5
@@ -276,7 +276,7 @@
     setting.permits.set_entries([])
     setting.permits._granters.clear()
     (permit_id,) = setting.permits._pending_requests
-    setting.permits._on_silence(permit_id)
+    setting.permits._on_reply_timeout(permit_id)
     setting.timers.run_due(0.0)
     assert setting.caller.status == 503
 
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -148,7 +148,7 @@
 
     @stateful.precondition(lambda self: self.lists)
     @stateful.rule(data=strategies.data())
-    def take_list(self, data):
+    def apply_list(self, data):
         listed = data.draw(strategies.sampled_from(self.lists))
         self.registry.update_instances(listed, 0.0)
         for item in listed:
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -85,7 +85,7 @@
         self.has_room = False
         self._log = log
 
-    def try_to_begin(self):
+    def try_start(self):
         self._log.append(self)
         return self.has_room
 
@@ -104,7 +104,7 @@
     queue.remove(late)
     log.clear()
     queue.schedule_check()
-    timers.run_due(run_queue.SPREAD_S)
+    timers.run_due(run_queue.MAX_JITTER_S)
     assert log == [early]
 
 
@@ -115,7 +115,7 @@
     assert setting.calls.attempts == []
     setting.registry.get("i-1").in_flight.clear()
     setting.exchange._context.queue.schedule_check()
-    setting.timers.run_due(run_queue.SPREAD_S)
+    setting.timers.run_due(run_queue.MAX_JITTER_S)
     assert len(setting.calls.attempts) == 1
 
 
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -14,7 +14,7 @@
         "has_limits": True,
         "has_instances": True,
         "is_sure": True,
-        "reaches_most": True,
+        "reaches_majority": True,
         **changes,
     }
     return startup.decide(startup.StartupState(age_s=age_s, **known))
@@ -35,6 +35,6 @@
 
 
 def test_cut_off_from_most_keepers_it_takes_what_there_is():
-    cut_off = {"has_table": False, "is_sure": False, "reaches_most": False}
+    cut_off = {"has_table": False, "is_sure": False, "reaches_majority": False}
     assert _decide(startup.UNCONFIRMED_WAIT_S, **cut_off) is Step.WAIT
     assert _decide(startup.UNCONFIRMED_WAIT_S + 0.1, **cut_off) is Step.TAKE_UNCONFIRMED
--- a/tests/unit/test_stated_limits.py
+++ b/tests/unit/test_stated_limits.py
@@ -93,4 +93,4 @@
     assert changes == [upstream.key, "told"]
     (reported,) = limits.get_reported(1.2)
     assert (reported.key, reported.limit_per_s, reported.age_ms) == (upstream.key, 2.0, 200)
-    assert limits.get_reported(1.0 + upstream_limits.KEPT_S + 0.1) == []
+    assert limits.get_reported(1.0 + upstream_limits.REPORT_RETENTION_S + 0.1) == []
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -230,7 +230,7 @@
 def test_a_keeper_that_stands_still_is_passed_over(feed, monkeypatch):
     for address in ("a:1", "b:1", "c:1"):
         _tell(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
-    later_s = clocks.get_s() + table_feed.COMING_S
+    later_s = clocks.get_s() + table_feed.PENDING_FETCH_TTL_S
     monkeypatch.setattr(table_feed.clocks, "get_s", lambda: later_s)
     feed._loop.later.pop()()
     asked = [
@@ -373,7 +373,7 @@
     made = []
     monkeypatch.setattr(feed._reader, "read", lambda: made.append(1))
     for step in range(3):
-        now_s = began_s + 10.0 + step * table_feed.CHECK_S
+        now_s = began_s + 10.0 + step * table_feed.CHECK_INTERVAL_S
         monkeypatch.setattr(table_feed.clocks, "get_s", lambda now_s=now_s: now_s)
         feed._check()
     assert len(made) == reads
