--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -1,4 +1,4 @@
-"""Alarms about instances: which of this entry's are still to be told, and what others' lead to."""
+"""Sends this entry's alarms about instances in its reports and applies those of other entries."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -9,23 +9,28 @@
 logger = logging.getLogger(__name__)
 
 ALARM_RETENTION_S = 0.5
-"""Time for which reports carry an alarm again, so that one lost datagram or a hub that is lost at
-the same time does not lose it."""
+"""Time for which each report repeats an alarm, so that it survives a lost datagram or the loss of
+the hub at the same time."""
 STANDING_ALARM_RETENTION_S = 4.0
-"""The same for an alarm that holds for a time, so that a short cut does not lose it either."""
+"""The same for alarms that stay in force for some time, which must also survive a short network
+partition."""
 FAILURE_REPORT_INTERVAL_S = 0.3
-"""Pause between two words about one instance that lost requests; a rest begins with 0.5 s."""
+"""Minimum interval between two alarms about lost requests at one instance. The first ejection of an
+instance lasts 0.5 s."""
 MAX_REPORTED_FAILURES = 1_000
-"""Instances for which that pause is kept."""
+"""Instances for which the time of the last such alarm is stored."""
 HANDLED_ALARM_TTL_S = 10.0
-"""Time for which an alarm that was taken is passed over when it comes again: longer than reports
-and hubs together repeat it."""
+"""Time for which repetitions of a handled alarm are ignored; longer than reports and hubs together
+repeat it."""
 
 _TERMINATION_KINDS = (shared_load.AlarmKind.ENDED, shared_load.AlarmKind.REPLACED)
 
 
 class _RaisedAlarm:
-    """An alarm of this entry, when it was raised and until when reports carry it."""
+    """An alarm that this entry raised.
+
+    :ivar until_s: monotonic time until which reports carry it.
+    """
 
     __slots__ = ("_alarm", "_raised_s", "until_s")
 
@@ -35,22 +40,22 @@
         self.until_s = raised_s + _get_retention_s(alarm)
 
     def make_current(self, now_s: float) -> shared_load.Alarm:
-        """Return the alarm with the time for which it still holds."""
+        """Return the alarm with the remaining time for which it is in force."""
         alarm = self._alarm
         if not alarm.for_ms:
             return alarm
-        left_ms = alarm.for_ms - int((now_s - self._raised_s) * 1000)
+        remaining_ms = alarm.for_ms - int((now_s - self._raised_s) * 1000)
         return shared_load.Alarm(
             alarm.incarnation_id,
             alarm.kind,
             reporter=alarm.reporter,
             sequence=alarm.sequence,
-            for_ms=max(0, left_ms),
+            for_ms=max(0, remaining_ms),
         )
 
 
 def _get_retention_s(alarm: shared_load.Alarm) -> float:
-    """Return for how long reports carry an alarm, no longer than it holds."""
+    """Return for how long reports carry an alarm; never longer than it is in force."""
     if alarm.kind not in standing_alarms.KEPT_KINDS:
         return ALARM_RETENTION_S
     return (
@@ -61,14 +66,15 @@
 
 
 class AlarmExchange:
-    """The alarms that one entry raises and takes.
+    """Raises the alarms of one entry and handles those of all others.
 
     :param name: the entry's name.
-    :param first_sequence: above every number that a former run of the entry gave out.
-    :param registry: the instances.
-    :param on_alarm: called with an instance that another entry found bad.
-    :param on_ended: called with the run of an instance that another entry found to have ended, and
-        with what shows it.
+    :param first_sequence: greater than every sequence number that a previous incarnation of the
+        entry used.
+    :param registry: the known instances.
+    :param on_alarm: called with an instance that another entry reported unhealthy or leaving.
+    :param on_ended: called with the incarnation id of an instance that another entry reported as
+        terminated, and with the evidence for it.
     """
 
     def __init__(
@@ -93,7 +99,10 @@
     def raise_alarm(
         self, incarnation_id: str, kind: shared_load.AlarmKind, now_s: float, *, for_ms: int = 0
     ) -> None:
-        """Have an alarm told to all other entries."""
+        """Include an alarm in the next reports, which reach all other entries.
+
+        :param for_ms: time for which the alarm is in force; 0 if it has no such time.
+        """
         self._sequence += 1
         alarm = shared_load.Alarm(
             incarnation_id, kind, reporter=self._name, sequence=self._sequence, for_ms=for_ms
@@ -101,7 +110,7 @@
         self._raised.append(_RaisedAlarm(alarm, now_s))
 
     def is_failure_due(self, incarnation_id: str, now_s: float) -> bool:
-        """Tell whether an instance that lost a request should be told of again."""
+        """Return whether a lost request at an instance is due to be reported, and record it."""
         if now_s - self._reported_failure_s.get(incarnation_id, 0.0) < FAILURE_REPORT_INTERVAL_S:
             return False
         if len(self._reported_failure_s) > MAX_REPORTED_FAILURES:
@@ -110,25 +119,25 @@
         return True
 
     def get_raised(self, now_s: float) -> list[shared_load.Alarm]:
-        """Return the alarms that a report made now should carry."""
+        """Return the alarms that a report sent now must carry."""
         self._raised = [item for item in self._raised if now_s <= item.until_s]
         return [item.make_current(now_s) for item in self._raised]
 
     def handle_alarms(self, alarms: Iterable[shared_load.Alarm], now_s: float) -> None:
-        """Take what other entries found, each alarm once however often it is sent."""
+        """Apply alarms of other entries; each alarm counts once, however often it arrives."""
         for alarm in alarms:
-            name = (alarm.reporter, alarm.sequence)
-            if self._is_from_this_run(alarm) or name in self._handled_s:
+            alarm_id = (alarm.reporter, alarm.sequence)
+            if self._is_from_this_run(alarm) or alarm_id in self._handled_s:
                 continue
-            self._handled_s[name] = now_s
+            self._handled_s[alarm_id] = now_s
             self._handle_new(alarm, now_s)
 
     def handle_list_change(self, now_s: float) -> None:
-        """Take what was found of instances before they were listed here."""
+        """Apply alarms that arrived before their instances were listed, and expire old records."""
         self._handled_s = {
-            name: taken_s
-            for name, taken_s in self._handled_s.items()
-            if now_s - taken_s <= HANDLED_ALARM_TTL_S
+            alarm_id: handled_s
+            for alarm_id, handled_s in self._handled_s.items()
+            if now_s - handled_s <= HANDLED_ALARM_TTL_S
         }
         for alarm in self._unlisted.get_all(now_s):
             if self._registry.get(alarm.incarnation_id) is not None:
@@ -147,7 +156,10 @@
             self._apply_alarm(alarm, upstream, now_s)
 
     def _is_from_this_run(self, alarm: shared_load.Alarm) -> bool:
-        """Tell whether this run of the entry raised an alarm; a former run may have."""
+        """Return whether this incarnation of the entry raised an alarm.
+
+        Alarms of a previous incarnation under the same name are handled like those of others.
+        """
         return alarm.reporter == self._name and alarm.sequence > self._first_sequence
 
     def _apply_alarm(
@@ -183,7 +195,7 @@
                 logger.info("upstream asked for rest", extra={"fields": rest_fields})
             case shared_load.AlarmKind.REPLACED:
                 if upstream.record_replaced(now_s):
-                    logger.info("upstream is said to be replaced", extra={"fields": fields})
+                    logger.info("peer reported upstream replaced", extra={"fields": fields})
             case _:
                 if upstream.raise_alarm(now_s, alarm.kind):
                     logger.info("peer reported upstream unhealthy", extra={"fields": fields})
--- a/src/spoolhead/_internal/gateway/attempts.py
+++ b/src/spoolhead/_internal/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at an instance, and what its owner is told of it."""
+"""One attempt to have an instance answer a request."""
 
 from typing import Protocol
 
@@ -9,32 +9,32 @@
 
 
 class AttemptUser(Protocol):
-    """The exchange that made an attempt."""
+    """The exchange that owns an attempt and handles its events."""
 
     def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
-        """Take the head of its answer."""
+        """Handle the head of the answer."""
 
     def handle_body(self, attempt: "Attempt", data: bytes) -> None:
-        """Take a part of its answer."""
+        """Handle a part of the answer's body."""
 
     def handle_end(self, attempt: "Attempt") -> None:
-        """Take the end of its answer."""
+        """Handle the end of the answer."""
 
     def handle_loss(self, attempt: "Attempt", reason: str) -> None:
-        """Take the loss of its connection."""
+        """Handle the loss of the connection."""
 
 
 class Attempt:
-    """One attempt; what it is told counts only while it is its owner's present one.
+    """One attempt. Its owner ignores events of attempts other than the current one.
 
     :ivar upstream: the instance.
-    :ivar is_resumed: a run goes on there from a copy.
-    :ivar sent_s: when it was sent.
-    :ivar call: the call; None until it is made.
-    :ivar head: head of the answer; None before it.
-    :ivar body: parts of the body that were not passed on.
-    :ivar body_bytes: their size.
-    :ivar has_ended: the answer ended or its connection was lost.
+    :ivar is_resumed: whether the attempt resumes a run from a copy of its memory.
+    :ivar sent_s: monotonic time at which the attempt was created.
+    :ivar call: the HTTP call; None until it is made.
+    :ivar head: head of the answer; None until it arrives.
+    :ivar body: buffered parts of the body that were not forwarded to the caller.
+    :ivar body_bytes: total size of these parts.
+    :ivar has_ended: whether the answer is complete or the connection was lost.
     """
 
     __slots__ = (
@@ -63,19 +63,19 @@
         self.has_ended = False
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
-        """Pass on the head."""
+        """Forward the head to the owner."""
         self._owner.handle_head(self, status, headers)
 
     def on_answer_body(self, data: bytes) -> None:
-        """Pass on a part of the body."""
+        """Forward a part of the body to the owner."""
         self._owner.handle_body(self, data)
 
     def on_answer_end(self) -> None:
-        """Pass on the end."""
+        """Forward the end of the answer to the owner."""
         self.has_ended = True
         self._owner.handle_end(self)
 
     def on_call_lost(self, reason: str) -> None:
-        """Pass on the loss."""
+        """Forward the loss of the connection to the owner."""
         self.has_ended = True
         self._owner.handle_loss(self, reason)
--- a/src/spoolhead/_internal/gateway/entry_metrics.py
+++ b/src/spoolhead/_internal/gateway/entry_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of an entry that routes by host and path; their table is in docs/METRICS.md."""
+"""Prometheus metrics of an entry that routes by host and path; docs/METRICS.md lists them."""
 
 from spoolhead._internal.models import route_table
 from spoolhead._internal.utils import prometheus_metrics
@@ -7,59 +7,59 @@
 class EntryMetrics:
     """Counters and histograms.
 
-    :param made: where they are registered.
+    :param metrics: registry in which they are created.
     """
 
-    def __init__(self, made: prometheus_metrics.PrometheusMetrics) -> None:
-        self.requests = made.make_counter(
+    def __init__(self, metrics: prometheus_metrics.PrometheusMetrics) -> None:
+        self.requests = metrics.make_counter(
             "spoolhead_requests", "Requests ended, by kind and outcome.", "kind", "outcome"
         )
-        self.attempts = made.make_counter(
+        self.attempts = metrics.make_counter(
             "spoolhead_attempts", "Attempts at instances, by kind.", "kind"
         )
-        self.copies = made.make_counter(
+        self.copies = metrics.make_counter(
             "spoolhead_copies", "Orders to copy a run's memory, by outcome.", "outcome"
         )
-        self.moves = made.make_counter("spoolhead_moves", "Runs that went on elsewhere.")
-        self.alarms = made.make_counter("spoolhead_alarms", "Instances said not to be well.")
-        self.keepers_lost = made.make_counter(
+        self.moves = metrics.make_counter("spoolhead_moves", "Runs that went on elsewhere.")
+        self.alarms = metrics.make_counter("spoolhead_alarms", "Instances said not to be well.")
+        self.keepers_lost = metrics.make_counter(
             "spoolhead_keepers_lost", "Streams to keepers that ended."
         )
-        self.table_version = made.make_gauge(
+        self.table_version = metrics.make_gauge(
             "spoolhead_table_version", "Version of the route table in force."
         )
-        self.evacuated_halls = made.make_gauge(
+        self.evacuated_halls = metrics.make_gauge(
             "spoolhead_evacuated_halls", "Halls to which nothing more is sent."
         )
-        self.limited_upstreams = made.make_gauge(
+        self.limited_upstreams = metrics.make_gauge(
             "spoolhead_limited_upstreams", "Instances that state a rate limit."
         )
-        self.held_contents = made.make_gauge(
+        self.held_contents = metrics.make_gauge(
             "spoolhead_held_contents",
             "Contents of requests that are held since instances ended under them.",
         )
-        self.in_flight = made.make_gauge("spoolhead_in_flight", "Requests in hand.")
-        self.waiting = made.make_gauge(
+        self.in_flight = metrics.make_gauge("spoolhead_in_flight", "Requests in hand.")
+        self.waiting = metrics.make_gauge(
             "spoolhead_waiting", "Generations that wait at this entry for an engine with room."
         )
-        self.news_age_ms = made.make_gauge(
+        self.news_age_ms = metrics.make_gauge(
             "spoolhead_news_age_ms", "Age of what is known of other entries' work; -1 for none."
         )
-        self.room_wait_ms = made.make_histogram(
+        self.room_wait_ms = metrics.make_histogram(
             "spoolhead_room_wait_ms", "Time for which a generation waited before it was sent."
         )
-        self.request_ms = made.make_histogram(
+        self.request_ms = metrics.make_histogram(
             "spoolhead_request_ms", "Time from arrival to the end of the answer.", "kind"
         )
-        self.first_event_ms = made.make_histogram(
+        self.first_event_ms = metrics.make_histogram(
             "spoolhead_first_event_ms", "Time from arrival to the first event of a stream."
         )
-        self.longest_pause_ms = made.make_histogram(
+        self.longest_pause_ms = metrics.make_histogram(
             "spoolhead_longest_pause_ms", "Longest pause between events of a stream."
         )
 
     def record_end(self, kind: route_table.RequestKind, outcome: str, age_ms: float) -> None:
-        """Take note of a request that has ended.
+        """Record a finished request.
 
         :param outcome: ``answered``, ``refused``, ``failed`` or ``left``.
         """
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""One routed request from its arrival to the end of its answer: what all kinds share."""
+"""Base class for the handling of one routed request, from its arrival to the end of its answer."""
 
 import logging
 from collections.abc import Callable
@@ -18,23 +18,24 @@
 logger = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 300
-"""When to come back after a refusal because of failures: about a round of the balancer's
-connections and of the shortest rest of an upstream."""
+"""Value of Retry-After for refusals because of failures: about the time in which the load balancer
+goes through its connections, and that of the shortest ejection of an upstream."""
 
 
 PERMIT_WAIT_FRACTION = 1 / 6
-"""Part of its time for which a request waits for a permit where all instances are limited, and no
-longer than its route's objective: after that its caller may as well come back."""
+"""Fraction of a request's timeout for which it waits for a permit if all instances are
+rate-limited. The route's objective bounds the wait, too: beyond it, the caller does as well to
+retry."""
 
 
 class Exchange:
-    """One request. Subclasses say what is done with an attempt's answer.
+    """One request and its attempts. Subclasses define how answers are handled.
 
     :param job: the request and its route.
-    :param caller: who gets the answer.
-    :param context: what all exchanges share.
-    :param on_end: called once it is over.
-    :ivar is_over: the exchange has ended.
+    :param caller: receives the answer.
+    :param context: components that all exchanges of the entry share.
+    :param on_end: called once when the exchange ends.
+    :ivar is_over: whether the exchange has ended.
     """
 
     def __init__(
@@ -68,15 +69,15 @@
 
     @property
     def remaining_ms(self) -> int:
-        """Time left."""
+        """Time until the request's deadline, in milliseconds."""
         return max(0, int((self._deadline_s - clocks.get_s()) * 1000))
 
     def is_late(self) -> bool:
-        """Tell whether the route's objective has passed since the request came."""
+        """Return whether the request is older than the route's objective."""
         return (clocks.get_s() - self._arrived_s) * 1000 > self.job.route.objective_ms
 
     def get_log_fields(self) -> dict[str, object]:
-        """Return the fields that each log line of the request has."""
+        """Return the log fields that are common to all log lines of the request."""
         return {
             "request": self.job.head.request_id,
             "content": self.job.content_id.hex(),
@@ -87,7 +88,7 @@
         }
 
     def begin(self) -> None:
-        """Make the first attempt, unless the request is held since it ends what runs it."""
+        """Make the first attempt, unless the content is quarantined for crashing instances."""
         content_id = self.job.content_id
         match self._context.contents.evaluate(content_id):
             case quarantine.Verdict.REFUSE:
@@ -102,9 +103,9 @@
                 self.start()
 
     def reject_held(self) -> None:
-        """Refuse the request, or give it up where it runs and nothing was passed on yet.
+        """Refuse a request with quarantined content, unless its answer has begun.
 
-        When to come back is not said: its next run would end another instance.
+        The refusal carries no Retry-After: another run might crash another instance.
         """
         if self._is_trial or self.caller.is_started:
             return
@@ -112,7 +113,10 @@
         self.fail(held.code, held.text, retry_after_ms=None)
 
     def choose(self, need_tokens: int) -> upstream_choice.Choice:
-        """Choose an instance that was not tried yet."""
+        """Choose an instance that was not tried yet.
+
+        :param need_tokens: memory that the request needs there, in tokens.
+        """
         context = self._context
         now_s = clocks.get_s()
         view = upstream_choice.View(
@@ -133,16 +137,16 @@
             view=view,
         )
         if self._prefers_least_shared:
-            # What may end its instance should take few others with it.
+            # A suspect request may crash its instance; few other requests should run there.
             choice = choice.prefer_least_shared()
         return choice.prefer(
             lambda upstream: upstream.instance.incarnation_id == self._permitted_id
         )
 
     def request_permit_if_limited(self, choice: upstream_choice.Choice) -> bool:
-        """Ask for a permit if the chosen instance is limited.
+        """Request a permit if the chosen instance is rate-limited.
 
-        :returns: whether the request has to wait; :meth:`on_permit` is called with the reply.
+        :returns: whether the request has to wait; :meth:`on_permit` is called after the reply.
         """
         upstream = choice.upstream
         if upstream is None or upstream.instance.incarnation_id == self._permitted_id:
@@ -165,15 +169,15 @@
         return True
 
     def on_permit(self) -> None:
-        """Go on, now that it is known whether the chosen instance may take the request."""
+        """Continue after the reply to a permit request, whether it was granted or not."""
         raise NotImplementedError
 
     def _get_permit_wait_ms(self, choice: upstream_choice.Choice) -> int:
-        """Return how long the request may wait for a permit: not where others may take it."""
+        """Return how long the request may wait for a permit; 0 if unlimited instances remain."""
         if not all(self._context.gate.is_limited(item.upstream) for item in choice.candidates):
             return 0
-        longest_ms = min(self._wait_ms * PERMIT_WAIT_FRACTION, self.job.route.objective_ms)
-        waits_until_s = self._arrived_s + longest_ms / 1000
+        max_wait_ms = min(self._wait_ms * PERMIT_WAIT_FRACTION, self.job.route.objective_ms)
+        waits_until_s = self._arrived_s + max_wait_ms / 1000
         return max(0, int((waits_until_s - clocks.get_s()) * 1000))
 
     def _handle_permit(self, upstream: upstream_registry.Upstream, is_granted: bool) -> None:
@@ -188,7 +192,7 @@
         self.on_permit()
 
     def log_choice(self, action: str, choice: upstream_choice.Choice) -> None:
-        """Log where the request goes and what it was chosen from."""
+        """Log the chosen instance and the best candidates."""
         chosen = choice.upstream.instance.incarnation_id if choice.upstream is not None else ""
         fields = {
             **self.get_log_fields(),
@@ -201,7 +205,7 @@
             "remaining_ms": self.remaining_ms,
         }
         if choice.blocked:
-            fields["barred"] = {bar.value: count for bar, count in choice.blocked.items()}
+            fields["barred"] = {reason.value: count for reason, count in choice.blocked.items()}
         logger.info(action, extra={"fields": fields})
 
     def send_attempt(
@@ -223,7 +227,7 @@
             upstream.instance.address,
             data,
             user,
-            # A kept connection may be dead unseen, which a caller would pay for with its time.
+            # An idle connection may have failed unnoticed, which would delay the request.
             fresh=True,
             is_head=wire.method == "HEAD",
         )
@@ -235,9 +239,9 @@
         *,
         retry_after_ms: int | None = RETRY_AFTER_MS,
     ) -> None:
-        """Give the request its final answer at once.
+        """Send the final error answer and end the exchange.
 
-        :param retry_after_ms: when to come back if it has not run; None to say nothing of it.
+        :param retry_after_ms: Retry-After for a request that has not run; None for no header.
         """
         if self.is_over:
             return
@@ -263,7 +267,7 @@
         self.end(outcome)
 
     def end(self, outcome: str = "answered") -> None:
-        """Take the request out of the books.
+        """End the exchange: release its resources and record its outcome.
 
         :param outcome: ``answered``, ``refused``, ``failed`` or ``left``.
         """
@@ -282,12 +286,12 @@
         raise NotImplementedError
 
     def release(self) -> None:
-        """Cancel what runs and give back what the request holds."""
+        """Cancel the current attempt and release all that is reserved for the request."""
         raise NotImplementedError
 
     @property
     def has_sent(self) -> bool:
-        """Whether any byte of the request may have reached an instance."""
+        """Whether any byte of the current attempt may have reached an instance."""
         attempt = self._attempt
         if attempt is None or attempt.call is None:
             return False
@@ -296,7 +300,7 @@
     def handle_head(
         self, attempt: attempts.Attempt, status: int, headers: upstream_calls.Headers
     ) -> None:
-        """Take the head of an attempt's answer."""
+        """Handle the head of an attempt's answer."""
         if attempt is not self._attempt:
             return
         now_s = clocks.get_s()
@@ -314,7 +318,7 @@
             self._context.on_replaced(attempt.upstream)
 
     def record_loss(self, attempt: attempts.Attempt, reason: str) -> None:
-        """Take note of an attempt whose connection was lost, or was never made."""
+        """Record an attempt whose connection was lost or could not be established."""
         assert attempt.call is not None
         is_unreachable = not attempt.call.may_have_arrived
         if reason == links.CONNECT_TIMEOUT:
@@ -330,7 +334,7 @@
             logger.warning("upstream ejected", extra={"fields": fields})
 
     def _record_lost_run(self, attempt: attempts.Attempt) -> None:
-        """Take note that the request was at an instance which may have ended under it."""
+        """Record that the request was lost at an instance that it may have crashed."""
         upstream = attempt.upstream
         if upstream.is_expected_to_end(clocks.get_s()):
             return
@@ -339,7 +343,7 @@
         self._context.query_end(upstream)
 
     def _record_abandoned_run(self, attempt: attempts.Attempt) -> None:
-        """Take note that the request is abandoned at an instance which may yet end under it."""
+        """Record that the request was abandoned at an instance that it may still crash."""
         assert attempt.call is not None
         upstream = attempt.upstream
         if upstream.is_expected_to_end(clocks.get_s()) or not attempt.call.may_have_arrived:
@@ -348,14 +352,14 @@
         self._context.contents.record_abandoned(incarnation_id, self.job.content_id, attempt.sent_s)
 
     def record_whole_answer(self, status: int) -> None:
-        """Take note of an instance's whole answer."""
+        """Record a complete answer, which may show the content to be harmless."""
         if quarantine.shows_harmless(status, is_trial=self._is_trial):
             self._context.contents.record_harmless(self.job.content_id)
 
     def on_upstream_ended(self) -> None:
-        """End the present attempt if the run of the instance that it went to is over.
+        """End the current attempt if its instance has restarted.
 
-        Its connection may not tell, as behind a cut.
+        The connection may not show that, for example behind a network partition.
         """
         attempt = self._attempt
         if attempt is None or attempt.call is None or attempt.has_ended:
@@ -365,7 +369,7 @@
             attempt.on_call_lost("the upstream has started again")
 
     def cancel_attempt(self) -> None:
-        """Cancel the present attempt and give back what it holds."""
+        """Cancel the current attempt and release its load at the instance."""
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
@@ -376,18 +380,18 @@
             attempt.call.cancel()
 
     def fail_without_upstream(self, choice: upstream_choice.Choice) -> None:
-        """Refuse the request, since no instance may take it."""
+        """Refuse the request because no instance is available for it."""
         text = f"no upstream of {self.job.service.name} is usable"
-        come_back_ms = choice.retry_after_ms
-        if come_back_ms is None:
-            come_back_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
-        self.fail(codes.ResultCode.NO_UPSTREAM, text, retry_after_ms=come_back_ms)
+        retry_after_ms = choice.retry_after_ms
+        if retry_after_ms is None:
+            retry_after_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
+        self.fail(codes.ResultCode.NO_UPSTREAM, text, retry_after_ms=retry_after_ms)
 
     def _on_deadline(self) -> None:
         self.fail(codes.ResultCode.DEADLINE_DURING_RUN, "the time for the request is over")
 
     def _run_claimed_trial(self) -> None:
-        """Run a held request by itself, if no other entry does."""
+        """Run the trial of a held content, unless another entry has claimed it."""
         if self.is_over:
             return
         if not self._context.contents.may_run_trial(self.job.content_id):
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -1,4 +1,4 @@
-"""What all exchanges of an entry share."""
+"""Components that all exchanges of an entry share."""
 
 import random
 from collections.abc import Callable
@@ -18,31 +18,32 @@
 
 
 class Context:
-    """What all exchanges of an entry share.
+    """Components that all exchanges of an entry share.
 
     :ivar config: the entry's settings.
-    :ivar dialect: how callers and instances speak.
+    :ivar dialect: adapter for the wire formats of callers and instances.
     :ivar calls: makes HTTP requests.
-    :ivar timers: calls back.
-    :ivar registry: the instances.
-    :ivar rng: source of random numbers.
-    :ivar on_change: called when what this entry holds at an instance has changed.
-    :ivar on_lost_request: called with the id of an instance that took a request and lost it.
-    :ivar on_answer: called with an instance, the head of its answer and when it came.
-    :ivar on_replaced: called with an instance at whose address another one was found to answer.
-    :ivar get_silent_halls: returns the halls from which nothing has been heard for a while.
-    :ivar get_load_age_ms: returns the age of what is known of other entries' work.
+    :ivar timers: scheduler for timers.
+    :ivar registry: the known instances.
+    :ivar rng: random number generator.
+    :ivar on_change: called when this entry's load at an instance has changed.
+    :ivar on_lost_request: called with the incarnation id of an instance that accepted a request
+        and lost it.
+    :ivar on_answer: called with an instance, the head of its answer and the time of arrival.
+    :ivar on_replaced: called with an instance at whose address another one answers.
+    :ivar get_silent_halls: returns the halls that are silent.
+    :ivar get_load_age_ms: returns the age of the load data received from other entries.
     :ivar metrics: counters and histograms.
-    :ivar queue: generations that wait for an engine with room.
-    :ivar entry_count: entries that there are.
-    :ivar reach: which halls can be reached.
-    :ivar cold_starts: what this entry may send to instances that are cold.
-    :ivar gate: what bounds this entry's requests to instances.
+    :ivar queue: generations that wait for an engine with free capacity.
+    :ivar entry_count: number of known entries.
+    :ivar reach: tracks which halls are reachable.
+    :ivar cold_starts: quotas for requests to cold instances.
+    :ivar gate: decides whether an instance may receive a request.
     :ivar limits: rate limits that instances stated.
-    :ivar permits: asks for leave to send to limited instances.
-    :ivar contents: what is known of requests that may end instances.
-    :ivar query_end: called with an instance that took a request and lost it, to find out whether it
-        has ended.
+    :ivar permits: requests permits for rate-limited instances.
+    :ivar contents: tracks request contents that may crash instances.
+    :ivar query_end: called with an instance that accepted a request and lost it, to find out
+        whether it has terminated.
     """
 
     __slots__ = (
@@ -117,13 +118,13 @@
         self._allowances: dict[str, retry_allowance.RetryAllowance] = {}
 
     def get_cut_off_halls(self, now_s: float) -> frozenset[str]:
-        """Return the halls that cannot be reached just now."""
+        """Return the halls that are currently cut off."""
         return self.reach.get_cut_off_halls(self.get_silent_halls(), now_s)
 
     def query_end_if_abandoned(self, upstream: upstream_registry.Upstream) -> None:
-        """Find out whether an instance that is not well has ended, where nothing else would tell.
+        """Query whether an unhealthy instance has terminated, if requests were abandoned there.
 
-        It may have ended under a request that this entry abandoned.
+        One of these requests may have crashed it, and no connection is left to show that.
         """
         if upstream.is_expected_to_end(clocks.get_s()):
             return
@@ -131,7 +132,7 @@
             self.query_end(upstream)
 
     def get_allowance(self, service: str) -> retry_allowance.RetryAllowance:
-        """Return the allowance of second attempts for a service."""
+        """Return the allowance for repeated attempts at a service."""
         allowance = self._allowances.get(service)
         if allowance is None:
             allowance = self._allowances[service] = retry_allowance.RetryAllowance(
--- a/src/spoolhead/_internal/gateway/followed_keeper.py
+++ b/src/spoolhead/_internal/gateway/followed_keeper.py
@@ -1,4 +1,4 @@
-"""One keeper that an entry follows: its stream, and what it has told on it."""
+"""State of an entry's stream to one keeper: versions, instances and fleet that it reported."""
 
 import logging
 from collections.abc import Mapping, Sequence
@@ -11,11 +11,11 @@
 
 
 class KnownFleet:
-    """What one keeper knows of the fleet.
+    """The fleet as one keeper reports it.
 
     :ivar hall: hall of the keeper.
-    :ivar keepers: addresses of the keepers.
-    :ivar entries: the entries connected with it, by name.
+    :ivar keepers: addresses of all keepers.
+    :ivar entries: the entries that are connected to it, by name.
     """
 
     __slots__ = ("entries", "hall", "keepers")
@@ -25,8 +25,8 @@
         self.keepers: list[str] = []
         self.entries: dict[str, fleet.Process] = {}
 
-    def take(self, message: route_messages.Fleet) -> None:
-        """Take over what has changed."""
+    def apply(self, message: route_messages.Fleet) -> None:
+        """Apply the changes in a message."""
         self.hall = message.hall
         self.keepers = message.keepers
         for name in message.gone:
@@ -38,33 +38,34 @@
 
 
 class Follower(Protocol):
-    """Who follows the keeper."""
+    """The owner of a followed keeper, which handles its events."""
 
     def make_client(self, address: str, keeper: "FollowedKeeper") -> peer_client.PeerClient:
-        """Return a new stream to a keeper."""
+        """Return a client for a new stream to a keeper."""
 
     def on_keeper_ready(self, keeper: "FollowedKeeper") -> None:
-        """The stream stands."""
+        """Called when the stream is established."""
 
     def on_keeper_message(self, keeper: "FollowedKeeper", message: messages.Message) -> None:
-        """The keeper sent a message."""
+        """Called with a message of the keeper."""
 
     def on_keeper_lost(self, keeper: "FollowedKeeper") -> None:
-        """The stream is over."""
+        """Called when the stream has ended."""
 
 
 class FollowedKeeper:
-    """One keeper that is followed.
+    """One keeper whose route table, instance list and fleet data an entry follows.
 
-    :param follower: is told what happens.
+    :param follower: handles the events of the stream.
     :param address: ``IP:PORT`` of the keeper.
-    :ivar client: the stream.
-    :ivar version: newest version that it told.
-    :ivar is_confirmed: what it told on the present stream, a leader has told it.
-    :ivar fetch_sent_s: monotonic time at which a table was asked for that has not come; 0 for none.
-    :ivar evacuated: the halls that it told to be evacuated; None before it told any on this stream.
-    :ivar listed: the instances that it lists, by id; None before a whole list on this stream.
-    :ivar fleet: what it knows of the fleet; None before it told that on this stream.
+    :ivar client: client of the stream.
+    :ivar version: newest table version that the keeper reported.
+    :ivar is_confirmed: whether a leader has confirmed the keeper's state, as reported on the
+        current stream.
+    :ivar fetch_sent_s: monotonic time of a table request without an answer; 0 for none.
+    :ivar evacuated: the evacuated halls; None until the keeper reports them on this stream.
+    :ivar listed: the listed instances by id; None until a complete list arrives on this stream.
+    :ivar fleet: the fleet; None until the keeper reports it on this stream.
     """
 
     def __init__(self, follower: Follower, address: str) -> None:
@@ -80,15 +81,15 @@
         self.client = follower.make_client(address, self)
 
     def on_peer_ready(self) -> None:
-        """Tell that the stream stands."""
+        """Notify the follower that the stream is established."""
         self._follower.on_keeper_ready(self)
 
     def on_peer_message(self, message: messages.Message) -> None:
-        """Pass a message on."""
+        """Forward a message to the follower."""
         self._follower.on_keeper_message(self, message)
 
     def on_peer_lost(self) -> None:
-        """Forget what holds for one stream only, and tell that it is over."""
+        """Reset the state of the stream and notify the follower that it has ended."""
         self._has_reported = False
         self.is_confirmed = False
         self.fetch_sent_s = 0.0
@@ -98,9 +99,9 @@
         self._follower.on_keeper_lost(self)
 
     def handle_version(self, message: route_messages.RouteTableVersion, taken_version: int) -> None:
-        """Take the version that it tells.
+        """Handle the table version that the keeper reports.
 
-        :param taken_version: the one that the entry has in force.
+        :param taken_version: version of the table that the entry has in force; only logged.
         """
         if not self._has_reported or self.is_confirmed is not message.is_confirmed:
             fields = {
@@ -115,19 +116,22 @@
         self.version = message.version
 
     def handle_fleet(self, message: route_messages.Fleet) -> None:
-        """Take what it knows of the fleet."""
+        """Handle a complete or incremental report of the fleet."""
         if message.is_whole or self.fleet is None:
             self.fleet = KnownFleet()
-        self.fleet.take(message)
+        self.fleet.apply(message)
 
     def apply_list(
         self,
         message: route_messages.InstanceList,
-        known: Sequence[Mapping[str, instances.Instance]],
+        other_lists: Sequence[Mapping[str, instances.Instance]],
     ) -> None:
-        """Change what it lists; without a whole list on this stream there is nothing to.
+        """Apply a complete instance list, or changes to the list received on this stream.
 
-        :param known: what other keepers list; what is told alike is kept once.
+        Changes are ignored until a complete list has arrived.
+
+        :param other_lists: the lists of other keepers; equal instances share one object with them
+            to save memory.
         """
         try:
             changed = instances.unpack(message.changed)
@@ -141,19 +145,20 @@
         for instance_id in message.gone:
             self.listed.pop(instance_id, None)
         for item in changed:
-            self.listed[item.instance_id] = _find_same(item, known)
+            self.listed[item.instance_id] = _find_same(item, other_lists)
 
 
 def _find_same(
-    item: instances.Instance, known: Sequence[Mapping[str, instances.Instance]]
+    item: instances.Instance, other_lists: Sequence[Mapping[str, instances.Instance]]
 ) -> instances.Instance:
-    """Return an equal instance that is known, or the given one.
+    """Return an equal instance from other lists, or the given one.
 
-    Two readings of a cold instance are told apart by identity, as each begins its time anew.
+    A cold instance is never shared: each reading restarts its cold period, and readings are
+    distinguished by identity.
     """
     if item.cold_ms:
         return item
-    for listed in known:
+    for listed in other_lists:
         other = listed.get(item.instance_id)
         if other == item:
             return other
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -1,8 +1,8 @@
-"""Asks model engines for their health, to hear of a departure before the list tells it.
+"""Probes the health of model engines, to detect departures before the instance list shows them.
 
-An engine that is being emptied says so at once, while the platform's list runs most of a
-second behind, and what is told too late cannot be moved in time. A bad answer is taken as an
-alarm and not as the truth: it passes unless the list confirms it.
+An engine that is being drained reports this at once, while the platform's list lags by most of a
+second, which is too late to migrate its runs. A bad answer raises an alarm, which expires unless
+the list confirms it.
 """
 
 import logging
@@ -19,20 +19,20 @@
 logger = logging.getLogger(__name__)
 
 ANSWER_TIMEOUT_S = 0.5
-"""Longest wait for an answer: many times the usual few milliseconds."""
+"""Timeout of a probe; many times the usual few milliseconds."""
 
 MIN_SILENT_PROBES = 2
-"""Questions in a row without any answer that raise an alarm. One comes from this entry itself
-standing still for half a second, or its link, and would have every engine emptied at once."""
+"""Consecutive probes without any answer after which an alarm is raised. With one, a stall of half a
+second of this entry or its link would have every engine drained at once."""
 
 LIMITED_PROBE_INTERVAL_S = 1.0
-"""Least pause between two questions to an instance that states a rate limit."""
+"""Minimum interval between two probes of an instance that states a rate limit."""
 
 _OK = 200
 
 
 class _Probe:
-    """One question; its answer raises an alarm if it is bad."""
+    """One health probe of an instance; a bad answer raises an alarm."""
 
     __slots__ = (
         "began_s",
@@ -83,23 +83,23 @@
 
 
 class HealthWatch:
-    """Watches the engines that fall to this entry.
+    """Probes the engines that are assigned to this entry.
 
-    :param loop: root of the program.
+    :param loop: event loop of the program.
     :param calls: makes HTTP requests.
     :param config: the entry's settings.
-    :param dialect: how instances speak.
-    :param registry: the instances.
-    :param get_table: returns the table in force.
-    :param get_entries: returns the entries that are alive.
-    :param get_silent_halls: returns the halls that look cut off; nothing is asked there, since
-        no answer would say nothing of an instance.
-    :param on_alarm: called with an instance that was found bad, and how.
-    :param on_cold: called with an instance that has just said to be cold, and for how many
-        milliseconds more.
-    :param on_replaced: called with an instance at whose address another one was found to answer.
-    :param on_answer: called with the head of each answer of the instance that was asked.
-    :param is_limited: tells whether an instance states a rate limit.
+    :param dialect: adapter for the wire format of instances.
+    :param registry: the known instances.
+    :param get_table: returns the route table in force.
+    :param get_entries: returns all live entries, among which the engines are divided.
+    :param get_silent_halls: returns the silent halls; nothing is probed there, since a missing
+        answer would not be the instance's fault.
+    :param on_alarm: called with an unhealthy instance and the kind of alarm.
+    :param on_cold: called with an instance that newly reports to be cold, and the remaining time
+        in milliseconds.
+    :param on_replaced: called with an instance at whose address another one answers.
+    :param on_answer: called with the head of each answer of the probed instance itself.
+    :param is_limited: returns whether an instance states a rate limit.
     """
 
     def __init__(
@@ -138,13 +138,14 @@
         loop.scheduler.call_every(config.health_interval_ms / 1000, self._probe_all)
 
     def handle_probe_end(self, probe: _Probe, outcome: str, *, is_silent: bool = False) -> None:
-        """Take the answer to a question, or its loss.
+        """Handle the answer to a probe, or its failure.
 
-        :param is_silent: nothing came at all, not even a refusal.
+        :param outcome: description of the result for the log.
+        :param is_silent: whether nothing arrived at all, not even a refused connection.
         """
         incarnation_id = probe.upstream.instance.incarnation_id
         self._probes.pop(incarnation_id, None)
-        silences = self._silent_probes.pop(incarnation_id, 0)
+        silent_count = self._silent_probes.pop(incarnation_id, 0)
         if probe.instance_id not in ("", probe.upstream.instance.instance_id):
             self._handle_replaced(probe.upstream, probe.instance_id)
             return
@@ -153,12 +154,12 @@
         if probe.status == _OK or probe.upstream.is_leaving:
             return
         if probe.has_not_run:
-            # It is full: a question waits for a slot as a request does, and is refused as one.
+            # The instance is at capacity: a probe needs a slot like any other request.
             return
         if probe.upstream.instance.hall in self._get_silent_halls():
             return
-        if is_silent and silences + 1 < MIN_SILENT_PROBES:
-            self._silent_probes[incarnation_id] = silences + 1
+        if is_silent and silent_count + 1 < MIN_SILENT_PROBES:
+            self._silent_probes[incarnation_id] = silent_count + 1
             return
         now_s = clocks.get_s()
         kind = (
@@ -170,7 +171,7 @@
             self._on_alarm(probe.upstream, kind)
 
     def _handle_replaced(self, upstream: upstream_registry.Upstream, instance_id: str) -> None:
-        """Take note that another instance answers where this one was."""
+        """Record that another instance answers at this one's address."""
         if not upstream.record_replaced(clocks.get_s()):
             return
         fields = {"upstream": upstream.instance.incarnation_id, "answers": instance_id}
@@ -178,7 +179,7 @@
         self._on_replaced(upstream)
 
     def _handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
-        """Take an instance's word that it is cold, and pass on what is news."""
+        """Record that an instance reports to be cold, and notify of it if that is new."""
         if not upstream.record_cold(cold_ms, clocks.get_s()):
             return
         fields = {"upstream": upstream.instance.incarnation_id, "for_ms": cold_ms}
@@ -186,7 +187,7 @@
         self._on_cold(upstream, cold_ms)
 
     def retry_probe(self, probe: _Probe) -> None:
-        """Repeat on a new connection a question whose kept connection turned out to be gone."""
+        """Repeat a probe on a new connection after its reused connection proved to be closed."""
         self._send(probe, fresh=True)
 
     def _probe_all(self) -> None:
@@ -214,7 +215,7 @@
                     self._start_probe(upstream, service.health_path)
 
     def _may_probe(self, upstream: upstream_registry.Upstream, now_s: float) -> bool:
-        """Tell whether a probe fits the rest or the rate limit that the instance asked for."""
+        """Return whether the instance's rest and rate limit permit a probe now."""
         if upstream.rest.is_resting(now_s):
             return False
         incarnation_id = upstream.instance.incarnation_id
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -1,9 +1,9 @@
-"""An entry's side of the datagrams that tell who holds what at the instances.
+"""Exchanges the load of instances with other entries by datagrams.
 
-The entry reports to one hub and gets that hub's updates. What they come to is worked out in
-:mod:`spoolhead._internal.policy.load_view`; which hub it is, in
-:mod:`spoolhead._internal.policy.hub_choice`. Any entry can be the hub of its hall where no keeper
-can be reached.
+The entry reports its own load to one hub and receives updates from it.
+:mod:`spoolhead._internal.policy.load_view` aggregates the updates, and
+:mod:`spoolhead._internal.policy.hub_choice` selects the hub. An entry acts as a hub for its hall if
+no keeper is reachable.
 """
 
 import logging
@@ -21,26 +21,27 @@
 logger = logging.getLogger(__name__)
 
 COALESCE_S = 0.002
-"""Changes within this time are reported together: what moves names two instances in one turn of the
-loop. More would let others choose the same engine meanwhile; bytes are bounded by the next line."""
+"""Changes within this time share one report: a migration changes two instances in one turn of
+the loop. With a longer time, others would choose the same engine meanwhile.
+:data:`REPORT_BYTES_PER_S` bounds the traffic."""
 REPORT_BYTES_PER_S = 6_000
-"""What reports may come to: a third of what a process may spend on control. A report names what the
-entry holds, some 60 bytes with four runs and 1.4 KB with 120 at as many instances."""
+"""Bandwidth limit for reports: a third of the control traffic that a process may send. A report
+lists the entry's load: some 60 bytes with four runs, 1.4 KB with 120 runs at as many instances."""
 REPORT_INTERVAL_S = 0.25
-"""Time after which the same is reported again, so that the hub knows the entry to be alive."""
+"""Interval at which an unchanged report is repeated, so that the hub knows the entry is alive."""
 HUB_CHECK_INTERVAL_S = 0.1
-"""Pause between looks at the hub; a third of the silence that makes one look for another."""
+"""Interval between checks of the hub; a third of the silence after which another is chosen."""
 BEACON_ENTRIES = 3
-"""Entries of a hall that show themselves to all hubs, not to theirs alone: where hubs are cut off
-from each other only, the halls behind them are still heard. Three, as two may fail together."""
+"""Entries of a hall that send beacons to all hubs, not only to their own: if only the hubs are cut
+off from each other, their halls are still heard. Three, because two may fail together."""
 BEACON_INTERVAL_S = 0.2
-"""Pause between two such signs; a third of the silence that makes a hall count as cut off."""
+"""Interval between beacons; a third of the silence after which a hall counts as cut off."""
 ENTRY_HUBS = 2
-"""Entries of a hall, the first by name, that are its hub where no keeper can be reached."""
+"""Number of entries of a hall, the first by name, that serve as hubs if no keeper is reachable."""
 HALL_CHECK_INTERVAL_S = 0.2
-"""Pause between looks at which halls are silent; a third of the silence that makes one so."""
+"""Interval between checks for silent halls; a third of the silence after which a hall is silent."""
 REBUILD_INTERVAL_S = 1.0
-"""Pause between looks at whether what was told is too old."""
+"""Interval at which the load view is rebuilt, to remove outdated reports."""
 
 _SAME_HALL_KEEPER = 0
 _OTHER_HALL_KEEPER = 1
@@ -48,18 +49,18 @@
 
 
 class LoadSharing:
-    """Reports what this entry holds and takes what the others hold.
+    """Reports this entry's load and handles the load of the others.
 
-    :param timers: calls back.
+    :param timers: scheduler for timers.
     :param config: the entry's settings.
-    :param registry: the instances.
-    :param contents: what is known of requests that may end instances; told along.
-    :param limits: rate limits that instances stated; told along.
+    :param registry: the known instances.
+    :param contents: contents that may crash instances; included in reports.
+    :param limits: rate limits that instances stated; included in reports.
     :param send: sends a datagram.
-    :param on_alarm: called with an instance that another entry found bad.
-    :param on_load_update: called when what others hold has changed.
+    :param on_alarm: called with an instance that another entry reported unhealthy or leaving.
+    :param on_load_update: called when the load of other entries has changed.
     :param clock: monotonic time in seconds.
-    :param wall_clock: the time of day in seconds.
+    :param wall_clock: Unix time in seconds.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         self._fleet = fleet.Fleet()
         self._view = load_view.LoadView(config.hall, registry)
         self._choice = hub_choice.HubChoice(config.name)
-        # A restarted entry must not begin below the numbers of its former self.
+        # Sequence numbers must exceed those of the entry's previous incarnation.
         self._sequence = int(wall_clock() * 1000)
         hub = load_hub.LoadHub(config.name, self._sequence)
         self._hub_port = hub_port.HubPort(
@@ -112,11 +113,11 @@
 
     @property
     def has_snapshot(self) -> bool:
-        """Whether the hub has sent all that it knows."""
+        """Whether the current hub has sent its complete state."""
         return self._view.has_snapshot
 
     def set_fleet(self, known: fleet.Fleet) -> None:
-        """Take over which processes there are."""
+        """Set the known keepers and entries, and update the candidates for the hub."""
         self._fleet = known
         candidates = [
             hub_choice.Candidate(
@@ -131,51 +132,54 @@
         self._check_hub()
 
     def record_keeper_lost(self, address: str) -> None:
-        """Take note of a keeper whose stream ended: it is no hub for a while."""
+        """Record that the stream to a keeper ended; it is not used as a hub for a while."""
         self._choice.record_lost(endpoints.split(address), self._clock())
         self._check_hub()
 
     def get_entries(self) -> Sequence[fleet.Process]:
-        """Return the entries that there are, this one among them."""
+        """Return the known entries, including this one."""
         if any(entry.name == self._name for entry in self._fleet.entries):
             return self._fleet.entries
         own = fleet.Process(name=self._name, hall=self._hall, address="")
         return (*self._fleet.entries, own)
 
     def get_silent_halls(self) -> frozenset[str]:
-        """Return the halls that were heard of and are silent, as behind a cut."""
+        """Return the known halls that are silent, for example behind a network partition."""
         return self._view.get_silent_halls(self._clock())
 
     def is_isolated(self) -> bool:
-        """Tell whether nothing is heard of any other hall, as in one that is cut off."""
+        """Return whether all other halls are silent, which suggests that this hall is cut off."""
         return self._view.is_isolated(self._clock())
 
     def get_load_age_ms(self) -> int:
-        """Return the age of what is known of the others; -1 if nothing is."""
+        """Return the age of the load data of other entries in milliseconds; -1 without data."""
         return self._view.get_age_ms(self._clock())
 
     def broadcast_alarm(
         self, incarnation_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0
     ) -> None:
-        """Tell all other entries at once of an instance that was found bad, or cold."""
+        """Report an alarm about an instance to all other entries at once.
+
+        :param for_ms: time for which the alarm is in force; 0 if it has no such time.
+        """
         self._alarms.raise_alarm(incarnation_id, kind, self._clock(), for_ms=for_ms)
         self._report()
 
     def broadcast_failure(self, incarnation_id: str) -> None:
-        """Tell all other entries of an instance that lost a request, now and then."""
+        """Report an instance that lost a request to all other entries, at a limited rate."""
         if self._alarms.is_failure_due(incarnation_id, self._clock()):
             self.broadcast_alarm(incarnation_id, shared_load.AlarmKind.LOST_REQUEST)
 
     def broadcast_contents(self) -> None:
-        """Tell soon what is new of contents that may end instances."""
+        """Schedule a report with new data on contents that may crash instances."""
         self.schedule_report()
 
     def broadcast_limits(self) -> None:
-        """Tell all other entries at once that an instance changed its rate limit."""
+        """Report at once that an instance changed its rate limit."""
         self._report()
 
     def schedule_report(self) -> None:
-        """Report this entry's work soon."""
+        """Schedule a report of this entry's load, within the bandwidth limit."""
         if self._report_timer is not None:
             return
         free_s = self._reported_s + self._report_bytes / REPORT_BYTES_PER_S
@@ -183,7 +187,7 @@
         self._report_timer = self._timers.call_later(delay_s, self._report)
 
     def refresh(self) -> None:
-        """Count again what the others hold, after the list of instances has changed."""
+        """Recompute the load of the other entries; due after the instance list has changed."""
         now_s = self._clock()
         self._alarms.handle_list_change(now_s)
         self._view.rebuild(now_s)
@@ -193,7 +197,7 @@
         message: shared_load.Report | shared_load.Totals | shared_load.Update,
         sender: endpoints.Endpoint,
     ) -> None:
-        """Take a datagram."""
+        """Handle a datagram of another process."""
         if isinstance(message, shared_load.Update):
             self._handle_update(message, sender)
         else:
@@ -205,12 +209,12 @@
         self._contents.handle_update(update.hub, update.contents)
         self._limits.merge(update.limits, now_s, reported_by=update.hub)
         before = self._choice.current
-        heard = self._choice.record_update(sender, now_s)
-        if heard is hub_choice.UpdateSource.OTHER:
-            # A hub that has not heard that this entry left it.
+        source = self._choice.record_update(sender, now_s)
+        if source is hub_choice.UpdateSource.OTHER:
+            # This hub has not received the notice that the entry uses another hub.
             self._send(self._make_report(is_reporter=False), sender)
             return
-        if heard is hub_choice.UpdateSource.NEW:
+        if source is hub_choice.UpdateSource.NEW:
             self._change_hub(before, now_s)
         if self._view.handle_update(update, now_s):
             self._on_load_update()
@@ -228,8 +232,8 @@
 
     def _change_hub(self, before: endpoints.Endpoint | None, now_s: float) -> None:
         fields = {
-            "hub": _format(self._choice.current),
-            "before": _format(before),
+            "hub": _format_address(self._choice.current),
+            "before": _format_address(before),
             "news_age_ms": self._view.get_age_ms(now_s),
         }
         logger.info("load is reported to another hub", extra={"fields": fields})
@@ -238,9 +242,9 @@
         self._view.begin_hub()
 
     def _send_beacons(self) -> None:
-        """Show other hubs than the own one that entries of this hall are alive."""
-        heralds = self._get_hall_entries(self._hall)[:BEACON_ENTRIES]
-        if all(entry.name != self._name for entry in heralds):
+        """Send reports to all other hubs, to show that entries of this hall are alive."""
+        senders = self._get_hall_entries(self._hall)[:BEACON_ENTRIES]
+        if all(entry.name != self._name for entry in senders):
             return
         data = self._make_report(is_reporter=False)
         for address in self._get_known_hubs():
@@ -288,7 +292,7 @@
         return [keeper.endpoint for keeper in self._fleet.keepers] or self._get_other_hall_hubs()
 
     def _get_other_hall_hubs(self) -> list[endpoints.Endpoint]:
-        """Return the entries that other halls would have for hubs."""
+        """Return the entries of other halls that can serve as hubs there."""
         halls = sorted({entry.hall for entry in self._fleet.entries} - {self._hall})
         return [entry.endpoint for hall in halls for entry in self._get_entry_hubs(hall)]
 
@@ -300,7 +304,7 @@
         return sorted(entries, key=lambda entry: entry.name)
 
     def _log_halls(self) -> None:
-        """Write which halls became silent and which are heard again."""
+        """Log which halls became silent and which are heard again."""
         now_s = self._clock()
         silent = self._view.get_silent_halls(now_s)
         for hall in sorted(silent - self._silent_halls):
@@ -315,5 +319,5 @@
         self._silent_halls = silent
 
 
-def _format(address: endpoints.Endpoint | None) -> str:
+def _format_address(address: endpoints.Endpoint | None) -> str:
     return f"{address[0]}:{address[1]}" if address is not None else ""
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -1,4 +1,4 @@
-"""An entry's datagrams about permits: those it asks for and those it grants."""
+"""Requests permits for rate-limited instances from other entries, and grants permits to them."""
 
 import collections
 import logging
@@ -21,23 +21,23 @@
 logger = logging.getLogger(__name__)
 
 REPLY_TIMEOUT_S = 0.06
-"""Wait for a reply: a few times the longest way between two regions."""
+"""Wait for a reply; a few times the longest latency between two regions."""
 MAX_MISSED_REPLIES = 3
-"""Asks in a row without a reply after which a granter counts as silent."""
+"""Consecutive requests without a reply after which a granter counts as silent."""
 UNANSWERED_BACKOFF_MS = 250
-"""Time without an ask for an instance after none of its granters replied."""
+"""Backoff for an instance after none of its granters replied."""
 SILENT_GRANTER_TTL_S = 5.0
-"""Time for which a silent granter is passed over."""
+"""Time for which a silent granter is skipped."""
 MIN_POLL_DELAY_S = 0.001
 
 
 class PermitTerms:
-    """What a granter has to know of a request.
+    """The properties of a request that a granter considers.
 
-    :ivar request_priority: its rank and workspace.
-    :ivar is_retry: it is not the request's first attempt.
-    :ivar wait_ms: time for which it may wait for a permit.
-    :ivar is_final: there is no other instance that it could ask for.
+    :ivar request_priority: rank and workspace of the request.
+    :ivar is_retry: whether this is not the request's first attempt.
+    :ivar wait_ms: time for which the request can wait for a permit.
+    :ivar is_final: whether no other instance is left for the request.
     """
 
     __slots__ = ("request_priority", "is_final", "is_retry", "wait_ms")
@@ -57,7 +57,7 @@
 
 
 class _PendingRequest:
-    """An ask without a last reply."""
+    """A permit request without a final reply."""
 
     __slots__ = ("on_reply", "request", "timer", "turn", "upstream")
 
@@ -76,14 +76,15 @@
 
 
 class PermitExchange:
-    """Asks other entries for permits, and grants them.
+    """Requests permits from the granters of instances, and grants permits itself.
 
-    :param timers: calls back.
+    :param timers: scheduler for timers.
     :param config: the entry's settings.
     :param limits: rate limits that instances stated.
     :param send: sends a datagram.
-    :param first_id: above every number that a former run of the entry gave out.
-    :ivar backoff: rejections that this entry got.
+    :param first_id: greater than every id that a previous incarnation of the entry used.
+    :param clock: monotonic time in seconds.
+    :ivar backoff: backoff after the rejections that this entry received.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
         self.backoff = permit_backoff.PermitBackoff()
 
     def set_entries(self, entries: Sequence[fleet.Process]) -> None:
-        """Take over which entries there are, this one among them."""
+        """Set the known entries, including this one."""
         self._entries = entries
         self._granters.clear()
         known = {entry.name for entry in entries}
@@ -131,19 +132,21 @@
         request: PermitTerms,
         on_reply: Callable[[bool], None],
     ) -> None:
-        """Ask for a permit to send a request to an instance.
+        """Request a permit to send a request to an instance.
 
-        :param on_reply: called later with whether the request may go there.
+        :param on_reply: called later with whether the permit was granted.
         """
         self._last_id += 1
-        ask = _PendingRequest(upstream, request, on_reply, self._find_responsive_turn(upstream, 0))
-        self._pending_requests[self._last_id] = ask
+        pending = _PendingRequest(
+            upstream, request, on_reply, self._find_responsive_turn(upstream, 0)
+        )
+        self._pending_requests[self._last_id] = pending
         self._send_request(self._last_id)
 
     def handle_datagram(
         self, message: permits.PermitRequest | permits.PermitReply, sender: endpoints.Endpoint
     ) -> None:
-        """Take a datagram of another entry."""
+        """Handle a datagram of another entry."""
         if isinstance(message, permits.PermitReply):
             self._record_reply(message.permit_id)
             self._handle_reply(message)
@@ -152,7 +155,7 @@
         self._handle_permit_request(message)
 
     def refresh(self) -> None:
-        """Work out anew who grants for whom; due when the list of instances has changed."""
+        """Reset the assignment of granters; due after the instance list has changed."""
         now_s = self._clock()
         self._granters.clear()
         self._granter.expire(now_s)
@@ -167,7 +170,10 @@
         return granters
 
     def _find_responsive_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
-        """Return the first granter from one on that is not known to be silent."""
+        """Return the index of the first granter from an index on that is not known to be silent.
+
+        :returns: the number of granters if all others are silent.
+        """
         granters = self._get_granters(upstream)
         now_s = self._clock()
         for turn in range(from_turn, len(granters)):
@@ -176,64 +182,66 @@
         return len(granters)
 
     def _send_request(self, permit_id: int) -> None:
-        ask = self._pending_requests[permit_id]
-        granters = self._get_granters(ask.upstream)
-        if ask.turn >= len(granters):
+        pending = self._pending_requests[permit_id]
+        granters = self._get_granters(pending.upstream)
+        if pending.turn >= len(granters):
             self._reject_unanswered(permit_id)
             return
-        ask.timer = self._timers.call_later(
+        pending.timer = self._timers.call_later(
             REPLY_TIMEOUT_S, lambda: self._on_reply_timeout(permit_id)
         )
-        granter = granters[ask.turn]
-        message = self._make_permit_request(permit_id, ask)
+        granter = granters[pending.turn]
+        message = self._make_permit_request(permit_id, pending)
         if granter.name == self._name:
-            # Replies come after this call, as those of other entries do.
+            # Reply asynchronously, as other entries do.
             self._timers.call_later(0.0, lambda: self._handle_permit_request(message))
         else:
             self._send(permits.encode_permit_request(message), granter.endpoint)
 
-    def _make_permit_request(self, permit_id: int, ask: _PendingRequest) -> permits.PermitRequest:
-        key = ask.upstream.key
+    def _make_permit_request(
+        self, permit_id: int, pending: _PendingRequest
+    ) -> permits.PermitRequest:
+        key = pending.upstream.key
         stated = self._limits.registry.get_aged([key], self._clock())
         return permits.PermitRequest(
             sender=self._name,
             hall=self._hall,
             permit_id=permit_id,
             key=key,
-            turn=ask.turn,
-            rank=ask.request.request_priority.rank,
-            is_retry=ask.request.is_retry,
-            workspace=xxhash.xxh32_intdigest(ask.request.request_priority.workspace.encode()),
-            wait_ms=ask.request.wait_ms,
-            is_final=ask.request.is_final,
+            turn=pending.turn,
+            rank=pending.request.request_priority.rank,
+            is_retry=pending.request.is_retry,
+            workspace=xxhash.xxh32_intdigest(pending.request.request_priority.workspace.encode()),
+            wait_ms=pending.request.wait_ms,
+            is_final=pending.request.is_final,
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
         )
 
     def _on_reply_timeout(self, permit_id: int) -> None:
-        ask = self._pending_requests.get(permit_id)
-        if ask is None:
+        pending = self._pending_requests.get(permit_id)
+        if pending is None:
             return
-        granters = self._get_granters(ask.upstream)
-        if ask.turn < len(granters):
-            self._record_missed(granters[ask.turn], ask)
-        if not ask.request.wait_ms:
-            # Another instance may take the request at once.
+        granters = self._get_granters(pending.upstream)
+        if pending.turn < len(granters):
+            self._record_missed(granters[pending.turn], pending)
+        if not pending.request.wait_ms:
+            # A request that cannot wait tries another instance instead of another granter.
             self._reject_unanswered(permit_id)
             return
-        ask.turn = self._find_responsive_turn(ask.upstream, ask.turn)
+        pending.turn = self._find_responsive_turn(pending.upstream, pending.turn)
         self._send_request(permit_id)
 
-    def _record_missed(self, granter: fleet.Process, ask: _PendingRequest) -> None:
+    def _record_missed(self, granter: fleet.Process, pending: _PendingRequest) -> None:
         self._missed[granter.name] += 1
         if self._missed[granter.name] < MAX_MISSED_REPLIES:
             return
         del self._missed[granter.name]
         self._silent_until_s[granter.name] = self._clock() + SILENT_GRANTER_TTL_S
-        fields = {"entry": granter.name, "upstream": ask.upstream.instance.incarnation_id}
+        fields = {"entry": granter.name, "upstream": pending.upstream.instance.incarnation_id}
         logger.warning("granter of permits does not reply", extra={"fields": fields})
 
     def _reject_unanswered(self, permit_id: int) -> None:
-        """Take the silence of all granters for a rejection."""
+        """Treat a request that no granter answers as rejected."""
         reply = permits.PermitReply(
             permit_id=permit_id,
             verdict=permits.Verdict.REJECTED,
@@ -246,35 +254,35 @@
         now_s = self._clock()
         if reply.stated is not None:
             self._limits.merge([reply.stated], now_s, reported_by="granter")
-        ask = self._pending_requests.get(reply.permit_id)
-        if ask is None:
+        pending = self._pending_requests.get(reply.permit_id)
+        if pending is None:
             return
-        if ask.timer is not None:
-            ask.timer.cancel()
+        if pending.timer is not None:
+            pending.timer.cancel()
         if reply.verdict is permits.Verdict.QUEUED:
-            wait_s = ask.request.wait_ms / 1000 + REPLY_TIMEOUT_S
-            ask.timer = self._timers.call_later(
+            wait_s = pending.request.wait_ms / 1000 + REPLY_TIMEOUT_S
+            pending.timer = self._timers.call_later(
                 wait_s, lambda: self._reject_unanswered(reply.permit_id)
             )
             return
         del self._pending_requests[reply.permit_id]
         is_granted = reply.verdict is not permits.Verdict.REJECTED
         if not is_granted:
-            self._record_backoff(ask, reply, now_s)
-        ask.on_reply(is_granted)
+            self._record_backoff(pending, reply, now_s)
+        pending.on_reply(is_granted)
 
     def _record_reply(self, permit_id: int) -> None:
-        ask = self._pending_requests.get(permit_id)
-        granters = self._get_granters(ask.upstream) if ask is not None else []
-        if ask is not None and ask.turn < len(granters):
-            self._missed.pop(granters[ask.turn].name, None)
+        pending = self._pending_requests.get(permit_id)
+        granters = self._get_granters(pending.upstream) if pending is not None else []
+        if pending is not None and pending.turn < len(granters):
+            self._missed.pop(granters[pending.turn].name, None)
 
     def _record_backoff(
-        self, ask: _PendingRequest, reply: permits.PermitReply, now_s: float
+        self, pending: _PendingRequest, reply: permits.PermitReply, now_s: float
     ) -> None:
-        request_priority = ask.request.request_priority
+        request_priority = pending.request.request_priority
         self.backoff.record(
-            ask.upstream.key,
+            pending.upstream.key,
             request_priority.rank,
             request_priority.workspace,
             retry_after_ms=reply.retry_after_ms,
@@ -282,10 +290,10 @@
             now_s=now_s,
         )
 
-    def _handle_permit_request(self, ask: permits.PermitRequest) -> None:
+    def _handle_permit_request(self, message: permits.PermitRequest) -> None:
         now_s = self._clock()
-        self._limits.merge([ask.stated], now_s, reported_by=ask.sender)
-        self._send_replies(self._granter.handle_request(ask, now_s))
+        self._limits.merge([message.stated], now_s, reported_by=message.sender)
+        self._send_replies(self._granter.handle_request(message, now_s))
         self._schedule_poll()
 
     def _poll(self) -> None:
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -1,4 +1,4 @@
-"""A request whose answer is held until it is whole: safe to repeat, or to run at most once."""
+"""Handling of plain requests; answers are buffered so that failed attempts can be repeated."""
 
 import logging
 
@@ -14,13 +14,13 @@
 
 
 class PlainExchange(exchange.Exchange):
-    """One plain request."""
+    """One plain request, which is either repeatable or runs at most once."""
 
     _attempts_made = 0
     _last_server_error: attempts.Attempt | None = None
 
     def start(self) -> None:
-        """Make an attempt at the best instance."""
+        """Make an attempt at the best instance that was not tried yet."""
         choice = self.choose(0)
         if self.request_permit_if_limited(choice):
             return
@@ -48,15 +48,15 @@
         attempt.call = self.send_attempt(upstream, attempt, orders)
 
     def on_permit(self) -> None:
-        """Make the attempt, here or at another instance."""
+        """Make the attempt, at this or another instance."""
         self.start()
 
     def release(self) -> None:
-        """Cancel the present attempt."""
+        """Cancel the current attempt."""
         self.cancel_attempt()
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """Take a part of an attempt's answer."""
+        """Buffer a part of an attempt's answer; fail if it grows too large."""
         if attempt is not self._attempt:
             return
         attempt.body.append(data)
@@ -66,7 +66,7 @@
             self.fail(codes.ResultCode.ANSWER_TOO_LARGE, "the answer is too large")
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """Take the end of an attempt's answer."""
+        """Deliver a complete answer, or try again if it is not usable."""
         if attempt is not self._attempt or attempt.head is None:
             return
         head = attempt.head
@@ -75,7 +75,7 @@
         elif head.has_not_run:
             attempt.upstream.record_answer()
             if head.is_misdirected:
-                # It never reached the instance that it was meant for.
+                # The request did not reach its instance, so the attempt does not count.
                 self._attempts_made -= 1
             self._retry(codes.ResultCode.UPSTREAM_REFUSED, "not run", has_run=False)
         elif head.status in _SUCCESS and (not head.is_signed or head.is_encoded):
@@ -89,14 +89,14 @@
             self._deliver(attempt)
 
     def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
-        """Take the loss of an attempt's connection."""
+        """Handle the loss of an attempt's connection."""
         if attempt is not self._attempt:
             return
         assert attempt.call is not None
         arrived = attempt.call.may_have_arrived
         self.record_loss(attempt, reason)
         if self.is_over:
-            # The loss was what has its content held.
+            # This loss caused the content to be held, which ended the exchange.
             return
         code = codes.ResultCode.UPSTREAM_LOST if arrived else codes.ResultCode.UPSTREAM_UNREACHABLE
         self._retry(code, reason, has_run=arrived)
@@ -131,7 +131,7 @@
         if not arrived:
             return True
         if self._context.contents.is_suspect(self.job.content_id):
-            # The next instance may end as well.
+            # The request may crash the next instance as well.
             return False
         if self._attempts_made >= self.job.route.attempts:
             return False
