--- a/src/spoolhead/_internal/gateway/__init__.py
+++ b/src/spoolhead/_internal/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Entry program for traffic that is routed by host and path."""
+"""The entry program, which routes requests to instances by host and path."""
--- a/src/spoolhead/_internal/gateway/memory_copy.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -1,8 +1,8 @@
-"""Has the memory of one run copied from its instance to another.
+"""Orders the copy of one run's memory from its instance to another.
 
-The copy is made while the run goes on and can be brought up to date at little cost. The run
-can go on from it at the other instance, which then reads only what the copy lacks, whether the
-first instance still lives or not.
+The copy is made while the run continues, and can be updated at little cost. The run can resume from
+it at the other instance, which then processes only the missing tokens. The source instance need not
+exist any more by then.
 """
 
 from typing import Protocol
@@ -13,30 +13,30 @@
 
 _OK = 200
 NO_ANSWER_STATUS = 0
-"""Status of an order that got no answer."""
+"""Status of an order without an answer."""
 
 
 class CopyOwner(Protocol):
-    """What the owner of a move is told."""
+    """The owner of a copy, which handles its events."""
 
     def on_copied(self, move: "MemoryCopy") -> None:
-        """The target holds a copy."""
+        """Called when the target has stored the copy."""
 
     def on_copy_failed(self, move: "MemoryCopy") -> None:
-        """The last order came to nothing."""
+        """Called when the last order failed."""
 
 
 class MemoryCopy:
-    """One move.
+    """One copy of a run's memory.
 
-    :param request_id: id of the request that runs.
-    :param source: instance where it runs.
-    :param target_address: ``IP:PORT`` of the other instance.
+    :param request_id: id of the run's request.
+    :param source: instance of the run.
+    :param target_address: ``IP:PORT`` of the instance that receives the copy.
     :param calls: makes HTTP requests.
-    :param dialect: how instances speak.
-    :param user: is told of it.
-    :ivar status: HTTP status of the last answer; :data:`NO_ANSWER_STATUS` if none came.
-    :ivar handle: handle of the copy; empty for none.
+    :param dialect: adapter for the wire format of instances.
+    :param user: handles the events of the copy.
+    :ivar status: HTTP status of the last answer; :data:`NO_ANSWER_STATUS` without one.
+    :ivar handle: handle of the copy; empty without one.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         self._body: list[bytes] = []
 
     def copy(self) -> None:
-        """Make the copy, or bring it up to date."""
+        """Order the copy, or an update of it."""
         self._body = []
         order = self._dialect.write_move(
             dialects.MoveOrder(request_id=self.request_id, target_address=self.target_address)
@@ -71,33 +71,33 @@
         self._call = _send_order(self._calls, self.source_address, order, self)
 
     def abandon(self, *, must_free: bool) -> None:
-        """Stop caring.
+        """End the handling of the copy; the owner receives no more calls.
 
-        An order under way takes memory at the target from its beginning, and only the handle in
-        its answer can give that back. So the answer is waited for, unless the copy is used.
+        An order reserves memory at the target from its beginning, and only the handle in its
+        answer can release that memory. So an unused copy's answer is awaited first.
 
-        :param must_free: the copy will not be used, so its memory is given back.
+        :param must_free: whether to release the copy's memory because the copy is not used.
         """
-        is_waiting = self._call is not None and not self._call.is_over
+        is_pending = self._call is not None and not self._call.is_over
         if not must_free:
-            if self._call is not None and is_waiting:
+            if self._call is not None and is_pending:
                 self._call.cancel()
-        elif is_waiting:
+        elif is_pending:
             self._must_free = True
         else:
             self._free()
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
-        """Take the head of an answer."""
+        """Record the status of an answer."""
         del headers
         self.status = status
 
     def on_answer_body(self, data: bytes) -> None:
-        """Take a part of an answer."""
+        """Buffer a part of an answer."""
         self._body.append(data)
 
     def on_answer_end(self) -> None:
-        """Take the end of an answer."""
+        """Evaluate a complete answer and notify the owner."""
         answer = self._dialect.read_move(self.status, b"".join(self._body))
         self.handle = answer.handle or self.handle
         if self._must_free:
@@ -109,7 +109,7 @@
         self._user.on_copied(self)
 
     def on_call_lost(self, reason: str) -> None:
-        """Take the loss of the connection."""
+        """Handle the loss of the connection as a failed order."""
         del reason
         self.status = NO_ANSWER_STATUS
         if not self._must_free:
@@ -117,7 +117,7 @@
 
     def _free(self) -> None:
         if not self.handle or self._source.has_restarted:
-            # What is at its address now knows nothing of the handle, or has given it to another.
+            # After a restart the handle is unknown or belongs to another copy.
             return
         order = self._dialect.write_release(self.handle)
         _send_order(self._calls, self.source_address, order, upstream_calls.DiscardedAnswer())
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -1,4 +1,4 @@
-"""The entry program for traffic that is routed by host and path."""
+"""The entry program: accepts requests, routes them to instances and follows the keepers."""
 
 import logging
 import random
@@ -49,26 +49,27 @@
 logger = logging.getLogger(__name__)
 
 STOP_LISTEN_DURATION_S = 3.0
-"""Time from the order to stop for which new connections are still served: the balancer asks
-each second and leaves an entry out after two bad answers."""
+"""Time after the stop signal during which new connections are still served: the load balancer
+probes each second and removes an entry after two bad answers."""
 STOP_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.5
-"""Time before the end of a planned stop at which what still runs is cut."""
+"""Time before the end of the stop period at which remaining requests are aborted."""
 EARLY_REQUEST_WAIT_S = 1.5
-"""Age up to which an entry without a table keeps requests for it; a start with an election takes
-less than a second."""
+"""Age up to which an entry that is not ready queues requests. A start that includes an election
+takes less than a second."""
 READY_CHECK_INTERVAL_S = 0.05
 REACH_CHECK_INTERVAL_S = 0.2
-"""Pause between looks at which services can be reached; a fifth of the balancer's pause between
-two questions."""
+"""Interval between checks of which services are reachable; a fifth of the load balancer's probe
+interval."""
 
 
 class Gateway:
-    """One entry's program.
+    """The components of one entry and the connections between them.
 
-    :param config: its settings.
-    :param dialect: how callers, instances and the platform's list speak.
-    :ivar loop: root of the program.
+    :param config: the entry's settings.
+    :param dialect: adapter for the wire formats of callers, instances and the platform's instance
+        list.
+    :ivar loop: event loop of the program.
     """
 
     def __init__(self, config: settings.GatewaySettings, dialect: dialects.EntryDialect) -> None:
@@ -86,8 +87,8 @@
         self.loop = loop.Loop(self._begin_stop)
         outgoing = links.Links(self.loop, channel="links").register(self.loop)
         calls = upstream_calls.UpstreamCalls(self.loop, outgoing, config.upstreams)
-        made = prometheus_metrics.PrometheusMetrics()
-        self._metrics = entry_metrics.EntryMetrics(made)
+        metrics = prometheus_metrics.PrometheusMetrics()
+        self._metrics = entry_metrics.EntryMetrics(metrics)
         self._metrics.in_flight.set_function(lambda: len(self._exchanges))
         self._registry = upstream_registry.UpstreamRegistry()
         self._contents = content_watch.ContentWatch(
@@ -170,7 +171,7 @@
             limits=config.callers,
             answer=self._answer_probe,
         ).register(self.loop)
-        made.serve(self.loop, config)
+        metrics.serve(self.loop, config)
         self._feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
         self._health = health_watch.HealthWatch(
             self.loop,
@@ -191,7 +192,7 @@
         self.loop.scheduler.call_every(REACH_CHECK_INTERVAL_S, self._check_reach)
 
     def run(self) -> None:
-        """Serve until told to stop and all that is in flight has ended."""
+        """Serve until a stop signal arrives and all requests in flight have ended."""
         fields = {"callers": self._front.address, "hall": self._config.hall}
         logger.info("entry %s starts", self._config.name, extra={"fields": fields})
         self.loop.run()
@@ -199,7 +200,7 @@
     def on_table(self, version: int, document: bytes) -> bool:
         """Put a newer route table in force.
 
-        :returns: whether it is; one that is not usable is not.
+        :returns: whether the table is valid and in force.
         """
         decoded = self._dialect.decode_table(document)
         faults = decoded.error if decoded.is_error() else table_checks.check(decoded.ok)
@@ -216,16 +217,16 @@
         return True
 
     def on_instances(self, listed: list[instances.Instance]) -> None:
-        """Take over a reading of the list of instances."""
+        """Apply a new instance list."""
         self._upstream_events.apply_list(listed)
         self._has_instances = True
 
     def on_evacuations(self, halls: frozenset[str]) -> None:
-        """Send nothing more to instances of these halls, and to all others again."""
+        """Apply the set of evacuated halls; instances there receive no new requests."""
         self._upstream_events.handle_evacuations(halls)
 
     def on_fleet(self, known: fleet.Fleet) -> None:
-        """Take over which processes there are."""
+        """Apply the set of known keepers and entries."""
         self._sharing.set_fleet(known)
         entries = self._sharing.get_entries()
         self._context.cold_starts.set_entries(entries)
@@ -233,11 +234,11 @@
         self._context.entry_count = max(self._context.entry_count, len(known.entries))
 
     def on_keeper_lost(self, address: str) -> None:
-        """Take note of a keeper whose stream ended."""
+        """Record that the stream to a keeper ended."""
         self._sharing.record_keeper_lost(address)
 
     def apply_settings(self, config: settings.GatewaySettings) -> None:
-        """Take over the keepers that changed settings name."""
+        """Apply changed settings; only the keepers' addresses can change."""
         self._feed.set_seeds(config.keepers)
 
     def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
@@ -306,7 +307,10 @@
         self._handle_early_requests()
 
     def _check_reach(self) -> None:
-        """Send callers elsewhere while this hall is cut off from all instances of a service."""
+        """Report the entry as not ready while it cannot reach any instance of a service.
+
+        The load balancer then sends callers to other halls.
+        """
         unreachable = self._find_unreachable()
         if unreachable == self._unreachable or self._is_stopping:
             return
@@ -320,22 +324,24 @@
             logger.info("entry can reach all services again")
 
     def _find_unreachable(self) -> str:
-        """Return the name of a service whose instances all stand in lost halls; empty for none."""
-        lost = self._context.reach.get_unreachable_halls(
+        """Return the name of a service with instances only in unreachable halls, or ``""``."""
+        unreachable_halls = self._context.reach.get_unreachable_halls(
             self._sharing.get_silent_halls(),
             clocks.get_s(),
             is_isolated=self._sharing.is_isolated(),
         )
-        if not lost or self._matcher is None:
+        if not unreachable_halls or self._matcher is None:
             return ""
         for service in self._matcher.services:
-            if hall_reach.is_service_unreachable(self._registry.get_service(service.name), lost):
+            if hall_reach.is_service_unreachable(
+                self._registry.get_service(service.name), unreachable_halls
+            ):
                 return service.name
         return ""
 
     def _handle_early_requests(self) -> None:
-        early, self._early_callers = self._early_callers, []
-        for caller in early:
+        queued, self._early_callers = self._early_callers, []
+        for caller in queued:
             if not caller.is_gone:
                 self._handle_request(caller)
 
@@ -347,38 +353,38 @@
         if not self._is_ready and age_s < EARLY_REQUEST_WAIT_S and not self._is_stopping:
             self._early_callers.append(caller)
             return
-        read = self._dialect.read_request(caller.request)
-        if read.is_error():
-            self._refuse(caller, "", read.error)
+        decoded_request = self._dialect.read_request(caller.request)
+        if decoded_request.is_error():
+            self._refuse(caller, "", decoded_request.error)
             return
-        matched = self._match(read.ok, caller)
+        matched = self._match(decoded_request.ok, caller)
         if isinstance(matched, fault.Fault):
-            self._refuse(caller, read.ok.request_id, self._adjust_refusal(matched))
+            self._refuse(caller, decoded_request.ok.request_id, self._adjust_refusal(matched))
             return
         allowance = self._context.get_allowance(matched.service.name)
         allowance.record_request(clocks.get_s())
         is_stream = matched.route.kind is route_table.RequestKind.STREAM
         cls = stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
-        item = cls(matched, caller, self._context, self._exchanges.discard)
-        self._exchanges.add(item)
-        item.begin()
+        handler = cls(matched, caller, self._context, self._exchanges.discard)
+        self._exchanges.add(handler)
+        handler.begin()
 
     def _query_end(self, upstream: upstream_registry.Upstream) -> None:
-        """Find out whether an instance that lost a request has ended."""
+        """Query whether an instance that lost a request has terminated."""
         service = self._matcher.get_service(upstream.instance.service) if self._matcher else None
-        asked = end_watch.EndQuery(
+        query = end_watch.EndQuery(
             upstream.instance.incarnation_id,
             instance_id=upstream.instance.instance_id,
             address=upstream.instance.address,
             path=service.health_path if service is not None else "",
         )
-        self._end_watch.query(asked)
+        self._end_watch.query(query)
 
     def _reject_held(self, content_id: bytes) -> None:
-        """Refuse what waits of a content that is held from now on, and end what runs of it."""
-        for item in list(self._exchanges):
-            if item.job.content_id == content_id:
-                item.reject_held()
+        """Refuse all current requests with a content that is held from now on."""
+        for handler in list(self._exchanges):
+            if handler.job.content_id == content_id:
+                handler.reject_held()
 
     def _match(
         self, head: dialects.RequestHead, caller: caller_front.Caller
@@ -401,10 +407,11 @@
         return routed_job.Job(head, route, service, workspace, table.version, content_id)
 
     def _adjust_refusal(self, item: fault.Fault) -> fault.Fault:
-        """Return what a caller is told whom the table lets nowhere.
+        """Return the fault to send for a request that the table refuses.
 
-        Callers take it as final. An entry that cannot tell whether its table is the newest says
-        that instead, so that they come back or try another hall: the route may be new.
+        Callers treat such a refusal as final. If the entry cannot confirm that its table is the
+        newest, it reports that instead, so that callers retry or use another hall: the route may
+        be new.
         """
         if item.code is codes.ResultCode.NO_TABLE or self._feed.is_sure:
             return item
--- a/src/spoolhead/_internal/gateway/refusals.py
+++ b/src/spoolhead/_internal/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that an entry itself gives to routed requests."""
+"""Error answers that an entry itself sends for routed requests."""
 
 import json
 
@@ -14,7 +14,7 @@
 def get_status(item: fault.Fault, ran: codes.Ran) -> int:
     """Return the HTTP status of a refusal or failure.
 
-    A status that promises that nothing ran is given only where that is so.
+    Only a request that certainly has not run gets the status that promises this.
     """
     status = int(codes.get_status(item.code))
     if int(item.code) < int(codes.ResultCode.QUEUE_FULL):
@@ -33,9 +33,10 @@
     request_id: str,
     retry_after_ms: int | None = None,
 ) -> int:
-    """Give a request its final answer; a stream that has begun is cut off instead.
+    """Send the final error answer; abort the connection of a stream that has begun instead.
 
-    :returns: the HTTP status; 0 for a stream that was cut off.
+    :param retry_after_ms: sent as Retry-After if the request has not run; None for no header.
+    :returns: the HTTP status; 0 for an aborted stream.
     """
     if caller.is_started:
         caller.abort()
--- a/src/spoolhead/_internal/gateway/routed_job.py
+++ b/src/spoolhead/_internal/gateway/routed_job.py
@@ -4,20 +4,20 @@
 from spoolhead._internal.policy import upstream_gate
 
 RANKS_PER_WORKSPACE = 10
-"""The workspace's rank goes before the route's."""
+"""Multiplier of the workspace's rank, so that it takes precedence over the route's."""
 MAX_ENGINE_RANK = 9
-"""Lowest rank that engines know."""
+"""Least urgent rank that engines support."""
 
 
 class Job:
     """A request that was matched to a route.
 
-    :ivar head: its head.
-    :ivar route: its route.
-    :ivar service: service that it goes to.
-    :ivar workspace: whose it is; None on a route without keys.
-    :ivar version: version of the table that decided this.
-    :ivar content_id: name of what it asks, the same for each repeat of it.
+    :ivar head: head of the request.
+    :ivar route: the matching route.
+    :ivar service: service that receives the request.
+    :ivar workspace: owner of the API key; None on a route without keys.
+    :ivar version: version of the route table that was used.
+    :ivar content_id: digest of the request's content; equal for repeated requests.
     """
 
     __slots__ = ("content_id", "head", "route", "service", "version", "workspace")
@@ -40,28 +40,28 @@
 
     @property
     def workspace_name(self) -> str:
-        """Name of the workspace; empty for none."""
+        """Name of the workspace; empty without one."""
         return self.workspace.name if self.workspace is not None else ""
 
     @property
     def urgency(self) -> int:
-        """Rank of the request at a model engine, 0 for the most urgent.
+        """Rank of the request at a model engine; 0 is the most urgent.
 
-        An engine that is told ranks preempts what is less urgent, which wastes what that has
-        read and stops its stream. So only the routes' ranks go there; the workspaces' decide
-        among this entry's own requests.
+        An engine that receives ranks preempts less urgent runs, which wastes their prefill and
+        stalls their streams. Therefore only the route's rank is sent there; the workspace's rank
+        orders this entry's own requests.
         """
         return min(MAX_ENGINE_RANK, self.route.priority)
 
     @property
     def workspace_rank(self) -> int:
-        """Rank of the workspace, 0 for the most urgent; the route's where it has none."""
+        """Rank of the workspace, or of the route if it has none; 0 is the most urgent."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
     @property
     def request_priority(self) -> upstream_gate.RequestPriority:
-        """What the request may claim where not all get something."""
+        """Rank and workspace for sharing out scarce capacity."""
         rank = self.workspace_rank * RANKS_PER_WORKSPACE + min(self.route.priority, MAX_ENGINE_RANK)
         return upstream_gate.RequestPriority(rank, self.workspace_name)
--- a/src/spoolhead/_internal/gateway/run_queue.py
+++ b/src/spoolhead/_internal/gateway/run_queue.py
@@ -1,4 +1,4 @@
-"""Generations that wait at this entry for an engine with room."""
+"""Queue of generations that wait at this entry for an engine with free capacity."""
 
 import random
 from typing import Protocol
@@ -8,26 +8,26 @@
 from spoolhead._internal.utils import clocks
 
 CHECK_INTERVAL_S = 0.1
-"""Longest pause between looks at what waits; a small part of the shortest objective."""
+"""Maximum interval between checks of the queue; a small fraction of the shortest objective."""
 MAX_JITTER_S = 0.015
-"""Random delay of a look after news, so that the entries do not all rush to the same engine: a
-few times what it takes to tell the others of a start."""
+"""Maximum random delay of a check after a change, so that not all entries choose the same engine at
+once. A few times the time in which a started run is reported to the other entries."""
 
 
 class QueuedRun(Protocol):
-    """A generation that waits."""
+    """A generation in the queue."""
 
     admission: run_admission.Request
 
     def try_start(self) -> bool:
-        """Begin, or be refused, if that is due; False to go on waiting."""
+        """Start or refuse the generation if due; return False if it must keep waiting."""
 
 
 class RunQueue:
-    """The queue of one entry.
+    """The queue of one entry, ordered by rank and time of arrival.
 
-    :param timers: calls back.
-    :param rng: source of random numbers.
+    :param timers: scheduler for timers.
+    :param rng: random number generator.
     """
 
     def __init__(self, timers: scheduler.Scheduler, rng: random.Random) -> None:
@@ -41,30 +41,30 @@
         return len(self._waiting)
 
     def add(self, item: QueuedRun) -> None:
-        """Have a generation wait."""
+        """Add a generation."""
         self._waiting.append(item)
         self._waiting.sort(key=lambda each: (each.admission.rank, each.admission.arrived_s))
         self._check_within(self._get_check_delay_s())
 
     def remove(self, item: QueuedRun) -> None:
-        """Forget a generation."""
+        """Remove a generation if it is queued."""
         if item in self._waiting:
             self._waiting.remove(item)
 
     def schedule_check(self) -> None:
-        """Take note that an engine may have got room."""
+        """Schedule a check because an engine may have free capacity."""
         if self._waiting:
             self._check_within(self._rng.uniform(0.0, MAX_JITTER_S))
 
     def _get_check_delay_s(self) -> float:
         now_s = clocks.get_s()
-        dues_s = [
+        due_times_s = [
             due_s
             for item in self._waiting
             for due_s in (item.admission.refuse_s, item.admission.offer_s)
             if due_s > now_s
         ]
-        return min([CHECK_INTERVAL_S, *(due_s - now_s for due_s in dues_s)])
+        return min([CHECK_INTERVAL_S, *(due_s - now_s for due_s in due_times_s)])
 
     def _check_within(self, delay_s: float) -> None:
         due_s = clocks.get_s() + delay_s
