--- a/src/spoolhead/_internal/gateway/startup.py
+++ b/src/spoolhead/_internal/gateway/startup.py
@@ -1,31 +1,33 @@
-"""When an entry that has just started may serve, and by which table; no I/O.
+"""Decides when a starting entry may serve requests, and with which route table.
 
-It waits for what would otherwise be got wrong by each that starts: a route that is new, an instance
-that is not listed yet, a request that has ended instances before, an instance that asks for less.
+Without the data that it waits for, a starting entry would refuse requests on new routes, miss
+instances, run contents that have crashed instances and exceed rate limits. Performs no I/O; the
+current time is passed in.
 """
 
 import enum
 
 CONFIRMED_WAIT_S = 1.0
-"""Longest wait at the start for more than half of the keepers to confirm the table, for a list of
-instances and for what is held; an entry that can reach only a few keepers then serves with the
-newest that they confirm. A start with an election takes less than a second."""
+"""Maximum wait for a majority of the keepers to confirm the table, and for the instance list, the
+held contents and the rate limits. After it, an entry that reaches only a minority of the keepers
+serves with the newest table that they confirm. A start that includes an election takes less than a
+second."""
 UNCONFIRMED_WAIT_S = 4.0
-"""Wait after which an entry that reaches no more than half of the keepers takes a table that none
-of them can confirm. It may be old, so callers are better off at the entries of other halls for as
-long as the keepers may still be starting: they were seen to need 0.3 to 2 s."""
+"""Wait after which an entry that reaches no majority of the keepers accepts a table that none of
+them can confirm. Such a table may be outdated, so callers should use the entries of other halls
+while the keepers may still be starting, which takes 0.3 to 2 s."""
 
 
 class StartupState:
-    """What a starting entry knows.
+    """The state of a starting entry.
 
     :ivar age_s: time since its start, in seconds.
-    :ivar has_table: a table is in force.
-    :ivar has_contents: the hub has told all that it knows of contents that may end instances.
-    :ivar has_limits: the hub has told all rate limits that instances state.
-    :ivar has_instances: a list of instances is here.
-    :ivar is_sure: more than half of the keepers confirm the table that is in force.
-    :ivar reaches_majority: more than half of the keepers that it follows can be reached.
+    :ivar has_table: whether a table is in force.
+    :ivar has_contents: whether a hub has sent all known contents that may crash instances.
+    :ivar has_limits: whether a hub has sent all known rate limits of instances.
+    :ivar has_instances: whether an instance list has arrived.
+    :ivar is_sure: whether a majority of the keepers confirms the table in force.
+    :ivar reaches_majority: whether a majority of the followed keepers is reachable.
     """
 
     __slots__ = (
@@ -59,23 +61,23 @@
 
 
 class Step(enum.Enum):
-    """What a starting entry does next."""
+    """The next action of a starting entry."""
 
     WAIT = "wait"
     TAKE_UNCONFIRMED = "take-unconfirmed"
     SERVE = "serve"
 
 
-def decide(known: StartupState) -> Step:
-    """Return what a starting entry does next.
+def decide(state: StartupState) -> Step:
+    """Return the next action of a starting entry.
 
-    Where most keepers can be reached, one of them will lead and confirm a table soon. Where they
-    cannot, the hall is cut off and serves what it can.
+    If a majority of the keepers is reachable, one of them will become leader and confirm a table
+    soon. Otherwise the hall is cut off, and serving with an unconfirmed table is the best option.
     """
-    if known.has_table:
-        has_new = known.has_contents and known.has_limits
-        is_complete = known.is_sure and known.has_instances and has_new
-        return Step.SERVE if is_complete or known.age_s > CONFIRMED_WAIT_S else Step.WAIT
-    if known.age_s > UNCONFIRMED_WAIT_S and not known.reaches_majority:
+    if state.has_table:
+        has_hub_data = state.has_contents and state.has_limits
+        is_complete = state.is_sure and state.has_instances and has_hub_data
+        return Step.SERVE if is_complete or state.age_s > CONFIRMED_WAIT_S else Step.WAIT
+    if state.age_s > UNCONFIRMED_WAIT_S and not state.reaches_majority:
         return Step.TAKE_UNCONFIRMED
     return Step.WAIT
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -1,4 +1,4 @@
-"""A request whose answer is a stream of events from one run, which may move on the way."""
+"""Handling of streamed requests, whose run may be migrated to another instance."""
 
 import logging
 from collections.abc import Callable
@@ -24,12 +24,15 @@
 logger = logging.getLogger(__name__)
 
 MAX_UNREAD_BYTES = 1_048_576
-"""Bytes kept for a caller that reads slowly: several of the longest answers seen (120 KiB)."""
+"""Maximum of bytes buffered for a slow caller; several of the longest answers (120 KiB)."""
 _OK = 200
 
 
 class StreamExchange(exchange.Exchange):
-    """One streamed request."""
+    """One streamed request.
+
+    :ivar admission: properties of the request for admission to engines.
+    """
 
     admission: run_admission.Request
 
@@ -47,17 +50,17 @@
 
     @property
     def upstream(self) -> upstream_registry.Upstream | None:
-        """Where the run is."""
+        """Instance of the run; None without one."""
         return self._attempt.upstream if self._attempt is not None else None
 
     @property
     def events(self) -> int:
-        """Events passed on."""
+        """Number of events that were forwarded to the caller."""
         return self._splice.events
 
     @property
     def need_tokens(self) -> int:
-        """Memory that the run will hold, in tokens."""
+        """Memory that the run will need, in tokens."""
         generation = self.job.head.generation
         if generation is None:
             return 0
@@ -65,7 +68,7 @@
 
     @property
     def rank(self) -> float:
-        """How much is saved by copying the run, for the time that it takes."""
+        """Benefit of migrating the run relative to the time that its copy takes."""
         generation = self.job.head.generation
         engine = self.job.service.engine
         if generation is None or engine is None:
@@ -85,11 +88,14 @@
         return min(expected, generation.limit_tokens)
 
     def start(self) -> None:
-        """Begin the run at the best instance."""
-        self._begin_run()
+        """Start the run at the best instance, or queue it."""
+        self._start_run()
 
     def try_start(self) -> bool:
-        """Begin at an engine with room, or be refused, if that is due."""
+        """Start the run at an engine with free capacity, or refuse the request, if due.
+
+        :returns: False if the request must keep waiting.
+        """
         if self._is_awaiting_permit:
             return False
         engine = self.job.service.engine
@@ -113,33 +119,33 @@
         return True
 
     def on_permit(self) -> None:
-        """Begin the run, here or at another engine, unless it has to wait for room."""
+        """Start the run, at this or another engine, unless it must wait for capacity."""
         if self.try_start():
             self._context.queue.remove(self)
 
     def release(self) -> None:
-        """Cancel the run and give up its copy."""
+        """Remove the request from the queue, cancel its run and release its copy."""
         self._context.queue.remove(self)
         self._migration.release_copy()
         self.cancel_attempt()
 
     def on_instances_changed(self) -> None:
-        """See whether the run or its copy must move."""
+        """Check whether the run or its copy must be migrated."""
         self._migration.check()
 
     def on_copy_ready(self) -> None:
-        """Go on at the copy, before the instance that leaves is gone."""
+        """Resume the run from its copy, before the leaving instance terminates."""
         if self.is_over or self._attempt is None or self._attempt.has_ended:
             return
         if self._context.contents.is_held(self.job.content_id):
-            # It would end the instance that has the copy, too.
+            # The run may crash the target of the copy as well.
             return
         copy = self._migration.pop_copy()
         if copy is not None:
             self._resume(copy)
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Forward the complete events in a part of the answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
         if not self._is_valid(attempt.head):
@@ -157,7 +163,7 @@
             self._fail_lost(spliced.problem)
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
         if not self._is_valid(attempt.head):
@@ -167,22 +173,22 @@
             self._finish(attempt.head)
 
     def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
-        """Take the loss of the connection."""
+        """Handle the loss of the connection; a run that may have begun is not repeated."""
         if attempt is not self._attempt or attempt.call is None:
             return
         self.record_loss(attempt, reason)
         if self.is_over:
-            # The loss was what has its content held.
+            # This loss caused the content to be held, which ended the exchange.
             return
         self._log_attempt_failure(attempt, reason)
         if not attempt.call.may_have_arrived and not attempt.is_resumed:
             self._migration.release_copy()
             self.cancel_attempt()
-            self._begin_run()
+            self._start_run()
             return
         self._fail_lost(reason)
 
-    def _begin_run(self) -> None:
+    def _start_run(self) -> None:
         generation = self.job.head.generation
         self.admission = run_admission.Request(
             rank=self.job.route.priority,
@@ -197,11 +203,11 @@
             self._context.queue.add(self)
 
     def _refuse(self, choice: upstream_choice.Choice) -> None:
-        """Refuse the request, since no engine is likely to have room in time."""
+        """Refuse the request because no engine is expected to have free capacity in time."""
         self.log_choice("no room", choice)
-        come_back_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
+        retry_after_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
         code = codes.ResultCode.DEADLINE_UNREACHABLE
-        self.fail(code, "no engine is expected to have room in time", retry_after_ms=come_back_ms)
+        self.fail(code, "no engine is expected to have room in time", retry_after_ms=retry_after_ms)
 
     def _is_valid(self, head: dialects.AnswerHead) -> bool:
         own_id = self.job.head.request_id
@@ -221,11 +227,11 @@
             self._migration.release_copy()
             self.cancel_attempt()
             allowance = self._context.get_allowance(self.job.service.name)
-            # One that never reached the instance it was meant for is no attempt.
+            # Requests that did not reach their instance do not count as attempts.
             self._misdirected_count += head.is_misdirected
-            may_repeat = len(self._tried) - self._misdirected_count < self.job.route.attempts
-            if may_repeat and allowance.try_acquire(clocks.get_s()):
-                self._begin_run()
+            may_retry = len(self._tried) - self._misdirected_count < self.job.route.attempts
+            if may_retry and allowance.try_acquire(clocks.get_s()):
+                self._start_run()
             else:
                 self.fail(codes.ResultCode.UPSTREAM_REFUSED, "the upstream has no room")
             return
@@ -255,13 +261,15 @@
         attempt = self._attempt = attempts.Attempt(self, upstream, is_resumed=resume is not None)
         request_id = self.job.head.request_id
         generation = self.job.head.generation
-        reading = generation.prompt_tokens if generation is not None and resume is None else 0
+        prefill_tokens = (
+            generation.prompt_tokens if generation is not None and resume is None else 0
+        )
         self._tried.add(upstream.instance.incarnation_id)
         if resume is None:
             waited_ms = (clocks.get_s() - self._arrived_s) * 1000
             self._context.metrics.room_wait_ms.observe(waited_ms)
         upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
-            request_id, self.need_tokens, prefill_tokens=reading
+            request_id, self.need_tokens, prefill_tokens=prefill_tokens
         )
         self._context.on_change()
         orders = dialects.AttemptOrders(
@@ -279,10 +287,10 @@
         return self.job.urgency
 
     def _record_prefill_end(self, attempt: attempts.Attempt) -> None:
-        """Take note that the prompt has been read."""
-        work = attempt.upstream.in_flight.get(self.job.head.request_id)
-        if work is not None and work.prefill_tokens:
-            work.prefill_tokens = 0
+        """Record that the run's prefill is complete."""
+        request = attempt.upstream.in_flight.get(self.job.head.request_id)
+        if request is not None and request.prefill_tokens:
+            request.prefill_tokens = 0
             self._context.on_change()
 
     def _resume(self, copy: run_migration.Copy) -> None:
@@ -304,7 +312,7 @@
         self._open(copy.upstream, point)
 
     def _forward(self, head: dialects.AnswerHead, data: bytes) -> bool:
-        """Send bytes to the caller; False where that ended the exchange."""
+        """Send bytes to the caller; return False if that ended the exchange."""
         self._ran = codes.Ran.YES
         if not self.caller.is_started:
             self.caller.start_stream(head.status, head.headers, data)
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -1,9 +1,9 @@
-"""An entry's streams to the keepers: route table, instances and the fleet.
+"""Follows the keepers to receive the route table, the instance list and the fleet.
 
-The entry follows every keeper it hears of at once, so that one that is cut off or behind
-cannot hold it back: the newest version that any keeper names is fetched from that keeper. A
-keeper that has not heard of a leader since its start names what its disk held, which may be old;
-it is passed over.
+The entry follows all known keepers at the same time, so that a keeper that is cut off or behind
+cannot delay it: the newest version that any keeper reports is fetched from that keeper. A keeper
+without contact to a leader since its start reports the version on its disk, which may be outdated;
+it is ignored.
 """
 
 import logging
@@ -23,54 +23,54 @@
 TIMING = peer_client.PeerTiming(
     connect_ms=700, first_retry_ms=50, longest_retry_ms=700, heartbeat_ms=500, silence_ms=1_600
 )
-"""A keeper sends something each quarter of a second; a cut must be noticed and its end found
-well within the time in which an accepted table has to be in force (two seconds)."""
+"""A keeper sends something each quarter of a second. A partition and its end must be detected well
+within the time in which an accepted table has to be in force (two seconds)."""
 CHECK_INTERVAL_S = 0.5
-"""Pause between looks at the age of the instance list; a quarter of its longest age."""
+"""Interval between checks of the instance list's age; a quarter of its maximum age."""
 MIN_READ_INTERVAL_PER_ENTRY_S = 0.02
-"""Least time between two own readings of the list, for each entry of the fleet: together they make
-50 calls a second, about what the platform takes from all processes."""
+"""Minimum interval between two direct reads of the instance list, multiplied by the number of
+entries: all entries together make 50 calls a second, about as many as the platform permits."""
 PENDING_FETCH_TTL_S = 0.3
-"""Time for which a version that was asked for at one keeper is not asked for at another: twice what
-a table of 1,640 routes takes over a link of 5 Mbit/s, and little enough for a keeper that stands
-still to be passed over well within the time in which a table has to be in force."""
+"""Time for which a version that was requested from one keeper is not requested from another. Twice
+the transfer time of a table of 1,640 routes over a link of 5 Mbit/s, and short enough to bypass a
+stalled keeper well within the time in which a table has to be in force."""
 FETCH_RETRY_INTERVAL_S = 0.5
-"""Time after which a table that was asked for and did not come is asked for again."""
+"""Time after which a table that was requested and did not arrive is requested again."""
 
 
 class FeedUser(Protocol):
-    """What the owner of a feed is told."""
+    """The owner of a feed, which handles the received data."""
 
     def on_table(self, version: int, document: bytes) -> bool:
-        """A newer committed route table is here.
+        """Called with a newer committed route table.
 
-        :returns: whether it is in force now; one that is not usable is not.
+        :returns: whether it is in force now; False for a table that is not usable.
         """
 
     def on_evacuations(self, halls: frozenset[str]) -> None:
-        """These halls, and no others, are evacuated now."""
+        """Called with the complete set of evacuated halls when it changes."""
 
     def on_instances(self, listed: list[instances.Instance]) -> None:
-        """A reading of the list of instances is here."""
+        """Called with each new instance list."""
 
     def on_fleet(self, known: fleet.Fleet) -> None:
-        """The processes that there are changed."""
+        """Called when the known keepers and entries have changed."""
 
     def on_keeper_lost(self, address: str) -> None:
-        """The stream to a keeper ended."""
+        """Called when the stream to a keeper has ended."""
 
 
 class TableFeed:
-    """Follows the keepers.
+    """Follows all known keepers and passes the newest data to its owner.
 
-    :param loop: root of the program.
+    :param loop: event loop of the program.
     :param outgoing: the program's outgoing connections.
-    :param calls: makes HTTP requests, for the list when no keeper brings it.
+    :param calls: makes HTTP requests, to read the instance list if no keeper sends it.
     :param config: the entry's settings.
-    :param dialect: how the list is written.
-    :param user: gets what comes.
-    :ivar version: version of the table passed on.
-    :ivar evacuation_revision: revision of the evacuated halls passed on; 0 for none.
+    :param dialect: adapter for the format of the instance list.
+    :param user: handles the received data.
+    :ivar version: version of the table in force.
+    :ivar evacuation_revision: revision of the evacuated halls in force; 0 for none.
     """
 
     def __init__(
@@ -106,19 +106,19 @@
 
     @property
     def connected_count(self) -> int:
-        """Keepers whose stream stands."""
+        """Number of keepers with an established stream."""
         return sum(keeper.client.is_ready for keeper in self._keepers.values())
 
     @property
     def keeper_count(self) -> int:
-        """Keepers heard of."""
+        """Number of known keepers."""
         return len(self._keepers)
 
     @property
     def is_sure(self) -> bool:
-        """Whether more than half of the keepers confirm the table that is in force.
+        """Whether a majority of the keepers confirms that the table in force is the newest.
 
-        Who the keepers are is taken from those that confirm; settings may name former ones.
+        The confirming keepers report who the members are; the settings may name former ones.
         """
         confirming = [item for item in self._keepers.values() if item.is_confirmed]
         members = {
@@ -131,26 +131,26 @@
         return len(agreeing & members) * 2 > len(members)
 
     def accept_unconfirmed(self, wanted: bool) -> None:
-        """Say whether tables are taken of keepers that cannot tell whether they are the newest."""
+        """Set whether to accept tables from keepers that cannot confirm them to be the newest."""
         if wanted is self._accepts_unconfirmed:
             return
         self._accepts_unconfirmed = wanted
         if wanted:
             fields = {"keepers": self.connected_count, "followed": self.keeper_count}
-            logger.warning("unconfirmed tables are taken", extra={"fields": fields})
+            logger.warning("unconfirmed tables are accepted", extra={"fields": fields})
             for keeper in self._keepers.values():
                 self._handle_evacuated_halls(keeper)
             self._fetch_elsewhere()
 
     def set_seeds(self, addresses: list[str]) -> None:
-        """Take over the keepers that changed settings name."""
+        """Set the keepers' addresses from changed settings."""
         self._config.keepers = addresses
         self._follow()
 
     def make_client(
         self, address: str, keeper: followed_keeper.FollowedKeeper
     ) -> peer_client.PeerClient:
-        """Return a new stream to a keeper."""
+        """Return a client for a new stream to a keeper."""
         return peer_client.PeerClient(
             self._loop,
             self._outgoing,
@@ -163,20 +163,20 @@
         )
 
     def on_keeper_ready(self, keeper: followed_keeper.FollowedKeeper) -> None:
-        """Subscribe at a keeper whose stream stands."""
+        """Subscribe to a keeper whose stream is established."""
         logger.info("keeper is reachable", extra={"fields": {"address": keeper.address}})
         address = f"{self._config.host}:{self._config.peer_port}"
         keeper.client.send(route_messages.Subscribe(hall=self._config.hall, address=address))
 
     def on_keeper_lost(self, keeper: followed_keeper.FollowedKeeper) -> None:
-        """Take note of a keeper that is lost."""
+        """Notify the owner that the stream to a keeper has ended."""
         logger.warning("keeper is lost", extra={"fields": {"address": keeper.address}})
         self._user.on_keeper_lost(keeper.address)
 
     def on_keeper_message(
         self, keeper: followed_keeper.FollowedKeeper, message: messages.Message
     ) -> None:
-        """Take a keeper's message."""
+        """Handle a message of a keeper."""
         match message:
             case route_messages.RouteTableVersion():
                 keeper.handle_version(message, self.version)
@@ -196,41 +196,42 @@
     def _handle_fleet(
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.Fleet
     ) -> None:
-        """Take what a keeper knows of the fleet; entries that any keeper knows of count.
+        """Merge the fleet data of all keepers and pass it on.
 
-        A keeper that has just started or is cut off knows of few.
+        An entry is known if any keeper reports it: keepers that have just started or are cut off
+        report only few entries.
         """
         keeper.handle_fleet(message)
         self._entry_count = max(self._entry_count, len(keeper.fleet.entries))
         self._follow()
-        told = {item.address: item.fleet for item in self._keepers.values() if item.fleet}
+        reported = {item.address: item.fleet for item in self._keepers.values() if item.fleet}
         keepers = [
             fleet.Process(name=address, hall=item.hall, address=address)
-            for address, item in told.items()
+            for address, item in reported.items()
         ]
         entries: dict[str, fleet.Process] = {}
-        for item in told.values():
+        for item in reported.values():
             entries.update(item.entries)
         known = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
         self._user.on_fleet(known)
 
     def _handle_evacuated_halls(self, keeper: followed_keeper.FollowedKeeper) -> None:
-        """Put in force which halls are evacuated, if the keeper knows of more orders on them."""
-        told = keeper.evacuated
-        if told is None or told.revision <= self.evacuation_revision:
+        """Pass on the evacuated halls that a keeper reports, if their revision is newer."""
+        reported = keeper.evacuated
+        if reported is None or reported.revision <= self.evacuation_revision:
             return
-        if not told.is_confirmed and not self._accepts_unconfirmed:
+        if not reported.is_confirmed and not self._accepts_unconfirmed:
             return
         fields = {
             "address": keeper.address,
-            "revision": told.revision,
+            "revision": reported.revision,
             "before": self.evacuation_revision,
-            "is_confirmed": told.is_confirmed,
-            "halls": told.halls,
+            "is_confirmed": reported.is_confirmed,
+            "halls": reported.halls,
         }
         logger.info("evacuated halls are known", extra={"fields": fields})
-        self.evacuation_revision = told.revision
-        self._user.on_evacuations(frozenset(told.halls))
+        self.evacuation_revision = reported.revision
+        self._user.on_evacuations(frozenset(reported.halls))
 
     def _fetch(self, keeper: followed_keeper.FollowedKeeper) -> None:
         if not keeper.is_confirmed and not self._accepts_unconfirmed:
@@ -246,13 +247,13 @@
         self._loop.scheduler.call_later(PENDING_FETCH_TTL_S, self._fetch_elsewhere)
 
     def _fetch_elsewhere(self) -> None:
-        """Ask another keeper, if there is one, for what the last one asked did not send."""
+        """Request a table that has not arrived from another keeper, least recently asked first."""
         for keeper in sorted(self._keepers.values(), key=lambda item: item.fetch_sent_s):
             if keeper.client.is_ready:
                 self._fetch(keeper)
 
     def _is_fetch_pending(self, version: int, now_s: float) -> bool:
-        """Tell whether another keeper was just asked for a version, or for a newer one."""
+        """Return whether a version or a newer one was recently requested from a keeper."""
         return any(
             keeper.version >= version and now_s - keeper.fetch_sent_s < PENDING_FETCH_TTL_S
             for keeper in self._keepers.values()
@@ -267,7 +268,7 @@
             try:
                 document = self._unpack(message)
             except ValueError as error:
-                # It is asked for again, as a whole, at the next look.
+                # The next check requests the complete table.
                 logger.error("table of %s: %s", keeper.address, error)
                 self._digest = 0
                 return
@@ -282,12 +283,12 @@
         self._fetch(keeper)
 
     def _apply_table(self, version: int, document: bytes) -> bool:
-        """Pass a table on; it counts as taken only once it is in force.
+        """Pass on a table, and record its version only once it is in force.
 
-        Otherwise an exception on the way would leave the older one in force until the next
-        change. It is asked for again at the next look.
+        If the version were recorded first, an exception in the owner would leave the older table
+        in force until the next change. Instead, the next check requests the table again.
 
-        :returns: whether it is in force.
+        :returns: whether the table is in force.
         """
         try:
             is_in_force = self._user.on_table(version, document)
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -1,4 +1,4 @@
-"""What an entry does when it hears something new of the instances."""
+"""Handles changes in the state of instances: lists, alarms, rests, departures, replacements."""
 
 import logging
 from collections.abc import Callable, Set
@@ -13,12 +13,12 @@
 
 
 class UpstreamEvents:
-    """Passes news of instances on to the requests in hand, to those that wait and to other entries.
+    """Applies changes of instances to running and queued requests and reports them to others.
 
-    :param context: what all exchanges share.
-    :param sharing: tells other entries.
-    :param exchanges: the requests in hand.
-    :param get_table: returns the table in force.
+    :param context: components that all exchanges of the entry share.
+    :param sharing: reports to other entries.
+    :param exchanges: the current exchanges.
+    :param get_table: returns the route table in force.
     """
 
     def __init__(
@@ -35,15 +35,15 @@
         self._get_table = get_table
 
     def apply_list(self, listed: list[instances.Instance]) -> None:
-        """Take over a reading of the list of instances."""
+        """Apply a new instance list."""
         registry = self._context.registry
         before = registry.get_all()
         known = {upstream.instance.incarnation_id for upstream in before}
         leaving = registry.update_instances(listed, clocks.get_s())
-        now_known = {upstream.instance.incarnation_id for upstream in registry.get_all()}
-        for incarnation_id in sorted(now_known - known):
+        after = {upstream.instance.incarnation_id for upstream in registry.get_all()}
+        for incarnation_id in sorted(after - known):
             logger.info("upstream came", extra={"fields": {"upstream": incarnation_id}})
-        for incarnation_id in sorted(known - now_known):
+        for incarnation_id in sorted(known - after):
             logger.info("upstream is gone", extra={"fields": {"upstream": incarnation_id}})
         self._record_ended(before)
         self._sharing.refresh()
@@ -58,7 +58,7 @@
                 self.drain(upstream)
 
     def _record_ended(self, before: list[upstream_registry.Upstream]) -> None:
-        """Take note of instances that are gone without a word: they have ended."""
+        """Record as terminated the instances that left the list without an announcement."""
         for upstream in before:
             has_announced = upstream.instance.is_leaving or upstream.has_announced_leaving
             if upstream.is_gone and not has_announced:
@@ -67,9 +67,10 @@
                 )
 
     def handle_evacuations(self, halls: frozenset[str]) -> None:
-        """Send nothing more to instances of these halls, and to all others again.
+        """Apply the set of evacuated halls, whose instances receive no new requests.
 
-        Runs there end where they are. What has come back may have just been started.
+        Runs there complete in place. Instances of halls that are no longer evacuated count as
+        cold, since they may have just started.
         """
         self._context.metrics.evacuated_halls.set(len(halls))
         now_s = clocks.get_s()
@@ -84,20 +85,20 @@
     def handle_alarm(
         self, upstream: upstream_registry.Upstream, kind: shared_load.AlarmKind
     ) -> None:
-        """Take what this entry found bad, and tell the others."""
+        """Report an alarm that this entry raised to the others, and drain the instance."""
         self._context.metrics.alarms.inc()
         self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self.drain(upstream)
 
     def handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
-        """Tell the others of an instance that has said to be cold."""
+        """Report to the others that an instance is cold."""
         kind = shared_load.AlarmKind.COLD
         self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind, for_ms=cold_ms)
 
     def handle_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
-        """Take what an instance says of itself in an answer to a request."""
+        """Handle the state that an instance states in an answer: rest, rejection or departure."""
         fields = {"upstream": upstream.instance.incarnation_id}
         if head.is_misdirected:
             return
@@ -113,7 +114,7 @@
             self.handle_announced_leaving(upstream)
 
     def handle_announced_leaving(self, upstream: upstream_registry.Upstream) -> None:
-        """Move runs off an instance that announced its end, and report it to the others."""
+        """Drain an instance that announced its departure, and report it to the others."""
         if not upstream.record_announced_leaving():
             return
         incarnation_id = upstream.instance.incarnation_id
@@ -125,7 +126,7 @@
     def _handle_rest(
         self, upstream: upstream_registry.Upstream, rest_ms: int, now_s: float
     ) -> None:
-        """Send an instance nothing while it rests, and report that unless enough others did."""
+        """Record a rest, and report it unless enough other entries have reported it."""
         if not upstream.rest.record(rest_ms, now_s):
             return
         incarnation_id = upstream.instance.incarnation_id
@@ -137,14 +138,14 @@
             )
 
     def handle_replaced(self, upstream: upstream_registry.Upstream) -> None:
-        """Tell the others of an instance at whose address another one answers."""
+        """Report to the others that another instance answers at an instance's address."""
         self._context.contents.record_ended(upstream.instance.incarnation_id, "another answers")
         kind = shared_load.AlarmKind.REPLACED
         self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self._context.queue.schedule_check()
 
     def drain(self, upstream: upstream_registry.Upstream) -> None:
-        """Have runs leave an instance that leaves or may do so."""
+        """Migrate runs away from an instance that leaves or may leave."""
         fields = {
             "upstream": upstream.instance.incarnation_id,
             "is_listed_leaving": upstream.instance.is_leaving,
@@ -156,7 +157,7 @@
         self._recheck_runs()
 
     def _end_attempts_at(self, upstream: upstream_registry.Upstream) -> None:
-        """End what ran at an instance before it was started again."""
+        """End the attempts that ran at an instance before it restarted."""
         fields = {
             "upstream": upstream.instance.incarnation_id,
             "requests_here": len(upstream.in_flight),
@@ -164,15 +165,15 @@
         logger.warning("upstream has started again", extra={"fields": fields})
         for item in list(self._exchanges):
             item.on_upstream_ended()
-        # A copy that it held is lost, too.
+        # Copies that it stored are lost, too.
         self._recheck_runs()
 
     def _recheck_runs(self) -> None:
-        """Let each run see whether it or its copy must move."""
+        """Have each run check whether it or its copy must be migrated."""
         runs = [
             item for item in self._exchanges if isinstance(item, stream_exchange.StreamExchange)
         ]
-        # The first orders are carried out first, and not all may be in time.
+        # Instances execute copy orders in sequence, and the last ones may be too late.
         runs.sort(key=lambda item: (item.job.workspace_rank, -item.rank))
         for item in runs:
             item.on_instances_changed()
--- a/src/spoolhead/_internal/gateway/upstream_limits.py
+++ b/src/spoolhead/_internal/gateway/upstream_limits.py
@@ -1,4 +1,4 @@
-"""The rate limits that instances state: read in answers, and reported by other entries."""
+"""Tracks the rate limits that instances state in answers or that other entries report."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -9,16 +9,16 @@
 logger = logging.getLogger(__name__)
 
 REPORT_RETENTION_S = 4.0
-"""Time for which reports carry a statement again, so that a short cut does not lose it."""
+"""Time for which reports repeat a limit, so that it survives a short network partition."""
 
 
 class UpstreamLimits:
-    """The rate limits that one entry knows of.
+    """The rate limits that one entry knows.
 
-    :param get_upstream: returns the instance that a datagram names by a number, if it is listed.
-    :param request_broadcast: called when other entries should be told at once.
-    :param on_change: called with the number of an instance whose limit has changed.
-    :ivar registry: the newest statement of each instance.
+    :param get_upstream: returns the listed instance with a key, as used in datagrams, or None.
+    :param request_broadcast: called when a limit must be reported to other entries at once.
+    :param on_change: called with the key of an instance whose limit has changed.
+    :ivar registry: the newest limit of each instance.
     """
 
     __slots__ = (
@@ -46,7 +46,7 @@
     def handle_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
-        """Record what an answer to a request states; an answer without a limit lifts it."""
+        """Record the limit in an answer to a request; an answer without one removes the limit."""
         if head.is_misdirected:
             return
         key = upstream.key
@@ -64,9 +64,9 @@
     def handle_health_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
-        """Record a limit that an answer to a health question states.
+        """Record the limit in an answer to a health probe.
 
-        One without a limit says nothing: only answers to requests are known to state it.
+        An answer without a limit is ignored: only answers to requests are known to state it.
         """
         if head.limit_per_s is not None:
             self.handle_answer(upstream, head, now_s)
@@ -74,9 +74,9 @@
     def merge(
         self, limits: Iterable[rate_limit.AgedLimit], now_s: float, *, reported_by: str
     ) -> None:
-        """Record what another process reports.
+        """Record limits that another process reports.
 
-        :param reported_by: name of that process.
+        :param reported_by: name of that process, for the log.
         """
         for item in limits:
             before_per_s = self.registry.get_limit_per_s(item.key)
@@ -84,7 +84,7 @@
             self._record_change(item.key, before_per_s, reported_by=reported_by)
 
     def get_reported(self, now_s: float) -> list[rate_limit.AgedLimit]:
-        """Return what a report made now should carry of what this entry read itself."""
+        """Return the limits from recent answers, which a report sent now must carry."""
         self._reported_s = {
             key: reported_s
             for key, reported_s in self._reported_s.items()
@@ -93,7 +93,7 @@
         return self.registry.get_aged(self._reported_s, now_s)
 
     def _log_unreadable(self, upstream: upstream_registry.Upstream) -> None:
-        """Log an unreadable limit once; what is known stays in force."""
+        """Log an unreadable limit once; the previous limit stays in force."""
         if upstream.key in self._unreadable:
             return
         self._unreadable.add(upstream.key)
--- a/src/spoolhead/_internal/relay/__init__.py
+++ b/src/spoolhead/_internal/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The path of an answer from an upstream to its caller, without I/O."""
+"""Processing of streamed answers between upstream and caller. Performs no I/O."""
--- a/src/spoolhead/_internal/relay/event_stream.py
+++ b/src/spoolhead/_internal/relay/event_stream.py
@@ -1,7 +1,7 @@
-"""Server-sent events cut out of a stream of bytes, as they stand.
+"""Splits a byte stream into server-sent events.
 
-Events keep their bytes, so that what a caller gets is what the engine wrote. Only line ends
-are made alike. The format is that of the HTML standard, section "Server-sent events".
+The bytes of an event are kept, so that callers receive what the engine wrote; only line endings
+are normalized to ``\\n``. The format is defined in the HTML standard, section "Server-sent events".
 """
 
 MAX_EVENT_BYTES = 1_048_576
@@ -12,15 +12,15 @@
 
 
 class EventTooLargeError(Exception):
-    """Raised when an event grows beyond :data:`MAX_EVENT_BYTES` without an end."""
+    """Raised when an incomplete event exceeds :data:`MAX_EVENT_BYTES`."""
 
 
 class Event:
-    """One event.
+    """One server-sent event.
 
-    :ivar raw: its bytes without the blank line that ends it.
-    :ivar event_id: value of its ``id`` field, or None.
-    :ivar data: value of its first ``data`` field; empty for an event without one.
+    :ivar raw: bytes of the event without the terminating blank line.
+    :ivar event_id: value of the ``id`` field, or None.
+    :ivar data: value of the first ``data`` field; empty without one.
     """
 
     __slots__ = ("data", "event_id", "raw")
@@ -32,20 +32,20 @@
 
     @property
     def is_done_marker(self) -> bool:
-        """Whether it is the mark that an answer is complete."""
+        """Whether the event marks the end of an answer."""
         return self.data == _DONE
 
 
 class EventSplitter:
-    """Cuts a stream into events."""
+    """Splits a stream into events and buffers the last, incomplete one."""
 
     def __init__(self) -> None:
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Take bytes and return the events that they complete.
+        """Add bytes to the stream and return the events that they complete.
 
-        :raises EventTooLargeError: if an event has no end within bounds.
+        :raises EventTooLargeError: if the incomplete event exceeds the size limit.
         """
         data = self._buffer + data
         if b"\r" in data:
@@ -57,16 +57,16 @@
         return [parse_event(part) for part in parts if part]
 
     def _unify_line_ends(self, data: bytes) -> bytes:
-        # A carriage return that ends the bytes may be half of a line end, so it waits for more.
+        # A trailing carriage return may be half of a CRLF, so it is kept until more bytes arrive.
         held = b"\r" if data.endswith(b"\r") else b""
         data = data.removesuffix(b"\r").replace(b"\r\n", b"\n").replace(b"\r", b"\n")
         return data + held
 
 
 def parse_event(raw: bytes) -> Event:
-    """Read the fields of one event.
+    """Parse one event.
 
-    :param raw: its bytes, lines ended by ``\\n``, without the blank line.
+    :param raw: bytes of the event with lines separated by ``\\n``, without the blank line.
     """
     event_id = None
     data = None
--- a/src/spoolhead/_internal/relay/pace_meter.py
+++ b/src/spoolhead/_internal/relay/pace_meter.py
@@ -1,13 +1,16 @@
-"""How a caller's stream flows: time to the first event and the longest pause; no I/O."""
+"""Measures a stream: time to the first event and longest pause.
+
+Performs no I/O; the current time is passed in.
+"""
 
 
 class PaceMeter:
-    """Meter of one stream.
+    """Measurements of one stream.
 
     :param began_s: monotonic time at which the request arrived, in seconds.
     :ivar first_ms: time to the first event; None before it.
     :ivar longest_pause_ms: longest pause between two parts of the stream.
-    :ivar events_before_longest_pause: events passed on before that pause.
+    :ivar events_before_longest_pause: number of events that were forwarded before that pause.
     """
 
     __slots__ = (
@@ -26,9 +29,9 @@
         self.events_before_longest_pause = 0
 
     def record_events(self, events_before: int, now_s: float) -> None:
-        """Take note of events.
+        """Record the arrival of events.
 
-        :param events_before: events passed on before them.
+        :param events_before: number of events that were forwarded before them.
         """
         pause_ms = int((now_s - self._last_s) * 1000)
         self._last_s = now_s
--- a/src/spoolhead/_internal/relay/raw_events.py
+++ b/src/spoolhead/_internal/relay/raw_events.py
@@ -1,16 +1,16 @@
-"""Server-sent events kept to the byte, for answers that pass through unchanged."""
+"""Splits a byte stream into server-sent events whose bytes are left unchanged."""
 
 MAX_EVENT_BYTES = 1_048_576
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_SEPARATORS = (b"\n\n", b"\r\n\r\n")
 _ID = b"id:"
 
 
 class RawEvent:
-    """One event.
+    """One server-sent event.
 
-    :ivar data: its bytes with the blank line that ends it.
-    :ivar event_id: value of its ``id`` field; empty for none.
+    :ivar data: bytes of the event, including the terminating blank line.
+    :ivar event_id: value of the ``id`` field; empty without one.
     """
 
     __slots__ = ("data", "event_id")
@@ -21,33 +21,33 @@
 
 
 class RawEventSplitter:
-    """Cuts a stream into events.
+    """Splits a stream into events.
 
-    :ivar rest: bytes behind the last whole event.
+    :ivar remainder: bytes after the last complete event.
     """
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[RawEvent]:
-        """Take bytes and return the events that they complete."""
-        self.rest += data
+        """Add bytes to the stream and return the events that they complete."""
+        self.remainder += data
         events: list[RawEvent] = []
         while True:
-            end = _find_end(self.rest)
+            end = _find_end(self.remainder)
             if end < 0:
                 return events
-            events.append(RawEvent(self.rest[:end]))
-            self.rest = self.rest[end:]
+            events.append(RawEvent(self.remainder[:end]))
+            self.remainder = self.remainder[end:]
 
     @property
     def is_too_large(self) -> bool:
-        """Whether an event has grown beyond bounds without an end."""
-        return len(self.rest) > MAX_EVENT_BYTES
+        """Whether the incomplete event exceeds :data:`MAX_EVENT_BYTES`."""
+        return len(self.remainder) > MAX_EVENT_BYTES
 
 
 def _find_end(data: bytes) -> int:
-    found = [data.find(end) + len(end) for end in _ENDS if end in data]
+    found = [data.find(end) + len(end) for end in _EVENT_SEPARATORS if end in data]
     return min(found) if found else -1
 
 
--- a/src/spoolhead/_internal/relay/sequencer.py
+++ b/src/spoolhead/_internal/relay/sequencer.py
@@ -1,8 +1,8 @@
-"""Tokens once, in order, from one generation.
+"""Ensures that the events of one generation are delivered once and in order.
 
-An engine that can resume numbers its events: the ``id`` of each is ``GENERATION:INDEX``,
-counted from 0. After a resume it may send again what was already delivered, or skip; both are
-caught here, whatever connection the bytes came over.
+An engine that can resume numbers its events: the ``id`` of each is ``GENERATION:INDEX``, with
+indexes from 0. After a resume it may repeat or skip events; both are detected here, independently
+of the connection.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Verdict(enum.Enum):
-    """What to do with an event."""
+    """The result of checking an event."""
 
     DELIVER = "deliver"
     DUPLICATE = "duplicate"
@@ -21,9 +21,9 @@
 
 
 class Sequencer:
-    """Order of the events of one answer.
+    """Checks the order of the events of one answer.
 
-    :ivar generation: the generation they belong to; empty until the first numbered event.
+    :ivar generation: id of the generation; empty until the first numbered event.
     :ivar next_index: index of the next event to deliver.
     """
 
@@ -36,7 +36,7 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether the generation can be gone on with over another connection."""
+        """Whether the generation can resume over another connection."""
         return bool(self.generation) and not self._delivered_unnumbered
 
     @property
@@ -45,7 +45,7 @@
         return self.next_index > 0 or self._delivered_unnumbered
 
     def evaluate(self, event: event_stream.Event) -> Verdict:
-        """Decide on the next event and count it if it is to be delivered.
+        """Check the next event, and advance the index if it is to be delivered.
 
         :param event: the event, in the order of arrival on one connection.
         """
@@ -67,8 +67,8 @@
         return Verdict.DELIVER
 
     def _evaluate_unnumbered(self) -> Verdict:
-        # Whether an unnumbered event was seen before cannot be told after a resume. So it is
-        # taken only while the whole answer is unnumbered, and such an answer never resumes.
+        # After a resume, repeated unnumbered events cannot be detected. They are therefore valid
+        # only if the whole answer is unnumbered, and such an answer cannot resume.
         if self.generation:
             return Verdict.UNNUMBERED
         self._delivered_unnumbered = True
--- a/src/spoolhead/_internal/relay/splice.py
+++ b/src/spoolhead/_internal/relay/splice.py
@@ -1,18 +1,18 @@
-"""One stream of events for a caller, out of one run that may change instances on the way.
+"""Joins the event streams of a migrated run into one stream for the caller.
 
-Only whole events pass. Their ids must rise; an event that the caller already has, because a
-run went on a little before it, is left out.
+Only complete events are forwarded. Their ids must be consecutive; events that the caller already
+has, because the run resumed a little earlier, are omitted.
 """
 
 from spoolhead._internal.relay import raw_events
 
 
 class SpliceResult:
-    """What a part of the stream comes to.
+    """The result of processing a part of the stream.
 
     :ivar data: bytes for the caller.
-    :ivar events: events in them.
-    :ivar problem: why the stream cannot go on; empty where it can.
+    :ivar events: number of numbered events in them.
+    :ivar problem: why the stream cannot continue; empty if it can.
     """
 
     __slots__ = ("data", "events", "problem")
@@ -24,10 +24,11 @@
 
 
 class EventSplicer:
-    """Order of one caller's events.
+    """Joins the connections of one run into one stream of events.
 
-    :ivar last_event_id: id of the last event passed on; empty before the first.
-    :ivar events: events passed on.
+    :param last_event_id: id of the last event that the caller has already received, if any.
+    :ivar last_event_id: id of the last forwarded event; empty before the first.
+    :ivar events: number of forwarded events.
     """
 
     __slots__ = ("_last_number", "_splitter", "events", "last_event_id")
@@ -39,16 +40,16 @@
         self._splitter = raw_events.RawEventSplitter()
 
     def begin_connection(self) -> None:
-        """Take note that bytes of another connection follow; half an event is dropped."""
+        """Begin another connection; the incomplete event of the previous one is discarded."""
         self._splitter = raw_events.RawEventSplitter()
 
     def feed(self, data: bytes) -> SpliceResult:
-        """Take bytes of the present connection."""
+        """Process bytes of the current connection."""
         result = SpliceResult()
-        chosen: list[bytes] = []
+        forwarded: list[bytes] = []
         for event in self._splitter.feed(data):
             if not event.event_id.isdigit():
-                chosen.append(event.data)
+                forwarded.append(event.data)
                 continue
             number = int(event.event_id)
             if number <= self._last_number:
@@ -60,13 +61,13 @@
             self.last_event_id = event.event_id
             self.events += 1
             result.events += 1
-            chosen.append(event.data)
+            forwarded.append(event.data)
         if self._splitter.is_too_large:
             result.problem = "an event has no end"
-        result.data = b"".join(chosen)
+        result.data = b"".join(forwarded)
         return result
 
     def finish(self) -> bytes:
-        """Return the bytes behind the last event of an answer that is whole."""
-        rest, self._splitter.rest = self._splitter.rest, b""
-        return rest
+        """Return the bytes after the last event of a complete answer."""
+        remainder, self._splitter.remainder = self._splitter.remainder, b""
+        return remainder
--- a/src/spoolhead/_internal/relay/stream_relay.py
+++ b/src/spoolhead/_internal/relay/stream_relay.py
@@ -1,4 +1,4 @@
-"""A streamed answer on its way: what of an upstream's bytes goes to the caller."""
+"""Selects the bytes of an upstream's streamed answer that are forwarded to the caller."""
 
 from spoolhead._internal.models import codes, fault
 from spoolhead._internal.relay import event_stream, sequencer
@@ -7,12 +7,12 @@
 
 
 class RelayResult:
-    """What came of some bytes.
+    """The result of processing a part of the answer.
 
     :ivar data: bytes for the caller; may be empty.
-    :ivar tokens: events with content among them, each one token.
-    :ivar is_done: the answer is complete.
-    :ivar fault: why the stream must not go on, or None.
+    :ivar tokens: number of events with content in them; each is one token.
+    :ivar is_done: whether the answer is complete.
+    :ivar fault: why the stream cannot continue, or None.
     """
 
     __slots__ = ("data", "fault", "is_done", "tokens")
@@ -25,9 +25,10 @@
 
 
 class StreamRelay:
-    """Relays one answer, over one connection after another if need be.
+    """Relays one answer, over several consecutive connections if necessary.
 
-    :param order: order of the events; one that has begun elsewhere for a resumed answer.
+    :param order: checks the order of events; for a resumed answer, with its previous state.
+    :ivar is_done: whether the answer is complete.
     """
 
     def __init__(self, order: sequencer.Sequencer | None = None) -> None:
@@ -36,13 +37,13 @@
         self._splitter = event_stream.EventSplitter()
 
     def begin_connection(self) -> None:
-        """Forget the part of an event that a lost connection left."""
+        """Begin another connection; the incomplete event of the previous one is discarded."""
         self._splitter = event_stream.EventSplitter()
 
     def feed(self, data: bytes) -> RelayResult:
-        """Take bytes of the upstream.
+        """Process bytes of the upstream.
 
-        :returns: what goes to the caller; a fault ends the relay.
+        :returns: the bytes for the caller; a fault ends the relay.
         """
         relayed = RelayResult()
         if self.is_done:
@@ -59,20 +60,20 @@
         relayed.data = b"".join(parts)
         return relayed
 
-    def _is_in_place(self, done_mark: event_stream.Event) -> bool:
-        # A numbered mark after a gap would end an answer that lacks its last tokens.
-        if done_mark.event_id is None:
+    def _is_next(self, done_marker: event_stream.Event) -> bool:
+        # A numbered marker after a gap would end an answer that lacks its last tokens.
+        if done_marker.event_id is None:
             return True
-        _, _, digits = done_mark.event_id.rpartition(b":")
+        _, _, digits = done_marker.event_id.rpartition(b":")
         return digits == b"%d" % self.order.next_index
 
     def _relay_event(
         self, event: event_stream.Event, parts: list[bytes], relayed: RelayResult
     ) -> bool:
-        """Take one event; return whether the rest is not to be looked at."""
+        """Process one event; return whether to ignore the remaining ones."""
         if event.raw.startswith(_COMMENT) and not event.data:
             return False
-        if event.is_done_marker and self._is_in_place(event):
+        if event.is_done_marker and self._is_next(event):
             parts.append(event.raw + b"\n\n")
             self.is_done = relayed.is_done = True
             return True
