--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -90,7 +90,7 @@
         self._sequence = first_sequence
         self._registry = registry
         self._on_alarm = on_alarm
-        self._on_ended = on_ended
+        self._on_terminated = on_ended
         self._raised: list[_RaisedAlarm] = []
         self._reported_failure_s: dict[str, float] = {}
         self._unlisted = standing_alarms.StandingAlarms()
@@ -146,7 +146,7 @@
 
     def _handle_new(self, alarm: shared_load.Alarm, now_s: float) -> None:
         if alarm.kind in _TERMINATION_KINDS:
-            self._on_ended(alarm.incarnation_id, f"told by {alarm.reporter}")
+            self._on_terminated(alarm.incarnation_id, f"told by {alarm.reporter}")
         if alarm.kind is shared_load.AlarmKind.ENDED:
             return
         upstream = self._registry.get(alarm.incarnation_id)
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -57,7 +57,7 @@
         self._wait_ms = wait_ms
         self._deadline_s = self._arrived_s + wait_ms / 1000
         self._timer = context.timers.call_later(wait_ms / 1000, self._on_deadline)
-        self._tried: set[str] = set()
+        self._tried_ids: set[str] = set()
         self._misdirected_count = 0
         self._ran = codes.Ran.NO
         self._attempt: attempts.Attempt | None = None
@@ -133,7 +133,7 @@
             self.job.service,
             context.registry.get_service(self.job.service.name),
             need_tokens=need_tokens,
-            excluded=self._tried,
+            excluded=self._tried_ids,
             view=view,
         )
         if self._prefers_least_shared:
@@ -156,7 +156,7 @@
         self._is_awaiting_permit = True
         request = permit_exchange.PermitTerms(
             self.job.request_priority,
-            is_retry=bool(self._tried),
+            is_retry=bool(self._tried_ids),
             wait_ms=self._get_permit_wait_ms(choice),
             is_final=len(choice.candidates) == 1,
         )
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -125,7 +125,7 @@
         self._registry = registry
         self._get_table = get_table
         self._get_entries = get_entries
-        self._duties = watch_duty.WatchDuties(config.name)
+        self._assignments = watch_duty.WatchDuties(config.name)
         self._get_silent_halls = get_silent_halls
         self._on_alarm = on_alarm
         self._on_cold = on_cold
@@ -200,7 +200,7 @@
                 probe.call.cancel()
                 self.handle_probe_end(probe, "no answer", is_silent=True)
         listed = [upstream.instance for upstream in self._registry.get_all()]
-        self._duties.update(self._get_entries(), listed)
+        self._assignments.update(self._get_entries(), listed)
         silent_halls = self._get_silent_halls()
         for service in table.services:
             if service.engine is None or not service.health_path:
@@ -211,7 +211,7 @@
                     continue
                 if instance.hall in silent_halls:
                     continue
-                if self._duties.has(instance) and self._may_probe(upstream, now_s):
+                if self._assignments.has(instance) and self._may_probe(upstream, now_s):
                     self._start_probe(upstream, service.health_path)
 
     def _may_probe(self, upstream: upstream_registry.Upstream, now_s: float) -> bool:
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -84,8 +84,8 @@
         self._name = config.name
         self._hall = config.hall
         self._fleet = fleet.Fleet()
-        self._view = load_view.LoadView(config.hall, registry)
-        self._choice = hub_choice.HubChoice(config.name)
+        self._load_view = load_view.LoadView(config.hall, registry)
+        self._hub_choice = hub_choice.HubChoice(config.name)
         # Sequence numbers must exceed those of the entry's previous incarnation.
         self._sequence = int(wall_clock() * 1000)
         hub = load_hub.LoadHub(config.name, self._sequence)
@@ -114,7 +114,7 @@
     @property
     def has_snapshot(self) -> bool:
         """Whether the current hub has sent its complete state."""
-        return self._view.has_snapshot
+        return self._load_view.has_snapshot
 
     def set_fleet(self, known: fleet.Fleet) -> None:
         """Set the known keepers and entries, and update the candidates for the hub."""
@@ -128,12 +128,12 @@
         ]
         for number, entry in enumerate(self._get_entry_hubs(self._hall)):
             candidates.append(hub_choice.Candidate(entry.endpoint, _FIRST_ENTRY_HUB + number))
-        self._choice.set_candidates(candidates)
+        self._hub_choice.set_candidates(candidates)
         self._check_hub()
 
     def record_keeper_lost(self, address: str) -> None:
         """Record that the stream to a keeper ended; it is not used as a hub for a while."""
-        self._choice.record_lost(endpoints.split(address), self._clock())
+        self._hub_choice.record_lost(endpoints.split(address), self._clock())
         self._check_hub()
 
     def get_entries(self) -> Sequence[fleet.Process]:
@@ -145,15 +145,15 @@
 
     def get_silent_halls(self) -> frozenset[str]:
         """Return the known halls that are silent, for example behind a network partition."""
-        return self._view.get_silent_halls(self._clock())
+        return self._load_view.get_silent_halls(self._clock())
 
     def is_isolated(self) -> bool:
         """Return whether all other halls are silent, which suggests that this hall is cut off."""
-        return self._view.is_isolated(self._clock())
+        return self._load_view.is_isolated(self._clock())
 
     def get_load_age_ms(self) -> int:
         """Return the age of the load data of other entries in milliseconds; -1 without data."""
-        return self._view.get_age_ms(self._clock())
+        return self._load_view.get_age_ms(self._clock())
 
     def broadcast_alarm(
         self, incarnation_id: str, kind: shared_load.AlarmKind, *, for_ms: int = 0
@@ -182,15 +182,15 @@
         """Schedule a report of this entry's load, within the bandwidth limit."""
         if self._report_timer is not None:
             return
-        free_s = self._reported_s + self._report_bytes / REPORT_BYTES_PER_S
-        delay_s = max(COALESCE_S, free_s - self._clock())
+        earliest_s = self._reported_s + self._report_bytes / REPORT_BYTES_PER_S
+        delay_s = max(COALESCE_S, earliest_s - self._clock())
         self._report_timer = self._timers.call_later(delay_s, self._report)
 
     def refresh(self) -> None:
         """Recompute the load of the other entries; due after the instance list has changed."""
         now_s = self._clock()
         self._alarms.handle_list_change(now_s)
-        self._view.rebuild(now_s)
+        self._load_view.rebuild(now_s)
 
     def handle_datagram(
         self,
@@ -208,38 +208,38 @@
         self._alarms.handle_alarms(update.alarms, now_s)
         self._contents.handle_update(update.hub, update.contents)
         self._limits.merge(update.limits, now_s, reported_by=update.hub)
-        before = self._choice.current
-        source = self._choice.record_update(sender, now_s)
+        previous = self._hub_choice.current
+        source = self._hub_choice.record_update(sender, now_s)
         if source is hub_choice.UpdateSource.OTHER:
             # This hub has not received the notice that the entry uses another hub.
             self._send(self._make_report(is_reporter=False), sender)
             return
         if source is hub_choice.UpdateSource.NEW:
-            self._change_hub(before, now_s)
-        if self._view.handle_update(update, now_s):
+            self._change_hub(previous, now_s)
+        if self._load_view.handle_update(update, now_s):
             self._on_load_update()
 
     def _check_hub(self) -> None:
         now_s = self._clock()
-        if self._choice.choose(now_s) and self._choice.probing is not None:
-            self._send(self._make_report(is_reporter=True), self._choice.probing)
-        pause_s = REPORT_INTERVAL_S if self._view.has_snapshot else HUB_CHECK_INTERVAL_S
-        if now_s - self._reported_s >= pause_s:
+        if self._hub_choice.choose(now_s) and self._hub_choice.probing is not None:
+            self._send(self._make_report(is_reporter=True), self._hub_choice.probing)
+        interval_s = REPORT_INTERVAL_S if self._load_view.has_snapshot else HUB_CHECK_INTERVAL_S
+        if now_s - self._reported_s >= interval_s:
             self._report()
         if now_s - self._beacon_sent_s >= BEACON_INTERVAL_S:
             self._beacon_sent_s = now_s
             self._send_beacons()
 
-    def _change_hub(self, before: endpoints.Endpoint | None, now_s: float) -> None:
+    def _change_hub(self, previous: endpoints.Endpoint | None, now_s: float) -> None:
         fields = {
-            "hub": _format_address(self._choice.current),
-            "before": _format_address(before),
-            "news_age_ms": self._view.get_age_ms(now_s),
+            "hub": _format_address(self._hub_choice.current),
+            "before": _format_address(previous),
+            "news_age_ms": self._load_view.get_age_ms(now_s),
         }
         logger.info("load is reported to another hub", extra={"fields": fields})
-        if before is not None:
-            self._send(self._make_report(is_reporter=False), before)
-        self._view.begin_hub()
+        if previous is not None:
+            self._send(self._make_report(is_reporter=False), previous)
+        self._load_view.begin_hub()
 
     def _send_beacons(self) -> None:
         """Send reports to all other hubs, to show that entries of this hall are alive."""
@@ -248,7 +248,7 @@
             return
         data = self._make_report(is_reporter=False)
         for address in self._get_known_hubs():
-            if address not in (self._choice.current, self._choice.probing):
+            if address not in (self._hub_choice.current, self._hub_choice.probing):
                 self._send(data, address)
 
     def _report(self) -> None:
@@ -256,7 +256,7 @@
             self._report_timer.cancel()
             self._report_timer = None
         self._reported_s = self._clock()
-        hub = self._choice.current or self._choice.probing
+        hub = self._hub_choice.current or self._hub_choice.probing
         if hub is None:
             return
         data = self._make_report(is_reporter=True)
@@ -268,9 +268,9 @@
     def _make_report(self, *, is_reporter: bool) -> bytes:
         now_s = self._clock()
         self._sequence += 1
-        rows = self._view.get_own() if is_reporter else {}
+        rows = self._load_view.get_own() if is_reporter else {}
         if is_reporter:
-            self._view.record_report(self._sequence, rows)
+            self._load_view.record_report(self._sequence, rows)
         report = shared_load.Report(
             sender=self._name,
             hall=self._hall,
@@ -284,7 +284,7 @@
                 else self._contents.make_digest_update()
             ),
             limits=self._limits.get_reported(now_s) if is_reporter else [],
-            wants_snapshot=is_reporter and not self._view.has_snapshot,
+            wants_snapshot=is_reporter and not self._load_view.has_snapshot,
         )
         return shared_load.encode_report(report)
 
@@ -306,12 +306,12 @@
     def _log_halls(self) -> None:
         """Log which halls became silent and which are heard again."""
         now_s = self._clock()
-        silent = self._view.get_silent_halls(now_s)
+        silent = self._load_view.get_silent_halls(now_s)
         for hall in sorted(silent - self._silent_halls):
             fields = {
                 "hall": hall,
-                "age_ms": self._view.get_silence_ms(hall, now_s),
-                "news_age_ms": self._view.get_age_ms(now_s),
+                "age_ms": self._load_view.get_silence_ms(hall, now_s),
+                "news_age_ms": self._load_view.get_age_ms(now_s),
             }
             logger.warning("hall is silent", extra={"fields": fields})
         for hall in sorted(self._silent_halls - silent):
--- a/src/spoolhead/_internal/gateway/memory_copy.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -59,10 +59,10 @@
         self._dialect = dialect
         self._user = user
         self._call: upstream_calls.UpstreamCall | None = None
-        self._must_free = False
+        self._must_release = False
         self._body: list[bytes] = []
 
-    def copy(self) -> None:
+    def start(self) -> None:
         """Order the copy, or an update of it."""
         self._body = []
         order = self._dialect.write_move(
@@ -70,22 +70,22 @@
         )
         self._call = _send_order(self._calls, self.source_address, order, self)
 
-    def abandon(self, *, must_free: bool) -> None:
+    def close(self, *, must_release: bool) -> None:
         """End the handling of the copy; the owner receives no more calls.
 
         An order reserves memory at the target from its beginning, and only the handle in its
         answer can release that memory. So an unused copy's answer is awaited first.
 
-        :param must_free: whether to release the copy's memory because the copy is not used.
+        :param must_release: whether to release the copy's memory because the copy is not used.
         """
         is_pending = self._call is not None and not self._call.is_over
-        if not must_free:
+        if not must_release:
             if self._call is not None and is_pending:
                 self._call.cancel()
         elif is_pending:
-            self._must_free = True
+            self._must_release = True
         else:
-            self._free()
+            self._release()
 
     def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
         """Record the status of an answer."""
@@ -100,8 +100,8 @@
         """Evaluate a complete answer and notify the owner."""
         answer = self._dialect.read_move(self.status, b"".join(self._body))
         self.handle = answer.handle or self.handle
-        if self._must_free:
-            self._free()
+        if self._must_release:
+            self._release()
             return
         if self.status != _OK:
             self._user.on_copy_failed(self)
@@ -112,10 +112,10 @@
         """Handle the loss of the connection as a failed order."""
         del reason
         self.status = NO_ANSWER_STATUS
-        if not self._must_free:
+        if not self._must_release:
             self._user.on_copy_failed(self)
 
-    def _free(self) -> None:
+    def _release(self) -> None:
         if not self.handle or self._source.has_restarted:
             # After a restart the handle is unknown or belongs to another copy.
             return
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -109,7 +109,7 @@
         self._granter = permit_granter.PermitGranter(limits.registry)
         self._addresses: dict[str, endpoints.Endpoint] = {}
         self._silent_until_s: dict[str, float] = {}
-        self._missed: collections.Counter[str] = collections.Counter()
+        self._missed_replies: collections.Counter[str] = collections.Counter()
         self._pending_requests: dict[int, _PendingRequest] = {}
         self._last_id = first_id
         self._poll_timer: scheduler.Timer | None = None
@@ -121,7 +121,7 @@
         self._granters.clear()
         known = {entry.name for entry in entries}
         self._addresses = {name: to for name, to in self._addresses.items() if name in known}
-        self._missed.clear()
+        self._missed_replies.clear()
         self._silent_until_s = {
             name: until_s for name, until_s in self._silent_until_s.items() if name in known
         }
@@ -232,10 +232,10 @@
         self._send_request(permit_id)
 
     def _record_missed(self, granter: fleet.Process, pending: _PendingRequest) -> None:
-        self._missed[granter.name] += 1
-        if self._missed[granter.name] < MAX_MISSED_REPLIES:
+        self._missed_replies[granter.name] += 1
+        if self._missed_replies[granter.name] < MAX_MISSED_REPLIES:
             return
-        del self._missed[granter.name]
+        del self._missed_replies[granter.name]
         self._silent_until_s[granter.name] = self._clock() + SILENT_GRANTER_TTL_S
         fields = {"entry": granter.name, "upstream": pending.upstream.instance.incarnation_id}
         logger.warning("granter of permits does not reply", extra={"fields": fields})
@@ -275,7 +275,7 @@
         pending = self._pending_requests.get(permit_id)
         granters = self._get_granters(pending.upstream) if pending is not None else []
         if pending is not None and pending.turn < len(granters):
-            self._missed.pop(granters[pending.turn].name, None)
+            self._missed_replies.pop(granters[pending.turn].name, None)
 
     def _record_backoff(
         self, pending: _PendingRequest, reply: permits.PermitReply, now_s: float
@@ -312,8 +312,11 @@
             self._poll_timer = self._timers.call_later(delay_s, self._poll)
 
     def _send_replies(self, replies: Iterable[permit_granter.AddressedReply]) -> None:
-        for item in replies:
-            if item.receiver == self._name:
-                self._handle_reply(item.reply)
-            elif item.receiver in self._addresses:
-                self._send(permits.encode_reply(item.reply), self._addresses[item.receiver])
+        for addressed_reply in replies:
+            if addressed_reply.receiver == self._name:
+                self._handle_reply(addressed_reply.reply)
+            elif addressed_reply.receiver in self._addresses:
+                self._send(
+                    permits.encode_reply(addressed_reply.reply),
+                    self._addresses[addressed_reply.receiver],
+                )
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -16,7 +16,7 @@
 class PlainExchange(exchange.Exchange):
     """One plain request, which is either repeatable or runs at most once."""
 
-    _attempts_made = 0
+    _attempt_count = 0
     _last_server_error: attempts.Attempt | None = None
 
     def start(self) -> None:
@@ -33,8 +33,8 @@
             return
         upstream = choice.upstream
         attempt = self._attempt = attempts.Attempt(self, upstream)
-        self._attempts_made += 1
-        self._tried.add(upstream.instance.incarnation_id)
+        self._attempt_count += 1
+        self._tried_ids.add(upstream.instance.incarnation_id)
         request_id = self.job.head.request_id
         upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
             request_id, 0, prefill_tokens=0
@@ -76,7 +76,7 @@
             attempt.upstream.record_answer()
             if head.is_misdirected:
                 # The request did not reach its instance, so the attempt does not count.
-                self._attempts_made -= 1
+                self._attempt_count -= 1
             self._retry(codes.ResultCode.UPSTREAM_REFUSED, "not run", has_run=False)
         elif head.status in _SUCCESS and (not head.is_signed or head.is_encoded):
             self._retry(codes.ResultCode.UPSTREAM_LOST, "the answer is not the upstream's own")
@@ -108,7 +108,7 @@
             self._ran = codes.Ran.UNKNOWN
         arrived = attempt.call.may_have_arrived
         if not arrived:
-            self._attempts_made -= 1
+            self._attempt_count -= 1
         fields = {
             **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
@@ -133,7 +133,7 @@
         if self._context.contents.is_suspect(self.job.content_id):
             # The request may crash the next instance as well.
             return False
-        if self._attempts_made >= self.job.route.attempts:
+        if self._attempt_count >= self.job.route.attempts:
             return False
         allowance = self._context.get_allowance(self.job.service.name)
         return allowance.try_acquire(clocks.get_s())
@@ -148,7 +148,7 @@
             **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "status": head.status,
-            "attempts": self._attempts_made,
+            "attempts": self._attempt_count,
             "is_late": self.is_late(),
         }
         logger.info("answered", extra={"fields": fields})
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -80,8 +80,8 @@
         self._has_instances = False
         self._is_stopping = False
         self._unreachable = ""
-        self._began_s = clocks.get_s()
-        self._stop_s = 0.0
+        self._started_s = clocks.get_s()
+        self._stop_started_s = 0.0
         self._exchanges: set[exchange.Exchange] = set()
         self._early_callers: list[caller_front.Caller] = []
         self.loop = loop.Loop(self._begin_stop)
@@ -94,15 +94,15 @@
         self._contents = content_watch.ContentWatch(
             config.name,
             clock=clocks.get_s,
-            request_broadcast=lambda: self._sharing.broadcast_contents(),
+            request_broadcast=lambda: self._load_sharing.broadcast_contents(),
             on_held=self._reject_held,
         )
         self._metrics.held_contents.set_function(lambda: self._contents.held_count)
         address = (config.host, config.peer_port)
-        sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
+        load_sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         self._limits = upstream_limits.UpstreamLimits(
             self._registry.get_by_key,
-            request_broadcast=lambda: self._sharing.broadcast_limits(),
+            request_broadcast=lambda: self._load_sharing.broadcast_limits(),
             on_change=self._on_limit_change,
         )
         self._metrics.limited_upstreams.set_function(lambda: self._limits.registry.limited_count)
@@ -110,26 +110,26 @@
             self.loop.scheduler,
             config,
             self._limits,
-            send=sock.send,
+            send=load_sock.send,
             first_id=int(time.time() * 1000),
         )
-        self._sharing = load_sharing.LoadSharing(
+        self._load_sharing = load_sharing.LoadSharing(
             self.loop.scheduler,
             config,
             self._registry,
             self._contents,
             self._limits,
-            send=sock.send,
+            send=load_sock.send,
             on_alarm=lambda upstream: self._upstream_events.drain(upstream),
             on_load_update=self._on_load_update,
         )
-        self._metrics.news_age_ms.set_function(self._sharing.get_load_age_ms)
+        self._metrics.news_age_ms.set_function(self._load_sharing.get_load_age_ms)
         self._end_watch = end_watch.EndWatch(
             calls,
             self.loop.scheduler,
             self._contents,
             read_instance_id=lambda status, head: dialect.read_answer(status, head).instance_id,
-            on_ended=lambda incarnation_id: self._sharing.broadcast_alarm(
+            on_ended=lambda incarnation_id: self._load_sharing.broadcast_alarm(
                 incarnation_id, shared_load.AlarmKind.ENDED
             ),
         )
@@ -141,20 +141,20 @@
             registry=self._registry,
             rng=random.Random(),
             on_change=self._on_own_change,
-            on_lost_request=self._sharing.broadcast_failure,
+            on_lost_request=self._load_sharing.broadcast_failure,
             on_answer=lambda *answer: self._upstream_events.handle_answer(*answer),
             on_replaced=lambda upstream: self._upstream_events.handle_replaced(upstream),
             contents=self._contents,
             limits=self._limits,
             permits=self._permits,
             query_end=self._query_end,
-            get_silent_halls=self._sharing.get_silent_halls,
-            get_load_age_ms=self._sharing.get_load_age_ms,
+            get_silent_halls=self._load_sharing.get_silent_halls,
+            get_load_age_ms=self._load_sharing.get_load_age_ms,
             metrics=self._metrics,
         )
         self._upstream_events = upstream_events.UpstreamEvents(
             self._context,
-            self._sharing,
+            self._load_sharing,
             self._exchanges,
             get_table=lambda: self._matcher,
         )
@@ -172,7 +172,7 @@
             answer=self._answer_probe,
         ).register(self.loop)
         metrics.serve(self.loop, config)
-        self._feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
+        self._table_feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
         self._health = health_watch.HealthWatch(
             self.loop,
             calls,
@@ -180,8 +180,8 @@
             dialect,
             self._registry,
             get_table=lambda: self._matcher,
-            get_entries=self._sharing.get_entries,
-            get_silent_halls=self._sharing.get_silent_halls,
+            get_entries=self._load_sharing.get_entries,
+            get_silent_halls=self._load_sharing.get_silent_halls,
             on_alarm=self._upstream_events.handle_alarm,
             on_cold=self._upstream_events.handle_cold,
             on_replaced=self._upstream_events.handle_replaced,
@@ -227,25 +227,25 @@
 
     def on_fleet(self, known: fleet.Fleet) -> None:
         """Apply the set of known keepers and entries."""
-        self._sharing.set_fleet(known)
-        entries = self._sharing.get_entries()
+        self._load_sharing.set_fleet(known)
+        entries = self._load_sharing.get_entries()
         self._context.cold_starts.set_entries(entries)
         self._permits.set_entries(entries)
         self._context.entry_count = max(self._context.entry_count, len(known.entries))
 
     def on_keeper_lost(self, address: str) -> None:
         """Record that the stream to a keeper ended."""
-        self._sharing.record_keeper_lost(address)
+        self._load_sharing.record_keeper_lost(address)
 
     def apply_settings(self, config: settings.GatewaySettings) -> None:
         """Apply changed settings; only the keepers' addresses can change."""
-        self._feed.set_seeds(config.keepers)
+        self._table_feed.set_seeds(config.keepers)
 
     def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
         if isinstance(message, permits.PermitRequest | permits.PermitReply):
             self._permits.handle_datagram(message, sender)
         else:
-            self._sharing.handle_datagram(message, sender)
+            self._load_sharing.handle_datagram(message, sender)
 
     def _on_load_update(self) -> None:
         self._context.queue.schedule_check()
@@ -262,7 +262,7 @@
             self._upstream_events.handle_announced_leaving(upstream)
 
     def _on_own_change(self) -> None:
-        self._sharing.schedule_report()
+        self._load_sharing.schedule_report()
         self._context.queue.schedule_check()
 
     def _answer_probe(self, request: request_reader.WireRequest) -> small_server.SmallAnswer:
@@ -276,32 +276,32 @@
     def _check_ready(self) -> None:
         if self._is_ready:
             return
-        age_s = clocks.get_s() - self._began_s
+        age_s = clocks.get_s() - self._started_s
         if age_s > EARLY_REQUEST_WAIT_S:
             self._handle_early_requests()
-        known = startup.StartupState(
+        startup_state = startup.StartupState(
             age_s=age_s,
             has_table=self._matcher is not None,
             has_contents=self._contents.is_in_sync,
-            has_limits=self._sharing.has_snapshot,
+            has_limits=self._load_sharing.has_snapshot,
             has_instances=self._has_instances,
-            is_sure=self._feed.is_sure,
-            reaches_majority=self._feed.connected_count * 2 > self._feed.keeper_count,
+            is_sure=self._table_feed.is_sure,
+            reaches_majority=self._table_feed.connected_count * 2 > self._table_feed.keeper_count,
         )
-        step = startup.decide(known)
-        self._feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
+        step = startup.decide(startup_state)
+        self._table_feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
         if step is startup.Step.SERVE:
-            self._begin_serving(known)
+            self._begin_serving(startup_state)
 
-    def _begin_serving(self, known: startup.StartupState) -> None:
+    def _begin_serving(self, startup_state: startup.StartupState) -> None:
         self._is_ready = True
         fields = {
-            "version": self._feed.version,
-            "keepers": self._feed.connected_count,
-            "is_sure": known.is_sure,
-            "has_contents": known.has_contents,
-            "has_limits": known.has_limits,
-            "age_ms": int(known.age_s * 1000),
+            "version": self._table_feed.version,
+            "keepers": self._table_feed.connected_count,
+            "is_sure": startup_state.is_sure,
+            "has_contents": startup_state.has_contents,
+            "has_limits": startup_state.has_limits,
+            "age_ms": int(startup_state.age_s * 1000),
         }
         logger.info("entry is ready", extra={"fields": fields})
         self._handle_early_requests()
@@ -317,7 +317,7 @@
         self._unreachable = unreachable
         self._front.close_after_answers(bool(unreachable))
         if unreachable:
-            halls = sorted(self._sharing.get_silent_halls())
+            halls = sorted(self._load_sharing.get_silent_halls())
             fields = {"service": unreachable, "silent_halls": halls}
             logger.warning("entry cannot reach a service", extra={"fields": fields})
         else:
@@ -326,9 +326,9 @@
     def _find_unreachable(self) -> str:
         """Return the name of a service with instances only in unreachable halls, or ``""``."""
         unreachable_halls = self._context.reach.get_unreachable_halls(
-            self._sharing.get_silent_halls(),
+            self._load_sharing.get_silent_halls(),
             clocks.get_s(),
-            is_isolated=self._sharing.is_isolated(),
+            is_isolated=self._load_sharing.is_isolated(),
         )
         if not unreachable_halls or self._matcher is None:
             return ""
@@ -349,7 +349,7 @@
         if self._dialect.is_ready_probe(caller.request):
             caller.send_whole(200 if self._can_serve() else 503, [], b"")
             return
-        age_s = clocks.get_s() - self._began_s
+        age_s = clocks.get_s() - self._started_s
         if not self._is_ready and age_s < EARLY_REQUEST_WAIT_S and not self._is_stopping:
             self._early_callers.append(caller)
             return
@@ -364,8 +364,10 @@
         allowance = self._context.get_allowance(matched.service.name)
         allowance.record_request(clocks.get_s())
         is_stream = matched.route.kind is route_table.RequestKind.STREAM
-        cls = stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
-        handler = cls(matched, caller, self._context, self._exchanges.discard)
+        exchange_class = (
+            stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
+        )
+        handler = exchange_class(matched, caller, self._context, self._exchanges.discard)
         self._exchanges.add(handler)
         handler.begin()
 
@@ -402,8 +404,8 @@
             return fault.Fault(code, "the API key belongs to no workspace")
         service = table.get_service(matcher.choose_service(route, self._context.rng))
         assert service is not None
-        owner = workspace.name if workspace is not None else ""
-        content_id = request_content.get_content_id(caller.request, head.host, owner)
+        workspace_name = workspace.name if workspace is not None else ""
+        content_id = request_content.get_content_id(caller.request, head.host, workspace_name)
         return routed_job.Job(head, route, service, workspace, table.version, content_id)
 
     def _adjust_refusal(self, item: fault.Fault) -> fault.Fault:
@@ -413,7 +415,7 @@
         newest, it reports that instead, so that callers retry or use another hall: the route may
         be new.
         """
-        if item.code is codes.ResultCode.NO_TABLE or self._feed.is_sure:
+        if item.code is codes.ResultCode.NO_TABLE or self._table_feed.is_sure:
             return item
         return fault.make_unconfirmed_fault(item)
 
@@ -432,7 +434,7 @@
             "reason": item.text,
             "status": status,
             "table_version": self._matcher.version if self._matcher is not None else 0,
-            "taken_version": self._feed.version,
+            "taken_version": self._table_feed.version,
         }
         logger.info("refused", extra={"fields": fields})
 
@@ -441,7 +443,7 @@
 
     def _begin_stop(self) -> None:
         self._is_stopping = True
-        self._stop_s = clocks.get_s()
+        self._stop_started_s = clocks.get_s()
         fields = {"in_flight": len(self._exchanges)}
         logger.info("entry stops", extra={"fields": fields})
         self._front.close_after_answers()
@@ -449,7 +451,7 @@
         self.loop.scheduler.call_every(STOP_CHECK_INTERVAL_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
-        age_s = clocks.get_s() - self._stop_s
+        age_s = clocks.get_s() - self._stop_started_s
         is_due = age_s > self._config.stop_ms / 1000 - STOP_MARGIN_S
         is_empty = age_s > STOP_LISTEN_DURATION_S and not self._front.connection_count
         if is_empty or is_due:
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -20,7 +20,7 @@
 """HTTP status of a copy order if the target has no free memory."""
 
 
-class Copy:
+class ReadyCopy:
     """A copy of a run's memory from which the run can resume.
 
     :ivar upstream: the instance that stores the copy.
@@ -97,7 +97,7 @@
         if must_move and self._target is None:
             self._make_copy(source)
 
-    def pop_copy(self) -> Copy | None:
+    def pop_copy(self) -> ReadyCopy | None:
         """Remove and return the copy for resuming the run; None if there is no usable copy."""
         target, copy = self._target, self._copy
         if target is None or target.is_gone or target.is_evacuated:
@@ -108,8 +108,8 @@
         self._excluded_targets.clear()
         self._cancel_timer()
         self._release_reservation(target)
-        copy.abandon(must_free=False)
-        return Copy(target, copy.source_address, copy.handle)
+        copy.close(must_release=False)
+        return ReadyCopy(target, copy.source_address, copy.handle)
 
     def release_copy(self) -> None:
         """Release the copy and its reservation at the target."""
@@ -117,7 +117,7 @@
         self._target = self._copy = None
         self._cancel_timer()
         if copy is not None:
-            copy.abandon(must_free=True)
+            copy.close(must_release=True)
         if target is not None:
             self._release_reservation(target)
 
@@ -148,7 +148,7 @@
             self._excluded_targets.add(target.instance.incarnation_id)
             self.check()
         else:
-            self._check_later(RETRY_INTERVAL_S)
+            self._schedule_check(RETRY_INTERVAL_S)
 
     def _make_copy(self, source: upstream_registry.Upstream) -> None:
         engine = self._job.service.engine
@@ -158,7 +158,7 @@
         if target is None:
             self._excluded_targets.clear()
             # The run has not begun, or no target has free memory at present.
-            self._check_later(RETRY_INTERVAL_S)
+            self._schedule_check(RETRY_INTERVAL_S)
             return
         if self._context.gate.is_limited(target):
             self._request_permit(source, target)
@@ -181,7 +181,7 @@
             if is_granted and not self._is_blocked(target):
                 self._start_copy(source, target)
             else:
-                self._check_later(RETRY_INTERVAL_S)
+                self._schedule_check(RETRY_INTERVAL_S)
 
         self._context.permits.request_permit(target, request, _handle_permit)
 
@@ -208,7 +208,7 @@
             dialect=self._context.dialect,
             user=self,
         )
-        self._copy.copy()
+        self._copy.start()
 
     def _log(
         self, text: str, source: upstream_registry.Upstream, target: upstream_registry.Upstream
@@ -248,7 +248,7 @@
         target.in_flight.pop(self._job.head.request_id, None)
         self._context.on_change()
 
-    def _check_later(self, delay_s: float) -> None:
+    def _schedule_check(self, delay_s: float) -> None:
         self._cancel_timer()
         self._timer = self._context.timers.call_later(delay_s, self.check)
 
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -18,7 +18,7 @@
     upstream_choice,
     upstream_registry,
 )
-from spoolhead._internal.relay import pace_meter, splice
+from spoolhead._internal.relay import event_splicer, pace_meter
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
@@ -44,9 +44,9 @@
         on_end: Callable[[exchange.Exchange], None],
     ) -> None:
         super().__init__(job, caller, context, on_end)
-        self._splice = splice.EventSplicer(job.head.last_event_id)
+        self._splicer = event_splicer.EventSplicer(job.head.last_event_id)
         self._migration = run_migration.RunMigration(self, job, context)
-        self._pace = pace_meter.PaceMeter(self._arrived_s)
+        self._pace_meter = pace_meter.PaceMeter(self._arrived_s)
 
     @property
     def upstream(self) -> upstream_registry.Upstream | None:
@@ -56,7 +56,7 @@
     @property
     def events(self) -> int:
         """Number of events that were forwarded to the caller."""
-        return self._splice.events
+        return self._splicer.events
 
     @property
     def need_tokens(self) -> int:
@@ -115,7 +115,7 @@
         if choice.upstream is None:
             self.fail_without_upstream(choice)
         else:
-            self._open(choice.upstream, None)
+            self._send_run(choice.upstream, None)
         return True
 
     def on_permit(self) -> None:
@@ -142,7 +142,7 @@
             return
         copy = self._migration.pop_copy()
         if copy is not None:
-            self._resume(copy)
+            self._resume_run(copy)
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
         """Forward the complete events in a part of the answer."""
@@ -153,21 +153,21 @@
             return
         self._record_prefill_end(attempt)
         self._context.reach.record_answer(attempt.upstream.instance.hall, clocks.get_s())
-        events_before = self._splice.events
-        spliced = self._splice.feed(data)
-        if spliced.events:
-            self._pace.record_events(events_before, clocks.get_s())
-        if spliced.data and not self._forward(attempt.head, spliced.data):
+        events_before = self._splicer.events
+        result = self._splicer.feed(data)
+        if result.events:
+            self._pace_meter.record_events(events_before, clocks.get_s())
+        if result.data and not self._forward(attempt.head, result.data):
             return
-        if spliced.problem:
-            self._fail_lost(spliced.problem)
+        if result.problem:
+            self._fail_lost(result.problem)
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
         """Handle the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
         if not self._is_valid(attempt.head):
-            self._handle_refusal(attempt, attempt.head)
+            self._handle_unusable_answer(attempt, attempt.head)
         else:
             attempt.upstream.record_answer()
             self._finish(attempt.head)
@@ -218,9 +218,9 @@
             and head.request_id in ("", own_id)
         )
 
-    def _handle_refusal(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
+    def _handle_unusable_answer(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
         self._log_attempt_failure(attempt, f"status {head.status}")
-        if attempt.is_resumed or self._splice.events:
+        if attempt.is_resumed or self._splicer.events:
             self._fail_lost(f"the run could not go on: status {head.status}")
             return
         if head.has_not_run:
@@ -229,7 +229,7 @@
             allowance = self._context.get_allowance(self.job.service.name)
             # Requests that did not reach their instance do not count as attempts.
             self._misdirected_count += head.is_misdirected
-            may_retry = len(self._tried) - self._misdirected_count < self.job.route.attempts
+            may_retry = len(self._tried_ids) - self._misdirected_count < self.job.route.attempts
             if may_retry and allowance.try_acquire(clocks.get_s()):
                 self._start_run()
             else:
@@ -255,7 +255,7 @@
         }
         logger.info("attempt failed", extra={"fields": fields})
 
-    def _open(
+    def _send_run(
         self, upstream: upstream_registry.Upstream, resume: dialects.ResumePoint | None
     ) -> None:
         attempt = self._attempt = attempts.Attempt(self, upstream, is_resumed=resume is not None)
@@ -264,7 +264,7 @@
         prefill_tokens = (
             generation.prompt_tokens if generation is not None and resume is None else 0
         )
-        self._tried.add(upstream.instance.incarnation_id)
+        self._tried_ids.add(upstream.instance.incarnation_id)
         if resume is None:
             waited_ms = (clocks.get_s() - self._arrived_s) * 1000
             self._context.metrics.room_wait_ms.observe(waited_ms)
@@ -293,23 +293,23 @@
             request.prefill_tokens = 0
             self._context.on_change()
 
-    def _resume(self, copy: run_migration.Copy) -> None:
-        point = dialects.ResumePoint(
-            address=copy.address, handle=copy.handle, last_event_id=self._splice.last_event_id
+    def _resume_run(self, copy: run_migration.ReadyCopy) -> None:
+        resume_point = dialects.ResumePoint(
+            address=copy.address, handle=copy.handle, last_event_id=self._splicer.last_event_id
         )
         fields = {
             **self.get_log_fields(),
             "upstream": copy.upstream.instance.incarnation_id,
             "copy_of": copy.address,
             "events": self.events,
-            "last_event_id": point.last_event_id,
+            "last_event_id": resume_point.last_event_id,
         }
         logger.info("run goes on elsewhere", extra={"fields": fields})
         self._context.metrics.moves.inc()
         self.cancel_attempt()
-        self._tried.clear()
-        self._splice.begin_connection()
-        self._open(copy.upstream, point)
+        self._tried_ids.clear()
+        self._splicer.begin_connection()
+        self._send_run(copy.upstream, resume_point)
 
     def _forward(self, head: dialects.AnswerHead, data: bytes) -> bool:
         """Send bytes to the caller; return False if that ended the exchange."""
@@ -324,7 +324,7 @@
 
     def _finish(self, head: dialects.AnswerHead) -> None:
         self.record_whole_answer(head.status)
-        rest = self._splice.finish()
+        rest = self._splicer.finish()
         if rest or not self.caller.is_started:
             self._forward(head, rest)
         self.caller.end_stream()
@@ -333,16 +333,16 @@
             **self.get_log_fields(),
             "status": head.status,
             "events": self.events,
-            "first_ms": self._pace.first_ms,
-            "longest_pause_ms": self._pace.longest_pause_ms,
-            "pause_after_events": self._pace.events_before_longest_pause,
-            "is_late": (self._pace.first_ms or 0) > route.objective_ms,
-            "has_long_pause": self._pace.longest_pause_ms
+            "first_ms": self._pace_meter.first_ms,
+            "longest_pause_ms": self._pace_meter.longest_pause_ms,
+            "pause_after_events": self._pace_meter.events_before_longest_pause,
+            "is_late": (self._pace_meter.first_ms or 0) > route.objective_ms,
+            "has_long_pause": self._pace_meter.longest_pause_ms
             > run_migration_policy.get_max_pause_ms(route),
         }
         logger.info("answered", extra={"fields": fields})
-        self._context.metrics.first_event_ms.observe(self._pace.first_ms or 0)
-        self._context.metrics.longest_pause_ms.observe(self._pace.longest_pause_ms)
+        self._context.metrics.first_event_ms.observe(self._pace_meter.first_ms or 0)
+        self._context.metrics.longest_pause_ms.observe(self._pace_meter.longest_pause_ms)
         self.end()
 
     def _fail_lost(self, reason: str) -> None:
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -93,10 +93,10 @@
         self._config = config
         self._user = user
         self._keepers: dict[str, followed_keeper.FollowedKeeper] = {}
-        self._listed_s = clocks.get_s()
+        self._list_received_s = clocks.get_s()
         self._reader_term = 0
         self._reads_directly = False
-        self._read_s = -math.inf
+        self._last_read_s = -math.inf
         self._entry_count = 1
         self._reader = list_reader.ListReader(
             loop, calls, config.instance_list, dialect, self._handle_direct_reading
@@ -127,8 +127,8 @@
             if item.fleet is not None
             for address in item.fleet.keepers
         }
-        agreeing = {item.address for item in confirming if item.version <= self.version}
-        return len(agreeing & members) * 2 > len(members)
+        agreeing_addresses = {item.address for item in confirming if item.version <= self.version}
+        return len(agreeing_addresses & members) * 2 > len(members)
 
     def accept_unconfirmed(self, wanted: bool) -> None:
         """Set whether to accept tables from keepers that cannot confirm them to be the newest."""
@@ -140,7 +140,7 @@
             logger.warning("unconfirmed tables are accepted", extra={"fields": fields})
             for keeper in self._keepers.values():
                 self._handle_evacuated_halls(keeper)
-            self._fetch_elsewhere()
+            self._fetch_from_any()
 
     def set_seeds(self, addresses: list[str]) -> None:
         """Set the keepers' addresses from changed settings."""
@@ -244,9 +244,9 @@
             return
         keeper.fetch_sent_s = now_s
         keeper.client.send(route_messages.GetRouteTable(digest=self._digest))
-        self._loop.scheduler.call_later(PENDING_FETCH_TTL_S, self._fetch_elsewhere)
+        self._loop.scheduler.call_later(PENDING_FETCH_TTL_S, self._fetch_from_any)
 
-    def _fetch_elsewhere(self) -> None:
+    def _fetch_from_any(self) -> None:
         """Request a table that has not arrived from another keeper, least recently asked first."""
         for keeper in sorted(self._keepers.values(), key=lambda item: item.fetch_sent_s):
             if keeper.client.is_ready:
@@ -314,13 +314,13 @@
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.InstanceList
     ) -> None:
         now_s = clocks.get_s()
-        others = [item.listed for item in self._keepers.values() if item is not keeper]
-        keeper.apply_list(message, [listed for listed in others if listed is not None])
-        is_stale = now_s - self._listed_s > self._config.instance_list.fallback_ms / 1000
+        other_keepers = [item.listed for item in self._keepers.values() if item is not keeper]
+        keeper.apply_list(message, [listed for listed in other_keepers if listed is not None])
+        is_stale = now_s - self._list_received_s > self._config.instance_list.fallback_ms / 1000
         if keeper.listed is None or (message.reader_term < self._reader_term and not is_stale):
             return
         self._reader_term = message.reader_term
-        self._listed_s = now_s
+        self._list_received_s = now_s
         if self._reads_directly:
             self._reads_directly = False
             logger.info("instance list comes from a keeper again")
@@ -341,14 +341,14 @@
             keeper.client.close()
 
     def _check(self) -> None:
-        self._fetch_elsewhere()
-        age_s = clocks.get_s() - self._listed_s
+        self._fetch_from_any()
+        age_s = clocks.get_s() - self._list_received_s
         if age_s < self._config.instance_list.fallback_ms / 1000:
             return
         if not self._reads_directly:
             self._reads_directly = True
             fields = {"age_ms": int(age_s * 1000)}
             logger.warning("instance list is read directly", extra={"fields": fields})
-        if clocks.get_s() - self._read_s >= MIN_READ_INTERVAL_PER_ENTRY_S * self._entry_count:
-            self._read_s = clocks.get_s()
+        if clocks.get_s() - self._last_read_s >= MIN_READ_INTERVAL_PER_ENTRY_S * self._entry_count:
+            self._last_read_s = clocks.get_s()
             self._reader.read()
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -30,23 +30,23 @@
         get_table: Callable[[], matcher.Matcher | None],
     ) -> None:
         self._context = context
-        self._sharing = sharing
+        self._load_sharing = sharing
         self._exchanges = exchanges
         self._get_table = get_table
 
     def apply_list(self, listed: list[instances.Instance]) -> None:
         """Apply a new instance list."""
         registry = self._context.registry
-        before = registry.get_all()
-        known = {upstream.instance.incarnation_id for upstream in before}
+        previous = registry.get_all()
+        previous_ids = {upstream.instance.incarnation_id for upstream in previous}
         leaving = registry.update_instances(listed, clocks.get_s())
-        after = {upstream.instance.incarnation_id for upstream in registry.get_all()}
-        for incarnation_id in sorted(after - known):
+        current_ids = {upstream.instance.incarnation_id for upstream in registry.get_all()}
+        for incarnation_id in sorted(current_ids - previous_ids):
             logger.info("upstream came", extra={"fields": {"upstream": incarnation_id}})
-        for incarnation_id in sorted(known - after):
+        for incarnation_id in sorted(previous_ids - current_ids):
             logger.info("upstream is gone", extra={"fields": {"upstream": incarnation_id}})
-        self._record_ended(before)
-        self._sharing.refresh()
+        self._record_terminated(previous)
+        self._load_sharing.refresh()
         self._context.cold_starts.forget_quotas()
         self._context.permits.refresh()
         self._context.limits.registry.expire(clocks.get_s())
@@ -57,9 +57,9 @@
             else:
                 self.drain(upstream)
 
-    def _record_ended(self, before: list[upstream_registry.Upstream]) -> None:
+    def _record_terminated(self, previous: list[upstream_registry.Upstream]) -> None:
         """Record as terminated the instances that left the list without an announcement."""
-        for upstream in before:
+        for upstream in previous:
             has_announced = upstream.instance.is_leaving or upstream.has_announced_leaving
             if upstream.is_gone and not has_announced:
                 self._context.contents.record_ended(
@@ -87,13 +87,13 @@
     ) -> None:
         """Report an alarm that this entry raised to the others, and drain the instance."""
         self._context.metrics.alarms.inc()
-        self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
+        self._load_sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self.drain(upstream)
 
     def handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
         """Report to the others that an instance is cold."""
         kind = shared_load.AlarmKind.COLD
-        self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind, for_ms=cold_ms)
+        self._load_sharing.broadcast_alarm(upstream.instance.incarnation_id, kind, for_ms=cold_ms)
 
     def handle_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
@@ -120,7 +120,7 @@
         incarnation_id = upstream.instance.incarnation_id
         fields = {"upstream": incarnation_id, "reported_by": ""}
         logger.info("upstream announced that it leaves", extra={"fields": fields})
-        self._sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.LEAVING)
+        self._load_sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.LEAVING)
         self.drain(upstream)
 
     def _handle_rest(
@@ -133,7 +133,7 @@
         fields = {"upstream": incarnation_id, "for_ms": rest_ms, "reported_by": ""}
         logger.info("upstream asked for rest", extra={"fields": fields})
         if not upstream.rest.has_reports(now_s):
-            self._sharing.broadcast_alarm(
+            self._load_sharing.broadcast_alarm(
                 incarnation_id, shared_load.AlarmKind.RESTING, for_ms=rest_ms
             )
 
@@ -141,7 +141,7 @@
         """Report to the others that another instance answers at an instance's address."""
         self._context.contents.record_ended(upstream.instance.incarnation_id, "another answers")
         kind = shared_load.AlarmKind.REPLACED
-        self._sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
+        self._load_sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self._context.queue.schedule_check()
 
     def drain(self, upstream: upstream_registry.Upstream) -> None:
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -1,4 +1,4 @@
-"""A routed request among fakes: calls to instances, the caller, timers and the book."""
+"""Fixtures for one routed request: fake calls, caller and timers, with a real instance registry."""
 
 import random
 
@@ -57,7 +57,7 @@
 
 
 class FakeTimers:
-    """Timers that a test lets run."""
+    """Scheduler whose timers run only when a test asks for it."""
 
     def __init__(self):
         self.timers = []
@@ -73,12 +73,12 @@
         return self.repeated[-1]
 
     def pass_interval(self):
-        """Make each repeated call once."""
+        """Call each repeated timer once."""
         for timer in self.repeated:
             timer.call()
 
     def run_due(self, within_s):
-        """Run what is due within a time, once."""
+        """Run each pending timer with a delay up to a limit once."""
         due = [t for t in self.timers if not t.is_cancelled and t.delay_s <= within_s]
         for timer in due:
             timer.is_cancelled = True
@@ -86,7 +86,7 @@
 
 
 class GatewayCall(fakes.FakeCall):
-    """A call to an instance."""
+    """A call to an instance, answered or lost by the test."""
 
     def __init__(self, address, request, user, fresh):
         super().__init__(request, user)
@@ -121,6 +121,8 @@
 
 
 class GatewayCalls:
+    """Records all calls to instances."""
+
     def __init__(self):
         self.made = []
 
@@ -212,7 +214,7 @@
 
 
 def make_gate(name, hall):
-    """Return what bounds an entry that knows of no limits."""
+    """Return the gate of an entry without known rate limits."""
     return upstream_gate.Gate(
         cold_start.ColdStarts(name, hall),
         limit_registry.LimitRegistry(),
@@ -221,7 +223,7 @@
 
 
 class FakeSharing:
-    """Keeps what would be told to other entries."""
+    """Records the alarms that would be broadcast to other entries."""
 
     def __init__(self, alarms):
         self.alarms = alarms
@@ -231,7 +233,13 @@
 
 
 class Setting:
-    """One request of a kind, started."""
+    """One started request of a given kind, with its context.
+
+    :param fill: tokens of another run in flight at each instance; 0 for no such run.
+    :param busy: number of requests of other entries at each instance, by name.
+    :param limits_per_s: rate limit of each limited instance, by name.
+    :param knows_fleet: whether the entry knows itself as a granter of permits.
+    """
 
     def __init__(
         self,
@@ -346,13 +354,15 @@
         self.caller = RoutedCaller(wire)
         content_id = request_content.get_content_id(wire, head.host, workspace.name)
         job = routed_job.Job(head, route, service, workspace, 7, content_id)
-        cls = stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
-        self.exchange = cls(job, self.caller, context, self.ended.append)
+        exchange_class = (
+            stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
+        )
+        self.exchange = exchange_class(job, self.caller, context, self.ended.append)
         self.exchanges.add(self.exchange)
         self.exchange.begin()
 
     def list(self, *, leaving=(), gone=()):
-        """Take over a list in which some instances leave or are gone."""
+        """Apply an instance list in which some instances leave or are missing."""
         listed = [
             make_instance(
                 name,
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -60,7 +60,7 @@
     upstream.record_sent(upstream_registry.math.inf)
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
     assert choice.blocked == {upstream_gate.BlockReason.COLD: 1}
@@ -74,7 +74,7 @@
         route_table.RequestKind.STREAM, names=("i-1",), cold_per_s=3.0, cold_ms=10_000
     )
     (upstream,) = setting.registry.get_all()
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     assert setting.exchange.choose(0).upstream is upstream
     for name in ("x", "y"):
         upstream.in_flight[name] = upstream_registry.InFlightRequest(
--- a/tests/unit/test_fleet_repeats.py
+++ b/tests/unit/test_fleet_repeats.py
@@ -1,4 +1,4 @@
-"""A simulated fleet plays the same whatever the seed of Python's hashes."""
+"""Simulated fleets are deterministic, whatever the seed of Python's hash function."""
 
 import os
 import pathlib
@@ -6,7 +6,7 @@
 import sys
 
 TESTS = pathlib.Path(__file__).parents[1]
-PLAY = """
+SCRIPT = """
 from lib import load_fleet
 
 fleet = load_fleet.LoadFleet(entries=24, halls=3, keepers=6, instances=9)
@@ -16,14 +16,14 @@
 """
 
 
-def _play(hash_seed):
+def _simulate(hash_seed):
     env = {**os.environ, "PYTHONHASHSEED": str(hash_seed), "PYTHONPATH": str(TESTS)}
-    command = [sys.executable, "-c", PLAY]
+    command = [sys.executable, "-c", SCRIPT]
     return subprocess.run(command, env=env, capture_output=True, check=True).stdout
 
 
 def test_a_fleet_plays_the_same_under_any_hash_seed():
-    """Guards against a red that no seed brings back, as other datagrams are lost each time."""
-    first = _play(1)
+    """Guards against failures that no seed reproduces because different datagrams are lost."""
+    first = _simulate(1)
     assert first
-    assert [_play(hash_seed) == first for hash_seed in (2, 3)] == [True, True]
+    assert [_simulate(hash_seed) == first for hash_seed in (2, 3)] == [True, True]
--- a/tests/unit/test_gateway_plain.py
+++ b/tests/unit/test_gateway_plain.py
@@ -1,4 +1,4 @@
-"""Plain requests: what may be repeated, what may be promised, whose answer is passed on."""
+"""Plain requests: repeated attempts, the statuses of refusals and the checks of answers."""
 
 import pytest
 
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams: each event once and in order, from one run, also when the run changes instances."""
+"""Streams deliver each event of one run once and in order, also when the run is migrated."""
 
 import json
 
@@ -8,7 +8,7 @@
 from lib import gateway_setting
 from spoolhead._internal.models import route_table, shared_load
 from spoolhead._internal.policy import upstream_registry
-from spoolhead._internal.relay import splice
+from spoolhead._internal.relay import event_splicer
 from spoolhead._internal.utils import clocks
 
 STREAM = route_table.RequestKind.STREAM
@@ -20,19 +20,19 @@
     return gateway_setting.Setting(STREAM, attempts=1, names=("i-1", "i-2", "i-3"), **options)
 
 
-def _get_targets(setting):
+def _get_copy_targets(setting):
     return [json.loads(call.body)["target_version"] for call in setting.calls.copies]
 
 
-def _get_releases(setting):
+def _get_release_calls(setting):
     return [call for call in setting.calls.made if call.target.startswith("/spoolhead/kv-handle/")]
 
 
-def _copy_away(setting):
-    """Have the run's instance leave and the copy be made; returns where."""
+def _make_copy(setting):
+    """Have the run's instance leave and its memory copied; return the target's address."""
     setting.leave(setting.last.address.removesuffix(":80"))
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
-    return _get_targets(setting)[-1]
+    return _get_copy_targets(setting)[-1]
 
 
 def test_a_stream_is_passed_on_to_the_byte():
@@ -53,7 +53,7 @@
     setting = _start(tokens="3000,2000")
     first = setting.last
     first.answer(200, SIGNED, make_events(1, 3) + b"id: 4\nd", whole=False)
-    target = _copy_away(setting)
+    target = _make_copy(setting)
     second = setting.last
     assert first.is_over
     assert second.address == target
@@ -112,7 +112,7 @@
 def test_a_run_whose_copy_is_refused_is_never_begun_again():
     setting = _start(tokens="3000,2000")
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
-    _copy_away(setting)
+    _make_copy(setting)
     setting.last.answer(503, [("x-not-executed", "1")])
     assert len(setting.calls.attempts) == 2
     assert setting.caller.data == make_events(1, 3)
@@ -130,15 +130,15 @@
 
 def test_when_the_target_of_a_copy_leaves_too_another_copy_is_ordered():
     setting = _start(tokens="3000,2000")
-    place = setting.last.address.removesuffix(":80")
+    source = setting.last.address.removesuffix(":80")
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
-    setting.leave(place)
-    target = _get_targets(setting)[0].removesuffix(":80")
-    setting.list(leaving=[place, target])
+    setting.leave(source)
+    target = _get_copy_targets(setting)[0].removesuffix(":80")
+    setting.list(leaving=[source, target])
     setting.exchange.on_instances_changed()
-    targets = _get_targets(setting)
+    targets = _get_copy_targets(setting)
     assert len(targets) == 2
-    assert targets[1] not in (f"{target}:80", f"{place}:80")
+    assert targets[1] not in (f"{target}:80", f"{source}:80")
 
 
 def test_an_instance_that_refused_at_one_departure_is_asked_again_at_the_next():
@@ -147,12 +147,12 @@
     first = setting.last.address.removesuffix(":80")
     setting.leave(first)
     setting.calls.copies[-1].answer(503, [], b"")
-    refuser, target = _get_targets(setting)
+    rejecting, target = _get_copy_targets(setting)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     setting.last.answer(200, SIGNED, make_events(4, 1), whole=False)
     setting.list(leaving=[first, target.removesuffix(":80")])
     setting.exchange.on_instances_changed()
-    assert _get_targets(setting)[-1] == refuser
+    assert _get_copy_targets(setting)[-1] == rejecting
 
 
 def test_a_copy_is_freed_if_the_instance_stays_after_all(monkeypatch):
@@ -165,7 +165,7 @@
     monkeypatch.setattr(upstream_registry, "ALARM_S", 0.0)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     assert not first.is_over
-    assert len(_get_releases(setting)) == 1
+    assert len(_get_release_calls(setting)) == 1
 
 
 def test_a_caller_that_leaves_ends_the_run_and_frees_the_copy():
@@ -185,9 +185,9 @@
     setting.caller.is_gone = True
     setting.caller.on_gone()
     assert not copy.is_over
-    assert not _get_releases(setting)
+    assert not _get_release_calls(setting)
     copy.answer(200, [], b'{"handle": "h-1", "made": 3}')
-    (release,) = _get_releases(setting)
+    (release,) = _get_release_calls(setting)
     assert release.target.endswith("/h-1")
     assert release.address == copy.address
     assert len(setting.calls.attempts) == 1
@@ -202,7 +202,7 @@
     setting.caller.on_gone()
     copies[-1].lose()
     assert len(setting.calls.copies) == len(copies)
-    assert not _get_releases(setting)
+    assert not _get_release_calls(setting)
 
 
 def test_a_missing_event_breaks_the_stream():
@@ -218,18 +218,18 @@
     strategies.integers(1, 17),
 )
 def test_events_come_once_and_in_order_however_the_run_moves(count, cuts, size):
-    """Each connection ends anywhere, and the next begins a little before what was passed on."""
+    """Connections end at any byte; each next one repeats up to two events that were delivered."""
     whole = make_events(1, count)
-    order = splice.EventSplicer()
+    splicer = event_splicer.EventSplicer()
     passed = b""
     for cut in [*cuts, len(whole)]:
-        order.begin_connection()
-        last = int(order.last_event_id or 0)
+        splicer.begin_connection()
+        last = int(splicer.last_event_id or 0)
         begin = max(1, last - 1)
         data = make_events(begin, count - begin + 1)
         data = data if cut == len(whole) else data[:cut]
         for start in range(0, len(data), size):
-            part = order.feed(data[start : start + size])
+            part = splicer.feed(data[start : start + size])
             assert not part.problem
             passed += part.data
     assert passed == whole
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -1,4 +1,4 @@
-"""Health questions: who asks, what a bad answer does, and what silence behind a cut does not."""
+"""Health probes: assignment to entries, alarms after bad answers, none for silent halls."""
 
 import pytest
 
@@ -31,7 +31,7 @@
         self.registry = upstream_registry.UpstreamRegistry()
         self.registry.update_instances([gateway_setting.make_instance("i-1", hall="hall-b")], 0.0)
         self.alarms = []
-        self.colds = []
+        self.cold_reports = []
         self.replaced_ids = []
         self.silent = frozenset(silent)
         table = route_table.RouteTable(
@@ -57,19 +57,19 @@
             ],
             get_silent_halls=lambda: self.silent,
             on_alarm=lambda upstream, is_said: self.alarms.append(upstream),
-            on_cold=lambda upstream, cold_ms: self.colds.append(cold_ms),
+            on_cold=lambda upstream, cold_ms: self.cold_reports.append(cold_ms),
             on_replaced=self.replaced_ids.append,
             on_answer=lambda upstream, head: self.heads.append(head),
             is_limited=lambda upstream: upstream.instance.incarnation_id in self.limited,
         )
 
-    def ask(self):
+    def probe(self):
         _Loop.scheduler.calls[0]()
 
 
 def test_a_good_answer_raises_no_alarm():
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     watch.calls.made[0].answer(200, [])
     assert not watch.alarms
     assert not watch.registry.get("i-1").is_alarmed(0.0)
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize("outcome", ["bad", "lost"])
 def test_a_bad_answer_or_none_raises_one_alarm(outcome):
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     if outcome == "bad":
         watch.calls.made[0].answer(503, [])
     else:
@@ -88,55 +88,55 @@
 
 def test_a_full_instance_is_not_an_ill_one():
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     watch.calls.made[0].answer(503, [("x-not-executed", "1")])
     assert not watch.alarms
 
 
 def test_silence_is_believed_the_second_time():
-    """One silence may be this entry's own; a refusal or a bad answer never is."""
+    """One timeout may be caused by this entry itself; a refusal or a bad answer cannot."""
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     watch.calls.made[0].lose(links.CONNECT_TIMEOUT)
     assert not watch.alarms
-    watch.ask()
+    watch.probe()
     watch.calls.made[1].answer(200, [])
-    watch.ask()
+    watch.probe()
     watch.calls.made[2].lose(links.CONNECT_TIMEOUT)
     assert not watch.alarms
-    watch.ask()
+    watch.probe()
     watch.calls.made[3].lose(links.CONNECT_TIMEOUT)
     assert [item.instance.instance_id for item in watch.alarms] == ["i-1"]
 
 
 def test_an_instance_that_has_not_answered_is_not_asked_twice():
     watch = _Watch()
-    watch.ask()
-    watch.ask()
+    watch.probe()
+    watch.probe()
     assert len(watch.calls.made) == 1
 
 
 def test_only_the_entry_on_duty_asks():
-    asked = 0
+    probe_count = 0
     for other in ("entry-0", "entry-2", "entry-3"):
         watch = _Watch(watchers=("entry-1", other))
-        watch.ask()
-        asked += len(watch.calls.made)
+        watch.probe()
+        probe_count += len(watch.calls.made)
     names = ("entry-0", "entry-2", "entry-3")
     instance = gateway_setting.make_instance("i-1", hall="hall-b")
     expected = 0
     for other in names:
         watchers = [fleet.Process(name=n, hall="hall-a", address="") for n in ("entry-1", other)]
         expected += watch_duty.is_on_duty("entry-1", watchers, instance)
-    assert asked == expected
+    assert probe_count == expected
 
 
 def test_nothing_is_asked_and_nothing_believed_behind_a_cut():
     watch = _Watch(silent=["hall-b"])
-    watch.ask()
+    watch.probe()
     assert not watch.calls.made
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     watch.silent = frozenset(["hall-b"])
     watch.calls.made[0].lose()
     assert not watch.alarms
@@ -144,9 +144,9 @@
 
 @pytest.mark.parametrize("is_reused", [False, True])
 def test_a_kept_connection_that_is_gone_raises_no_alarm_and_the_question_is_repeated(is_reused):
-    """An instance may forget a connection that rests without a word; the next one finds out."""
+    """An instance may drop an idle connection silently; the probe on a new one is decisive."""
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     call = watch.calls.made[0]
     call.is_reused = is_reused
     call.lose("Connection reset by peer")
@@ -160,28 +160,28 @@
 
 def test_an_instance_that_says_to_be_cold_is_told_of_once():
     watch = _Watch()
-    watch.ask()
+    watch.probe()
     watch.calls.made[0].answer(200, [("x-cold-remaining", "900")])
-    watch.ask()
+    watch.probe()
     watch.calls.made[1].answer(200, [("x-cold-remaining", "700")])
-    assert watch.colds == [900]
+    assert watch.cold_reports == [900]
     assert not watch.alarms
 
 
 def test_another_instance_that_answers_is_no_word_of_the_one_asked():
     watch = _Watch()
     for _ in range(2):
-        watch.ask()
+        watch.probe()
         watch.calls.made[-1].answer(503, [("x-replica-id", "i-9")])
     assert [item.instance.instance_id for item in watch.replaced_ids] == ["i-1"]
     assert not watch.alarms
 
 
 def test_an_instance_that_asked_for_rest_is_not_asked_for_its_health():
-    """Guards against questions that an instance in need has to answer instead of requests."""
+    """Guards against probes that take capacity from requests at an overloaded instance."""
     watch = _Watch()
     watch.registry.get("i-1").rest.record(60_000, clocks.get_s())
-    watch.ask()
+    watch.probe()
     assert watch.calls.made == []
 
 
@@ -189,9 +189,9 @@
     watch = _Watch()
     watch.limited.add("i-1")
     for _ in range(3):
-        watch.ask()
+        watch.probe()
         watch.calls.made[0].answer(200, [])
     assert len(watch.calls.made) == 1
     watch.limited.clear()
-    watch.ask()
+    watch.probe()
     assert len(watch.calls.made) == 2
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -81,7 +81,7 @@
     assert len(setting.calls.attempts) == 2
     assert setting.caller.status == 503
     choice = setting.exchange.choose(0)
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
     assert 2_900 < choice.retry_after_ms <= 3_000
@@ -283,7 +283,7 @@
     now_s = clocks.get_s()
     assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.SUSPECTED
     assert _get_block_reason(setting, upstream, now_s + 0.2) is None
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     assert setting.exchange.choose(0).upstream is upstream
 
 
--- a/tests/unit/test_list_memory.py
+++ b/tests/unit/test_list_memory.py
@@ -1,4 +1,4 @@
-"""What the list of instances takes at an entry: it must not grow with keepers times instances."""
+"""Memory of the instance lists at an entry, which must not grow with keepers times instances."""
 
 import tracemalloc
 
@@ -9,8 +9,8 @@
 
 INSTANCES = 1_600
 KEEPERS = 7
-MOST_BYTES = 4_000_000
-"""Of the 26 MB that are left to an entry's 128 MB at the target size."""
+MAX_BYTES = 4_000_000
+"""Out of the 26 MB that remain of an entry's 128 MB at the target fleet size."""
 
 
 class Follower:
@@ -31,9 +31,9 @@
     return instances.Instance(**{**fields, **changes})
 
 
-def _tell(keeper, listed, known=()):
+def _send_list(keeper, listed, known=()):
     packed = instances.pack(listed)
-    # A message brings strings of its own.
+    # Decoded messages do not share string objects.
     copied = [["".join(list(v)) if isinstance(v, str) else v for v in row] for row in packed]
     message = route_messages.InstanceList(
         reader_term=1, sequence=1, is_whole=True, changed=copied, gone=[]
@@ -52,22 +52,22 @@
     before = tracemalloc.get_traced_memory()[0]
     keepers = _make_keepers(KEEPERS)
     for keeper in keepers:
-        _tell(keeper, listed, [other.listed for other in keepers if other.listed])
+        _send_list(keeper, listed, [other.listed for other in keepers if other.listed])
     registry = upstream_registry.UpstreamRegistry()
     registry.update_instances(keepers[0].listed.values(), 1.0)
-    taken_bytes = tracemalloc.get_traced_memory()[0] - before
+    used_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert len(registry.get_all()) == INSTANCES
-    assert taken_bytes < MOST_BYTES
+    assert used_bytes < MAX_BYTES
 
 
 def test_what_keepers_tell_alike_is_kept_once_and_what_differs_is_not():
     one, other = _make_keepers(2)
     same, changed, cold = _make(1), _make(2), _make(3, cold_ms=500)
-    first = _tell(one, [same, changed, cold])
-    second = _tell(other, [same, _make(2, is_leaving=True), cold], [first])
+    first = _send_list(one, [same, changed, cold])
+    second = _send_list(other, [same, _make(2, is_leaving=True), cold], [first])
     assert second[same.instance_id] is first[same.instance_id]
     assert second[changed.instance_id].is_leaving
     assert not first[changed.instance_id].is_leaving
-    # Each reading of a cold instance counts by itself.
+    # Each reading of a cold instance is a separate object.
     assert second[cold.instance_id] is not first[cold.instance_id]
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -92,7 +92,7 @@
     assert made.is_agreed()
     made.hubs[0].is_up = True
     made.run(hub_choice.LONGEST_REST_S + 3.0)
-    present = {entry.sharing._choice.current for entry in made.entries}
+    present = {entry.sharing._hub_choice.current for entry in made.entries}
     assert made.hubs[0].address in present
     assert made.is_agreed()
 
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -1,4 +1,4 @@
-"""Events cut, sequenced and relayed, at every byte boundary and across resumes."""
+"""Splitting, sequencing and relaying of events, at every byte boundary and across resumes."""
 
 import hypothesis
 from hypothesis import strategies
@@ -7,8 +7,10 @@
 from spoolhead._internal.relay import event_stream, sequencer, stream_relay
 
 
-def _make_events(count, generation="g", end="\n", first=0):
-    events = [f"id: {generation}:{n}{end}data: {n}{end}{end}" for n in range(first, count)]
+def _make_events(count, generation="g", line_end="\n", first=0):
+    events = [
+        f"id: {generation}:{n}{line_end}data: {n}{line_end}{line_end}" for n in range(first, count)
+    ]
     return "".join(events).encode()
 
 
@@ -21,14 +23,14 @@
 
 
 @hypothesis.given(strategies.sampled_from(["\n", "\r\n", "\r"]), CUTS)
-def test_any_split_gives_the_same_events(end, cuts):
+def test_any_split_gives_the_same_events(line_end, cuts):
     splitter = event_stream.EventSplitter()
     found = [
         event
-        for part in _split(_make_events(12, end=end) + b"data", cuts)
+        for part in _split(_make_events(12, line_end=line_end) + b"data", cuts)
         for event in splitter.feed(part)
     ]
-    # With bare carriage returns the last line end waits for what follows it.
+    # A trailing bare carriage return is kept until the next byte arrives.
     assert [event.data for event in found] == [b"%d" % n for n in range(12)]
     assert [event.event_id for event in found] == [b"g:%d" % n for n in range(12)]
 
@@ -47,7 +49,7 @@
     cuts=CUTS,
 )
 def test_tokens_once_in_order_across_lost_connections(count, losses, cuts):
-    """Each connection is lost after some bytes; each resume plays some events again."""
+    """Each connection is lost after some bytes; each resume repeats some events."""
     relay = stream_relay.StreamRelay()
     delivered = b""
     done = b"data: [DONE]\n\n"
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -1,4 +1,4 @@
-"""When a starting entry serves: by a confirmed table, or by any once the hall is cut off."""
+"""Starting entries serve with a confirmed table, or with any table if the hall is cut off."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def _decide(age_s, **changes):
-    known = {
+    state = {
         "has_table": True,
         "has_contents": True,
         "has_limits": True,
@@ -17,7 +17,7 @@
         "reaches_majority": True,
         **changes,
     }
-    return startup.decide(startup.StartupState(age_s=age_s, **known))
+    return startup.decide(startup.StartupState(age_s=age_s, **state))
 
 
 def test_it_serves_as_soon_as_most_keepers_confirm_its_table():
--- a/tests/unit/test_stated_limits.py
+++ b/tests/unit/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits that instances state in their answers, as an entry reads and logs them."""
+"""Rate limits stated in instances' answers: parsing, logging and reporting by an entry."""
 
 import logging
 
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -1,4 +1,4 @@
-"""What an entry takes from several keepers: the newest table, never an older one."""
+"""An entry that follows several keepers accepts the newest table and never an older one."""
 
 import pytest
 
@@ -90,7 +90,7 @@
     return made
 
 
-def _tell(feed, address, message):
+def _deliver(feed, address, message):
     feed.on_keeper_message(feed._keepers[address], message)
 
 
@@ -118,51 +118,59 @@
 
 
 def test_the_newest_version_is_fetched_from_who_names_it(feed):
-    _tell(feed, "b:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
+    _deliver(feed, "b:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
     assert _client(feed, "b:1").count(route_messages.GetRouteTable) == 1
-    _tell(feed, "b:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(b"five")))
-    _tell(feed, "a:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
+    _deliver(
+        feed, "b:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(b"five"))
+    )
+    _deliver(feed, "a:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
     assert _client(feed, "a:1").count(route_messages.GetRouteTable) == 0
     assert feed._user.tables == [5]
 
 
 def test_a_keeper_that_is_behind_never_takes_the_table_back(feed):
-    _tell(feed, "a:1", route_messages.RouteTableDocument(version=9, packed=deflate.pack(b"nine")))
-    _tell(feed, "b:1", route_messages.RouteTableVersion(version=7, is_confirmed=True))
-    _tell(feed, "b:1", route_messages.RouteTableDocument(version=7, packed=deflate.pack(b"seven")))
-    _tell(feed, "c:1", route_messages.RouteTableDocument(version=9, packed=deflate.pack(b"nine")))
+    _deliver(
+        feed, "a:1", route_messages.RouteTableDocument(version=9, packed=deflate.pack(b"nine"))
+    )
+    _deliver(feed, "b:1", route_messages.RouteTableVersion(version=7, is_confirmed=True))
+    _deliver(
+        feed, "b:1", route_messages.RouteTableDocument(version=7, packed=deflate.pack(b"seven"))
+    )
+    _deliver(
+        feed, "c:1", route_messages.RouteTableDocument(version=9, packed=deflate.pack(b"nine"))
+    )
     assert feed._user.tables == [9]
     assert _client(feed, "b:1").count(route_messages.GetRouteTable) == 0
 
 
 def test_the_list_of_a_former_reader_does_not_replace_a_later_ones(feed):
-    _tell(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
-    _tell(feed, "b:1", _make_list(["i-0"], term=3))
+    _deliver(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
+    _deliver(feed, "b:1", _make_list(["i-0"], term=3))
     assert feed._user.lists == [["i-1", "i-2"]]
 
 
 def test_an_unchanged_list_stands_for_that_keepers_last_one(feed):
-    _tell(feed, "a:1", _make_list(["i-1"], term=4))
-    _tell(feed, "a:1", _make_list([], term=4, sequence=2, is_whole=False))
+    _deliver(feed, "a:1", _make_list(["i-1"], term=4))
+    _deliver(feed, "a:1", _make_list([], term=4, sequence=2, is_whole=False))
     assert feed._user.lists == [["i-1"], ["i-1"]]
-    # A keeper that has not sent its list on this stream has nothing to leave unchanged.
-    _tell(feed, "b:1", _make_list([], term=4, sequence=3, is_whole=False))
+    # An incremental list is ignored until a complete one has arrived on the stream.
+    _deliver(feed, "b:1", _make_list([], term=4, sequence=3, is_whole=False))
     assert len(feed._user.lists) == 2
 
 
 def test_a_changed_list_is_that_keepers_last_one_with_the_change(feed):
-    _tell(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
-    _tell(feed, "a:1", _make_list(["i-3"], term=4, sequence=2, is_whole=False, gone=["i-1"]))
+    _deliver(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
+    _deliver(feed, "a:1", _make_list(["i-3"], term=4, sequence=2, is_whole=False, gone=["i-1"]))
     assert feed._user.lists[-1] == ["i-2", "i-3"]
     feed._keepers["a:1"].on_peer_lost()
-    _tell(feed, "a:1", _make_list(["i-4"], term=4, sequence=3, is_whole=False))
+    _deliver(feed, "a:1", _make_list(["i-4"], term=4, sequence=3, is_whole=False))
     assert len(feed._user.lists) == 2
-    _tell(feed, "a:1", _make_list(["i-4"], term=4, sequence=3))
+    _deliver(feed, "a:1", _make_list(["i-4"], term=4, sequence=3))
     assert feed._user.lists[-1] == ["i-4"]
 
 
 def test_keepers_come_and_go_with_what_the_others_say(feed):
-    _tell(
+    _deliver(
         feed,
         "a:1",
         _make_fleet(hall="h", keepers=["a:1", "b:1", "d:1"], entries=[["e", "h", "x:1"]]),
@@ -178,16 +186,16 @@
 
 
 def test_entries_that_any_reachable_keeper_knows_of_count(feed):
-    """A keeper that has just started knows of few, and one that is lost of none."""
+    """A keeper that has just started reports few entries, and a lost one none."""
     keepers = ["a:1", "b:1", "c:1"]
     many = [[f"e{number}", "h", "x:1"] for number in range(3)]
-    _tell(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=many))
-    _tell(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
+    _deliver(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=many))
+    _deliver(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
     assert len(feed._user.fleets[-1].entries) == 3
     assert {item.hall for item in feed._user.fleets[-1].keepers} == {"g", "h"}
     feed._keepers["a:1"].on_peer_lost()
     assert feed._user.lost_keepers == ["a:1"]
-    _tell(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
+    _deliver(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
     assert len(feed._user.fleets[-1].entries) == 1
     assert {item.hall for item in feed._user.fleets[-1].keepers} == {"g"}
 
@@ -195,18 +203,20 @@
 def test_a_changed_fleet_is_that_keepers_last_one_with_the_change(feed):
     keepers = ["a:1", "b:1", "c:1"]
     rows = [[f"e{number}", "h", "x:1"] for number in range(4)]
-    _tell(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=rows[:3]))
+    _deliver(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=rows[:3]))
     change = _make_fleet(hall="h", keepers=keepers, entries=rows[3:], gone=["e0"], is_whole=False)
-    _tell(feed, "a:1", change)
+    _deliver(feed, "a:1", change)
     assert {item.name for item in feed._user.fleets[-1].entries} == {"e1", "e2", "e3"}
 
 
 @pytest.mark.parametrize("packed", [b"", b"junk", deflate.pack(b"five")[:-2]], ids=repr)
 def test_a_damaged_table_changes_nothing_and_is_asked_for_again(feed, packed):
-    _tell(feed, "b:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
-    _tell(feed, "b:1", route_messages.RouteTableDocument(version=5, packed=packed))
+    _deliver(feed, "b:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
+    _deliver(feed, "b:1", route_messages.RouteTableDocument(version=5, packed=packed))
     assert feed.version == 0
-    _tell(feed, "b:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(b"five")))
+    _deliver(
+        feed, "b:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(b"five"))
+    )
     assert feed.version == 5
 
 
@@ -217,19 +227,19 @@
 
 def test_a_table_is_fetched_from_one_keeper_at_a_time(feed):
     for address in ("a:1", "b:1", "c:1"):
-        _tell(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
+        _deliver(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
     asked = [
         _client(feed, address).count(route_messages.GetRouteTable)
         for address in ("a:1", "b:1", "c:1")
     ]
     assert asked == [1, 0, 0]
-    _tell(feed, "b:1", route_messages.RouteTableVersion(version=6, is_confirmed=True))
+    _deliver(feed, "b:1", route_messages.RouteTableVersion(version=6, is_confirmed=True))
     assert _client(feed, "b:1").count(route_messages.GetRouteTable) == 1
 
 
 def test_a_keeper_that_stands_still_is_passed_over(feed, monkeypatch):
     for address in ("a:1", "b:1", "c:1"):
-        _tell(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
+        _deliver(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
     later_s = clocks.get_s() + table_feed.PENDING_FETCH_TTL_S
     monkeypatch.setattr(table_feed.clocks, "get_s", lambda: later_s)
     feed._loop.later.pop()()
@@ -237,26 +247,26 @@
         _client(feed, address).count(route_messages.GetRouteTable)
         for address in ("a:1", "b:1", "c:1")
     ]
-    # Which of the other two is next is left open; it is one, and not the one that stands still.
+    # Either of the other two may be asked next, but only one, and not the stalled keeper.
     assert asked[0] == 1
     assert sorted(asked[1:]) == [0, 1]
 
 
 def test_a_difference_is_put_on_the_table_that_is_there(feed):
     old, new = b"{a},{b},{c}", b"{a},{d},{c}"
-    _tell(feed, "a:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(old)))
+    _deliver(feed, "a:1", route_messages.RouteTableDocument(version=5, packed=deflate.pack(old)))
     delta = deflate.pack(document_delta.make(old, new))
     digest = document_delta.get_digest(old)
     message = route_messages.RouteTableDocument(version=6, packed=delta, base_digest=digest)
-    _tell(feed, "a:1", message)
+    _deliver(feed, "a:1", message)
     assert feed.version == 6
     assert feed._document == new
 
 
 def test_a_difference_to_another_table_is_not_taken_and_the_whole_is_asked_for(feed):
     delta = deflate.pack(document_delta.make(b"{x},{y}", b"{x},{z}"))
-    _tell(feed, "a:1", route_messages.RouteTableVersion(version=6, is_confirmed=True))
-    _tell(feed, "a:1", route_messages.RouteTableDocument(version=6, packed=delta, base_digest=1))
+    _deliver(feed, "a:1", route_messages.RouteTableVersion(version=6, is_confirmed=True))
+    _deliver(feed, "a:1", route_messages.RouteTableDocument(version=6, packed=delta, base_digest=1))
     assert feed.version == 0
     feed._check()
     asked = [
@@ -265,110 +275,110 @@
     assert asked[-1].digest == 0
 
 
-def _tell_version(feed, address, version, *, is_confirmed=True):
-    _tell(
+def _deliver_version(feed, address, version, *, is_confirmed=True):
+    _deliver(
         feed, address, route_messages.RouteTableVersion(version=version, is_confirmed=is_confirmed)
     )
 
 
-def _send_table(feed, address, version):
+def _deliver_table(feed, address, version):
     message = route_messages.RouteTableDocument(
         version=version, packed=deflate.pack(b"%d" % version)
     )
-    _tell(feed, address, message)
+    _deliver(feed, address, message)
 
 
-def _count_asked(feed, address):
+def _count_requests(feed, address):
     return _client(feed, address).count(route_messages.GetRouteTable)
 
 
 def test_what_a_keeper_begins_with_is_not_fetched_until_a_leader_confirms_it(feed):
-    _tell_version(feed, "a:1", 5, is_confirmed=False)
+    _deliver_version(feed, "a:1", 5, is_confirmed=False)
     feed._check()
-    assert _count_asked(feed, "a:1") == 0
-    _tell_version(feed, "a:1", 5)
-    assert _count_asked(feed, "a:1") == 1
+    assert _count_requests(feed, "a:1") == 0
+    _deliver_version(feed, "a:1", 5)
+    assert _count_requests(feed, "a:1") == 1
 
 
 def test_a_keeper_that_starts_again_is_not_confirmed_by_its_former_stream(feed):
-    _tell_version(feed, "a:1", 5)
+    _deliver_version(feed, "a:1", 5)
     feed._keepers["a:1"].on_peer_lost()
-    _tell_version(feed, "a:1", 4, is_confirmed=False)
+    _deliver_version(feed, "a:1", 4, is_confirmed=False)
     assert not feed._keepers["a:1"].is_confirmed
 
 
 def test_an_unconfirmed_table_is_fetched_only_while_that_is_wanted(feed):
-    _tell_version(feed, "a:1", 5, is_confirmed=False)
+    _deliver_version(feed, "a:1", 5, is_confirmed=False)
     feed.accept_unconfirmed(True)
-    assert _count_asked(feed, "a:1") == 1
-    _send_table(feed, "a:1", 5)
+    assert _count_requests(feed, "a:1") == 1
+    _deliver_table(feed, "a:1", 5)
     feed.accept_unconfirmed(False)
-    _tell_version(feed, "a:1", 6, is_confirmed=False)
-    assert _count_asked(feed, "a:1") == 1
+    _deliver_version(feed, "a:1", 6, is_confirmed=False)
+    assert _count_requests(feed, "a:1") == 1
     assert feed._user.tables == [5]
 
 
 def test_sure_is_who_has_what_more_than_half_of_the_keepers_confirm(feed):
     for address in ("a:1", "b:1"):
-        _tell(feed, address, _make_fleet(hall="h", keepers=["a:1", "b:1", "c:1"], entries=[]))
-    _tell_version(feed, "a:1", 5)
-    _send_table(feed, "a:1", 5)
+        _deliver(feed, address, _make_fleet(hall="h", keepers=["a:1", "b:1", "c:1"], entries=[]))
+    _deliver_version(feed, "a:1", 5)
+    _deliver_table(feed, "a:1", 5)
     assert not feed.is_sure
-    _tell_version(feed, "b:1", 5, is_confirmed=False)
+    _deliver_version(feed, "b:1", 5, is_confirmed=False)
     assert not feed.is_sure
-    _tell_version(feed, "b:1", 5)
+    _deliver_version(feed, "b:1", 5)
     assert feed.is_sure
-    _tell_version(feed, "b:1", 6)
+    _deliver_version(feed, "b:1", 6)
     assert not feed.is_sure
-    _send_table(feed, "b:1", 6)
+    _deliver_table(feed, "b:1", 6)
     assert feed.is_sure
     feed._keepers["a:1"].on_peer_lost()
     assert not feed.is_sure
 
 
 def test_former_keepers_that_the_settings_name_do_not_count(feed):
-    """All three seeds may be gone while the group stands at other addresses."""
+    """All three seeds may be gone after the members have moved to other addresses."""
     keepers = ["c:1", "d:1", "e:1"]
-    _tell(feed, "c:1", _make_fleet(hall="h", keepers=keepers, entries=[]))
-    _tell(feed, "d:1", _make_fleet(hall="h", keepers=keepers, entries=[]))
-    _tell_version(feed, "c:1", 5)
-    _send_table(feed, "c:1", 5)
-    _tell_version(feed, "d:1", 5)
+    _deliver(feed, "c:1", _make_fleet(hall="h", keepers=keepers, entries=[]))
+    _deliver(feed, "d:1", _make_fleet(hall="h", keepers=keepers, entries=[]))
+    _deliver_version(feed, "c:1", 5)
+    _deliver_table(feed, "c:1", 5)
+    _deliver_version(feed, "d:1", 5)
     assert feed.keeper_count == 5
     assert feed.is_sure
 
 
 def test_a_table_that_failed_on_its_way_into_force_is_taken_again(feed):
     feed._user.failing = {5}
-    _tell_version(feed, "a:1", 5)
-    _send_table(feed, "a:1", 5)
+    _deliver_version(feed, "a:1", 5)
+    _deliver_table(feed, "a:1", 5)
     assert feed.version == 0
-    assert _count_asked(feed, "a:1") == 1
+    assert _count_requests(feed, "a:1") == 1
     feed._check()
-    assert _count_asked(feed, "a:1") == 2
-    _send_table(feed, "a:1", 5)
+    assert _count_requests(feed, "a:1") == 2
+    _deliver_table(feed, "a:1", 5)
     assert feed._user.tables == [5]
 
 
 def test_an_unusable_table_leaves_the_former_and_is_not_asked_for_again(feed):
-    _tell_version(feed, "a:1", 4)
-    _send_table(feed, "a:1", 4)
+    _deliver_version(feed, "a:1", 4)
+    _deliver_table(feed, "a:1", 4)
     feed._user.unusable = {5}
-    _tell_version(feed, "a:1", 5)
-    _send_table(feed, "a:1", 5)
+    _deliver_version(feed, "a:1", 5)
+    _deliver_table(feed, "a:1", 5)
     feed._check()
     assert feed.version == 4
-    assert _count_asked(feed, "a:1") == 2
-    _tell_version(feed, "a:1", 6)
-    _send_table(feed, "a:1", 6)
+    assert _count_requests(feed, "a:1") == 2
+    _deliver_version(feed, "a:1", 6)
+    _deliver_table(feed, "a:1", 6)
     assert feed._user.tables == [4, 6]
 
 
 @pytest.mark.parametrize(("entries", "reads"), [(8, 3), (350, 1)])
 def test_own_readings_of_the_list_are_spread_over_the_fleet(feed, monkeypatch, entries, reads):
-    """Without news of a keeper an entry reads itself, but the fleet together not too often."""
-    told = [[f"e{number}", "h", "x:1"] for number in range(entries)]
-    _tell(feed, "a:1", _make_fleet(hall="h", keepers=["a:1", "b:1", "c:1"], entries=told))
+    """Without a keeper's list an entry reads it directly, at a bounded rate over all entries."""
+    rows = [[f"e{number}", "h", "x:1"] for number in range(entries)]
+    _deliver(feed, "a:1", _make_fleet(hall="h", keepers=["a:1", "b:1", "c:1"], entries=rows))
     began_s = clocks.get_s()
     made = []
     monkeypatch.setattr(feed._reader, "read", lambda: made.append(1))
--- a/tests/unit/test_table_fleet.py
+++ b/tests/unit/test_table_fleet.py
@@ -1,8 +1,9 @@
-"""Keepers and entries together, at random: what is acknowledged is in force everywhere in time.
+"""Random tests of keepers and entries: acknowledged changes are in force at all entries in time.
 
 Entries are cut off, restarted and fail to put a table in force; keepers crash, lose their disks
-and lose power together; changes go on. No entry may go back, hold a table that never was, or be
-sure of one that is older than what was acknowledged before it started.
+and lose power together, while changes continue. No entry may return to an older table, use a table
+that was never committed, or be sure of one that is older than a change acknowledged before the
+entry started.
 """
 
 import random
@@ -16,8 +17,8 @@
 from spoolhead.coordination import consensus
 
 IN_FORCE_S = 2.0
-"""Time within which an accepted change is in force, once a leader is there."""
-WIPES_APART_S = 6.0
+"""Time within which an accepted change must be in force while there is a leader."""
+MIN_WIPE_INTERVAL_S = 6.0
 
 
 class TableFleetMachine(stateful.RuleBasedStateMachine):
@@ -39,7 +40,7 @@
     def teardown(self):
         table_feed.clocks = self._time
 
-    def _get_chance(self):
+    def _get_rng(self):
         return self.fleet.group.rng
 
     @stateful.rule(steps=strategies.integers(min_value=1, max_value=12))
@@ -57,7 +58,7 @@
     def propose(self):
         leaders = [node for node in self.fleet.group.up() if node.consensus.is_leader]
         if leaders:
-            self.fleet.group.propose(self._get_chance().choice(leaders))
+            self.fleet.group.propose(self._get_rng().choice(leaders))
 
     @stateful.rule(
         hall=strategies.sampled_from(("hall-a", "hall-b")), is_evacuated=strategies.booleans()
@@ -65,7 +66,7 @@
     def order_hall(self, hall, is_evacuated):
         leaders = [node for node in self.fleet.group.up() if node.consensus.is_leader]
         if leaders:
-            leader = self._get_chance().choice(leaders)
+            leader = self._get_rng().choice(leaders)
             self.fleet.group.order_hall(leader, hall, is_evacuated)
 
     @stateful.rule(name=strategies.sampled_from(("entry-1", "entry-2")))
@@ -74,7 +75,7 @@
 
     @stateful.rule(name=strategies.sampled_from(("entry-1", "entry-2")))
     def close(self, name):
-        address = self._get_chance().choice(sorted(self.fleet.group.nodes))
+        address = self._get_rng().choice(sorted(self.fleet.group.nodes))
         self.fleet.close(name, address)
 
     @stateful.rule()
@@ -91,7 +92,7 @@
 
     @stateful.rule()
     def crash_keeper(self):
-        self.fleet.crash_keeper(self._get_chance().choice(sorted(self.fleet.group.nodes)))
+        self.fleet.crash_keeper(self._get_rng().choice(sorted(self.fleet.group.nodes)))
 
     @stateful.rule()
     def start_keepers(self):
@@ -101,7 +102,7 @@
 
     @stateful.rule()
     def lose_all_power(self):
-        """Everything starts again, entries with an empty memory."""
+        """Restart all keepers and entries; entries lose their state."""
         for address in sorted(self.fleet.group.nodes):
             self.fleet.crash_keeper(address)
         for name in sorted(self.fleet.entries):
@@ -110,13 +111,13 @@
 
     @stateful.rule(is_replaced=strategies.booleans())
     def lose_a_disk(self, is_replaced):
-        """No more than one at a time; the group must have had time to take the last one in."""
+        """Lose one disk, if the group has had time to recover from the previous loss."""
         group = self.fleet.group
-        if group.now_s - self.wiped_s < WIPES_APART_S:
+        if group.now_s - self.wiped_s < MIN_WIPE_INTERVAL_S:
             return
         self.heal()
         self.wiped_s = group.now_s
-        address = self._get_chance().choice(sorted(group.nodes))
+        address = self._get_rng().choice(sorted(group.nodes))
         (group.replace if is_replaced else group.wipe)(address)
 
     @stateful.rule()
@@ -148,8 +149,8 @@
 TestTableFleet = TableFleetMachine.TestCase
 
 
-def _play(seed, steps=120):
-    """Play the machine's rules by a plain random generator."""
+def _run_rules(seed, steps=120):
+    """Run the machine's rules in an order from a seeded random generator."""
     rng = random.Random(seed)
     machine = TableFleetMachine()
     rules = (
@@ -173,11 +174,11 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_long_walk(seed):
-    _play(seed)
+    _run_rules(seed)
 
 
-def _play_orders(seed, steps=60, orders_before=0):
-    """Play mostly orders on halls, keepers that lose their disks and are replaced."""
+def _run_orders(seed, steps=60, orders_before=0):
+    """Run mostly orders on halls, while keepers lose their disks and are replaced."""
     rng = random.Random(seed)
     machine = TableFleetMachine()
 
@@ -210,7 +211,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_orders_on_halls_are_never_lost(seed):
-    _play_orders(seed, orders_before=40 * (seed % 2))
+    _run_orders(seed, orders_before=40 * (seed % 2))
 
 
 def test_defect_a_keeper_that_confirms_what_it_starts_with_is_caught(monkeypatch):
@@ -224,19 +225,19 @@
     monkeypatch.setattr(consensus.Consensus, "_note_committed", lambda self, index: None)
     with pytest.raises(AssertionError):
         for seed in range(30):
-            _play(seed)
+            _run_rules(seed)
 
 
 def test_defect_an_announcement_that_is_lost_is_caught(monkeypatch):
-    """A version is told once a stream."""
+    """A keeper announces each version only once per stream."""
     monkeypatch.setattr(table_fleet.KeeperSide, "note_changes", lambda self: None)
     with pytest.raises(AssertionError):
         for seed in range(10):
-            _play(seed)
+            _run_rules(seed)
 
 
 def test_defect_a_snapshot_without_evacuated_halls_is_caught(monkeypatch):
-    """Who joins anew learns of orders from a snapshot only."""
+    """A joining keeper learns of earlier orders only from a snapshot."""
     load = consensus_group.ListMachine.load
 
     def _load(self, state):
@@ -246,4 +247,4 @@
     monkeypatch.setattr(consensus_group.ListMachine, "load", _load)
     with pytest.raises(AssertionError):
         for seed in range(40):
-            _play_orders(seed, orders_before=40)
+            _run_orders(seed, orders_before=40)
--- a/tests/unit/test_word_fleet.py
+++ b/tests/unit/test_word_fleet.py
@@ -1,4 +1,7 @@
-"""What instances say to one entry, while entries start, halls are cut off and news are lost."""
+"""Departures and rests that one entry hears of reach all entries.
+
+Meanwhile entries restart, halls are cut off and datagrams are lost.
+"""
 
 import hypothesis
 from hypothesis import stateful, strategies
@@ -8,14 +11,14 @@
 
 ENTRIES = 9
 INSTANCES = 4
-TOLD_S = 1.0
-"""Time that an entry lives after it was told something: until then nobody else may know."""
-CALM_S = 6.0
-LONGEST_REST_MS = 3_000
+MIN_UPTIME_AFTER_ALARM_S = 1.0
+"""Time for which an entry is not restarted after an alarm, since no other may know of it yet."""
+RECOVERY_S = 6.0
+MAX_REST_MS = 3_000
 
 
 class WordMachine(stateful.RuleBasedStateMachine):
-    """An instance that leaves is known to all in the end; no rest outlasts what was asked for."""
+    """All entries learn of each departure eventually; no rest lasts longer than requested."""
 
     @stateful.initialize(seed=strategies.integers(0, 2**16))
     def begin(self, seed):
@@ -23,13 +26,13 @@
             entries=ENTRIES, halls=3, keepers=3, instances=INSTANCES, seed=seed
         )
         self.fleet.run(1.0)
-        self.told_s = dict.fromkeys(range(ENTRIES), 0.0)
+        self.alarm_raised_s = dict.fromkeys(range(ENTRIES), 0.0)
         self.leaving = set()
 
-    def _tell(self, number, instance, kind, for_ms=0):
+    def _raise_alarm(self, number, instance, kind, for_ms=0):
         name = self.fleet.instances[instance]
         self.fleet.entries[number].sharing.broadcast_alarm(name, kind, for_ms=for_ms)
-        self.told_s[number] = self.fleet.clock()
+        self.alarm_raised_s[number] = self.fleet.clock()
         return name
 
     @stateful.rule(
@@ -37,23 +40,26 @@
     )
     def leave(self, number, instance):
         kind = shared_load.AlarmKind.LEAVING
-        name = self._tell(number, instance, kind)
+        name = self._raise_alarm(number, instance, kind)
         self.fleet.entries[number].registry.get(name).record_announced_leaving()
         self.leaving.add(name)
 
     @stateful.rule(
         number=strategies.integers(0, ENTRIES - 1),
-        for_ms=strategies.integers(1, LONGEST_REST_MS),
+        for_ms=strategies.integers(1, MAX_REST_MS),
     )
     def ask_for_rest(self, number, for_ms):
         kind = shared_load.AlarmKind.RESTING
-        name = self._tell(number, INSTANCES - 1, kind, for_ms)
+        name = self._raise_alarm(number, INSTANCES - 1, kind, for_ms)
         now_s = self.fleet.clock()
         self.fleet.entries[number].registry.get(name).rest.record(for_ms, now_s)
 
     @stateful.rule(number=strategies.integers(0, ENTRIES - 1))
     def restart_entry(self, number):
-        if self.fleet.clock() - self.told_s[number] > TOLD_S and not self.fleet.net.cut_off_halls:
+        if (
+            self.fleet.clock() - self.alarm_raised_s[number] > MIN_UPTIME_AFTER_ALARM_S
+            and not self.fleet.net.cut_off_halls
+        ):
             self.fleet.restart_entry(number)
 
     @stateful.rule(number=strategies.integers(0, 2))
@@ -79,7 +85,7 @@
         net.loss = 0.0
         net.cut_off_halls = set()
         net.cut_keepers = set()
-        self.fleet.run(CALM_S)
+        self.fleet.run(RECOVERY_S)
         now_s = self.fleet.clock()
         for entry in self.fleet.entries:
             known = {
