--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -148,7 +148,7 @@
         """Forward the complete events in a part of the answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
-        if not self._is_valid(attempt.head):
+        if not self._is_event_stream(attempt.head):
             attempt.body.append(data)
             return
         self._record_prefill_end(attempt)
@@ -166,7 +166,7 @@
         """Handle the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
-        if not self._is_valid(attempt.head):
+        if not self._is_event_stream(attempt.head):
             self._handle_unusable_answer(attempt, attempt.head)
         else:
             attempt.upstream.record_answer()
@@ -209,13 +209,14 @@
         code = codes.ResultCode.DEADLINE_UNREACHABLE
         self.fail(code, "no engine is expected to have room in time", retry_after_ms=retry_after_ms)
 
-    def _is_valid(self, head: dialects.AnswerHead) -> bool:
-        own_id = self.job.head.request_id
+    def _is_event_stream(self, head: dialects.AnswerHead) -> bool:
+        """Return whether an answer is the instance's own event stream for this request."""
+        request_id = self.job.head.request_id
         return (
             head.status == _OK
             and head.is_signed
             and not head.is_encoded
-            and head.request_id in ("", own_id)
+            and head.request_id in ("", request_id)
         )
 
     def _handle_unusable_answer(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
@@ -324,9 +325,9 @@
 
     def _finish(self, head: dialects.AnswerHead) -> None:
         self.record_whole_answer(head.status)
-        rest = self._splicer.finish()
-        if rest or not self.caller.is_started:
-            self._forward(head, rest)
+        remainder = self._splicer.finish()
+        if remainder or not self.caller.is_started:
+            self._forward(head, remainder)
         self.caller.end_stream()
         route = self.job.route
         fields = {
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -31,7 +31,7 @@
 """Minimum interval between two direct reads of the instance list, multiplied by the number of
 entries: all entries together make 50 calls a second, about as many as the platform permits."""
 PENDING_FETCH_TTL_S = 0.3
-"""Time for which a version that was requested from one keeper is not requested from another. Twice
+"""Time for which a version that was requested from one keeper is not requested from another: twice
 the transfer time of a table of 1,640 routes over a link of 5 Mbit/s, and short enough to bypass a
 stalled keeper well within the time in which a table has to be in force."""
 FETCH_RETRY_INTERVAL_S = 0.5
@@ -130,12 +130,12 @@
         agreeing_addresses = {item.address for item in confirming if item.version <= self.version}
         return len(agreeing_addresses & members) * 2 > len(members)
 
-    def accept_unconfirmed(self, wanted: bool) -> None:
+    def accept_unconfirmed(self, is_accepted: bool) -> None:
         """Set whether to accept tables from keepers that cannot confirm them to be the newest."""
-        if wanted is self._accepts_unconfirmed:
+        if is_accepted is self._accepts_unconfirmed:
             return
-        self._accepts_unconfirmed = wanted
-        if wanted:
+        self._accepts_unconfirmed = is_accepted
+        if is_accepted:
             fields = {"keepers": self.connected_count, "followed": self.keeper_count}
             logger.warning("unconfirmed tables are accepted", extra={"fields": fields})
             for keeper in self._keepers.values():
@@ -206,14 +206,14 @@
         self._follow()
         reported = {item.address: item.fleet for item in self._keepers.values() if item.fleet}
         keepers = [
-            fleet.Process(name=address, hall=item.hall, address=address)
-            for address, item in reported.items()
+            fleet.Process(name=address, hall=known.hall, address=address)
+            for address, known in reported.items()
         ]
         entries: dict[str, fleet.Process] = {}
-        for item in reported.values():
-            entries.update(item.entries)
-        known = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
-        self._user.on_fleet(known)
+        for known in reported.values():
+            entries.update(known.entries)
+        merged = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
+        self._user.on_fleet(merged)
 
     def _handle_evacuated_halls(self, keeper: followed_keeper.FollowedKeeper) -> None:
         """Pass on the evacuated halls that a keeper reports, if their revision is newer."""
@@ -314,8 +314,8 @@
         self, keeper: followed_keeper.FollowedKeeper, message: route_messages.InstanceList
     ) -> None:
         now_s = clocks.get_s()
-        other_keepers = [item.listed for item in self._keepers.values() if item is not keeper]
-        keeper.apply_list(message, [listed for listed in other_keepers if listed is not None])
+        other_lists = [item.listed for item in self._keepers.values() if item is not keeper]
+        keeper.apply_list(message, [listed for listed in other_lists if listed is not None])
         is_stale = now_s - self._list_received_s > self._config.instance_list.fallback_ms / 1000
         if keeper.listed is None or (message.reader_term < self._reader_term and not is_stale):
             return
@@ -330,13 +330,13 @@
         self._user.on_instances(listed)
 
     def _follow(self) -> None:
-        wanted = set(self._config.keepers)
+        addresses = set(self._config.keepers)
         for keeper in self._keepers.values():
             if keeper.fleet is not None and keeper.client.is_ready:
-                wanted.update(keeper.fleet.keepers)
-        for address in wanted - set(self._keepers):
+                addresses.update(keeper.fleet.keepers)
+        for address in addresses - set(self._keepers):
             self._keepers[address] = followed_keeper.FollowedKeeper(self, address)
-        for address in set(self._keepers) - wanted:
+        for address in set(self._keepers) - addresses:
             keeper = self._keepers.pop(address)
             keeper.client.close()
 
