--- a/src/spoolhead/_internal/gateway/memory_copy.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -19,10 +19,10 @@
 class CopyOwner(Protocol):
     """The owner of a copy, which handles its events."""
 
-    def on_copied(self, move: "MemoryCopy") -> None:
+    def on_copied(self, copy: "MemoryCopy") -> None:
         """Called when the target has stored the copy."""
 
-    def on_copy_failed(self, move: "MemoryCopy") -> None:
+    def on_copy_failed(self, copy: "MemoryCopy") -> None:
         """Called when the last order failed."""
 
 
