--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -206,12 +206,12 @@
         self._follow()
         reported = {item.address: item.fleet for item in self._keepers.values() if item.fleet}
         keepers = [
-            fleet.Process(name=address, hall=known.hall, address=address)
-            for address, known in reported.items()
+            fleet.Process(name=address, hall=keeper_fleet.hall, address=address)
+            for address, keeper_fleet in reported.items()
         ]
         entries: dict[str, fleet.Process] = {}
-        for known in reported.values():
-            entries.update(known.entries)
+        for keeper_fleet in reported.values():
+            entries.update(keeper_fleet.entries)
         merged = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
         self._user.on_fleet(merged)
 
