--- /dev/null
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -0,0 +1,134 @@
+"""Orders the copy of one run's memory from its instance to another.
+
+The copy is made while the run continues, and can be updated at little cost. The run can resume from
+it at the other instance, which then processes only the missing tokens. The source instance need not
+exist any more by then.
+"""
+
+from typing import Protocol
+
+from spoolhead._internal.models import dialects
+from spoolhead._internal.network import upstream_calls
+from spoolhead._internal.policy import upstream_registry
+
+_OK = 200
+NO_ANSWER_STATUS = 0
+"""Status of an order without an answer."""
+
+
+class CopyOwner(Protocol):
+    """The owner of a copy, which handles its events."""
+
+    def on_copied(self, copy: "MemoryCopy") -> None:
+        """Called when the target has stored the copy."""
+
+    def on_copy_failed(self, copy: "MemoryCopy") -> None:
+        """Called when the last order failed."""
+
+
+class MemoryCopy:
+    """One copy of a run's memory.
+
+    :param request_id: id of the run's request.
+    :param source: instance of the run.
+    :param target_address: ``IP:PORT`` of the instance that receives the copy.
+    :param calls: makes HTTP requests.
+    :param dialect: adapter for the wire format of instances.
+    :param user: handles the events of the copy.
+    :ivar status: HTTP status of the last answer; :data:`NO_ANSWER_STATUS` without one.
+    :ivar handle: handle of the copy; empty without one.
+    """
+
+    def __init__(
+        self,
+        *,
+        request_id: str,
+        source: upstream_registry.Upstream,
+        target_address: str,
+        calls: upstream_calls.UpstreamCalls,
+        dialect: dialects.EntryDialect,
+        user: CopyOwner,
+    ) -> None:
+        self.request_id = request_id
+        self.source_address = source.instance.address
+        self._source = source
+        self.target_address = target_address
+        self.status = NO_ANSWER_STATUS
+        self.handle = ""
+        self._calls = calls
+        self._dialect = dialect
+        self._user = user
+        self._call: upstream_calls.UpstreamCall | None = None
+        self._must_release = False
+        self._body: list[bytes] = []
+
+    def start(self) -> None:
+        """Order the copy, or an update of it."""
+        self._body = []
+        order = self._dialect.write_move(
+            dialects.MoveOrder(request_id=self.request_id, target_address=self.target_address)
+        )
+        self._call = _send_order(self._calls, self.source_address, order, self)
+
+    def close(self, *, must_release: bool) -> None:
+        """End the handling of the copy; the owner receives no more calls.
+
+        An order reserves memory at the target from its beginning, and only the handle in its
+        answer can release that memory. So an unused copy's answer is awaited first.
+
+        :param must_release: whether to release the copy's memory because the copy is not used.
+        """
+        is_pending = self._call is not None and not self._call.is_over
+        if not must_release:
+            if self._call is not None and is_pending:
+                self._call.cancel()
+        elif is_pending:
+            self._must_release = True
+        else:
+            self._release()
+
+    def on_answer_head(self, status: int, headers: upstream_calls.Headers) -> None:
+        """Record the status of an answer."""
+        del headers
+        self.status = status
+
+    def on_answer_body(self, data: bytes) -> None:
+        """Buffer a part of an answer."""
+        self._body.append(data)
+
+    def on_answer_end(self) -> None:
+        """Evaluate a complete answer and notify the owner."""
+        answer = self._dialect.read_move(self.status, b"".join(self._body))
+        self.handle = answer.handle or self.handle
+        if self._must_release:
+            self._release()
+            return
+        if self.status != _OK:
+            self._user.on_copy_failed(self)
+            return
+        self._user.on_copied(self)
+
+    def on_call_lost(self, reason: str) -> None:
+        """Handle the loss of the connection as a failed order."""
+        del reason
+        self.status = NO_ANSWER_STATUS
+        if not self._must_release:
+            self._user.on_copy_failed(self)
+
+    def _release(self) -> None:
+        if not self.handle or self._source.has_restarted:
+            # After a restart the handle is unknown or belongs to another copy.
+            return
+        order = self._dialect.write_release(self.handle)
+        _send_order(self._calls, self.source_address, order, upstream_calls.DiscardedAnswer())
+
+
+def _send_order(
+    calls: upstream_calls.UpstreamCalls,
+    address: str,
+    order: dialects.UpstreamOrder,
+    user: upstream_calls.CallUser,
+) -> upstream_calls.UpstreamCall:
+    headers = [("content-type", "application/json")] if order.body else []
+    request = upstream_calls.make_request(order.method, order.target, address, headers, order.body)
+    return calls.open(address, request, user, fresh=True)
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -1,4 +1,4 @@
-"""A request whose answer is held until it is whole: safe to repeat, or to run at most once."""
+"""Handling of plain requests; answers are buffered so that failed attempts can be repeated."""
 
 import logging
 
@@ -14,27 +14,27 @@
 
 
 class PlainExchange(exchange.Exchange):
-    """One plain request."""
+    """One plain request, which is either repeatable or runs at most once."""
 
-    _attempts_made = 0
-    _kept: attempts.Attempt | None = None
+    _attempt_count = 0
+    _last_server_error: attempts.Attempt | None = None
 
     def start(self) -> None:
-        """Make an attempt at the best instance."""
+        """Make an attempt at the best instance that was not tried yet."""
         choice = self.choose(0)
         if self.request_permit_if_limited(choice):
             return
         self.log_choice("attempt", choice)
         if choice.upstream is None:
-            if self._kept is not None:
-                self._deliver(self._kept)
+            if self._last_server_error is not None:
+                self._deliver(self._last_server_error)
             else:
                 self.fail_without_upstream(choice)
             return
         upstream = choice.upstream
         attempt = self._attempt = attempts.Attempt(self, upstream)
-        self._attempts_made += 1
-        self._tried.add(upstream.instance.incarnation_id)
+        self._attempt_count += 1
+        self._tried_ids.add(upstream.instance.incarnation_id)
         request_id = self.job.head.request_id
         upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
             request_id, 0, prefill_tokens=0
@@ -48,15 +48,15 @@
         attempt.call = self.send_attempt(upstream, attempt, orders)
 
     def on_permit(self) -> None:
-        """Make the attempt, here or at another instance."""
+        """Make the attempt, at this or another instance."""
         self.start()
 
     def release(self) -> None:
-        """Cancel the present attempt."""
-        self.drop_attempt()
+        """Cancel the current attempt."""
+        self.cancel_attempt()
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """Take a part of an attempt's answer."""
+        """Buffer a part of an attempt's answer; fail if it grows too large."""
         if attempt is not self._attempt:
             return
         attempt.body.append(data)
@@ -66,7 +66,7 @@
             self.fail(codes.ResultCode.ANSWER_TOO_LARGE, "the answer is too large")
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """Take the end of an attempt's answer."""
+        """Deliver a complete answer, or try again if it is not usable."""
         if attempt is not self._attempt or attempt.head is None:
             return
         head = attempt.head
@@ -75,28 +75,28 @@
         elif head.has_not_run:
             attempt.upstream.record_answer()
             if head.is_misdirected:
-                # It never reached the instance that it was meant for.
-                self._attempts_made -= 1
+                # The request did not reach its instance, so the attempt does not count.
+                self._attempt_count -= 1
             self._retry(codes.ResultCode.UPSTREAM_REFUSED, "not run", has_run=False)
         elif head.status in _SUCCESS and (not head.is_signed or head.is_encoded):
             self._retry(codes.ResultCode.UPSTREAM_LOST, "the answer is not the upstream's own")
         elif head.status in _SERVER_ERRORS:
             attempt.upstream.record_answer()
-            self._kept = attempt
+            self._last_server_error = attempt
             self._retry(codes.ResultCode.UPSTREAM_LOST, f"status {head.status}")
         else:
             attempt.upstream.record_answer()
             self._deliver(attempt)
 
     def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
-        """Take the loss of an attempt's connection."""
+        """Handle the loss of an attempt's connection."""
         if attempt is not self._attempt:
             return
         assert attempt.call is not None
         arrived = attempt.call.may_have_arrived
         self.record_loss(attempt, reason)
         if self.is_over:
-            # The loss was what has its content held.
+            # This loss caused the content to be held, which ended the exchange.
             return
         code = codes.ResultCode.UPSTREAM_LOST if arrived else codes.ResultCode.UPSTREAM_UNREACHABLE
         self._retry(code, reason, has_run=arrived)
@@ -108,32 +108,32 @@
             self._ran = codes.Ran.UNKNOWN
         arrived = attempt.call.may_have_arrived
         if not arrived:
-            self._attempts_made -= 1
+            self._attempt_count -= 1
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "code": int(code),
             "reason": text,
         }
         logger.info("attempt failed", extra={"fields": fields})
-        self.drop_attempt()
-        if self._may_try_again(arrived):
+        self.cancel_attempt()
+        if self._may_retry(arrived):
             self.start()
-        elif self._kept is not None:
-            self._deliver(self._kept)
+        elif self._last_server_error is not None:
+            self._deliver(self._last_server_error)
         else:
             self.fail(code, text)
 
-    def _may_try_again(self, arrived: bool) -> bool:
+    def _may_retry(self, arrived: bool) -> bool:
         kind = self.job.route.kind
         if kind is not route_table.RequestKind.REPEATABLE and self._ran is not codes.Ran.NO:
             return False
         if not arrived:
             return True
         if self._context.contents.is_suspect(self.job.content_id):
-            # The next instance may end as well.
+            # The request may crash the next instance as well.
             return False
-        if self._attempts_made >= self.job.route.attempts:
+        if self._attempt_count >= self.job.route.attempts:
             return False
         allowance = self._context.get_allowance(self.job.service.name)
         return allowance.try_acquire(clocks.get_s())
@@ -145,10 +145,10 @@
         self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "status": head.status,
-            "attempts": self._attempts_made,
+            "attempts": self._attempt_count,
             "is_late": self.is_late(),
         }
         logger.info("answered", extra={"fields": fields})
