--- a/benchmarks/requested_rest.py
+++ b/benchmarks/requested_rest.py
@@ -41,7 +41,7 @@
         print("| entries | way | refused in 8 s | its share |\n|---|---|---|---|")
         for entries, halls in SIZES:
             for name, reporters in WAYS:
-                requested_rest.REPORTERS = reporters
+                requested_rest.MIN_REPORTERS = reporters
                 refused, share = _play(entries, halls, turned_away)
                 print(f"| {entries} | {name} | {refused} | {share:.2f} |", flush=True)
 
--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -37,7 +37,7 @@
         self._on_held = on_held
         self._quarantine = quarantine.Quarantine(name)
         self._broadcast = content_registry.ContentBroadcast(self._quarantine.registry)
-        self._runs = lost_runs.LostRuns()
+        self._lost_runs = lost_runs.LostRuns()
 
     @property
     def registry(self) -> content_registry.ContentRegistry:
@@ -68,7 +68,7 @@
 
     def claim_trial(self, content_id: bytes) -> None:
         """Claim the one run that a held content is given."""
-        self._note(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
+        self._publish(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
 
     def may_run_trial(self, content_id: bytes) -> bool:
         """Tell whether this entry's claim still stands, once."""
@@ -77,40 +77,40 @@
     def record_lost(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
         """Take note of a request that an instance took and lost."""
         run = self._make_run(content_id, sent_s)
-        if self._runs.record_lost(incarnation_id, run):
-            self._count(incarnation_id, run, "lost after that")
+        if self._lost_runs.record_lost(incarnation_id, run):
+            self._record_crash(incarnation_id, run, "lost after that")
 
     def record_abandoned(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
         """Take note of a request that an instance took and this entry has abandoned."""
         run = self._make_run(content_id, sent_s)
-        if self._runs.record_abandoned(incarnation_id, run):
-            self._count(incarnation_id, run, "abandoned after that")
+        if self._lost_runs.record_abandoned(incarnation_id, run):
+            self._record_crash(incarnation_id, run, "abandoned after that")
 
     def has_abandoned(self, incarnation_id: str) -> bool:
         """Tell whether this entry abandoned a request at an instance just now."""
-        return self._runs.has_abandoned(incarnation_id, self._clock())
+        return self._lost_runs.has_abandoned(incarnation_id, self._clock())
 
     def record_ended(self, incarnation_id: str, evidence: str) -> None:
         """Take note that a run of an instance has ended, and of what shows it."""
-        for run in self._runs.record_ended(incarnation_id, self._clock()):
-            self._count(incarnation_id, run, evidence)
+        for run in self._lost_runs.record_ended(incarnation_id, self._clock()):
+            self._record_crash(incarnation_id, run, evidence)
 
     def record_alive(self, incarnation_id: str) -> None:
         """Take note that a run of an instance lives."""
-        self._runs.record_alive(incarnation_id)
+        self._lost_runs.record_alive(incarnation_id)
 
     def record_harmless(self, content_id: bytes) -> None:
         """Take note of a request that has ended well."""
         record = self._quarantine.record_harmless(content_id, self._clock())
         if record is not None:
-            self._note(record, "it ended well here")
+            self._publish(record, "it ended well here")
 
-    def handle_update(self, hub: str, news: shared_load.ContentUpdate) -> None:
+    def handle_update(self, hub: str, update: shared_load.ContentUpdate) -> None:
         """Take what a hub tells."""
-        self.merge_records(hub, news.records)
-        if news.digest == self._quarantine.registry.digest:
+        self.merge_records(hub, update.records)
+        if update.digest == self._quarantine.registry.digest:
             self.is_in_sync = True
-        self._broadcast.record_digest(hub, news.digest, self._clock())
+        self._broadcast.record_digest(hub, update.digest, self._clock())
 
     def pop_changed(self) -> list[content_record.AgedRecord]:
         """Return the records that were not told since they changed, to be told without loss."""
@@ -121,16 +121,16 @@
         registry = self._quarantine.registry
         return registry.get_all_aged(registry.get_ids(), self._clock())
 
-    def merge_records(self, teller: str, items: list[content_record.AgedRecord]) -> None:
+    def merge_records(self, peer: str, items: list[content_record.AgedRecord]) -> None:
         """Take records that another process tells."""
         for record in self._quarantine.merge_records(items, self._clock()):
-            self._log(record, f"told by {teller}")
+            self._log(record, f"told by {peer}")
             self._report_if_held(record)
 
     def make_content_update(self) -> shared_load.ContentUpdate:
         """Return what a report made now should carry."""
-        part = self._broadcast.pop_batch(self._clock())
-        return shared_load.ContentUpdate(part, self._quarantine.registry.digest)
+        records = self._broadcast.pop_batch(self._clock())
+        return shared_load.ContentUpdate(records, self._quarantine.registry.digest)
 
     def make_digest_update(self) -> shared_load.ContentUpdate:
         """Return what a report carries that tells nothing."""
@@ -139,13 +139,13 @@
     def _make_run(self, content_id: bytes, sent_s: float) -> lost_runs.LostRun:
         return lost_runs.LostRun(content_id, sent_s=sent_s, lost_s=self._clock())
 
-    def _count(self, incarnation_id: str, run: lost_runs.LostRun, evidence: str) -> None:
+    def _record_crash(self, incarnation_id: str, run: lost_runs.LostRun, evidence: str) -> None:
         key = shared_load.get_key(incarnation_id)
         record = self._quarantine.record_end(run.content_id, key, run.sent_s, run.lost_s)
         if record is not None:
-            self._note(record, f"{incarnation_id} ended: {evidence}")
+            self._publish(record, f"{incarnation_id} ended: {evidence}")
 
-    def _note(self, record: content_record.ContentRecord, reason: str) -> None:
+    def _publish(self, record: content_record.ContentRecord, reason: str) -> None:
         """Pass on what this entry has found out itself."""
         self._log(record, reason)
         self._broadcast.record_changed(record.content_id)
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -12,7 +12,7 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_S = 0.5
+ANSWER_TIMEOUT_S = 0.5
 """Longest wait for an answer: many times the usual few milliseconds. Without one the list of
 instances, or another entry, has to tell."""
 
@@ -45,12 +45,12 @@
 class _Query:
     """One question."""
 
-    __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
+    __slots__ = ("target", "call", "instance_id", "number", "owner", "timer")
 
-    def __init__(self, owner: "EndWatch", asked: EndQuery, number: int) -> None:
+    def __init__(self, owner: "EndWatch", target: EndQuery, number: int) -> None:
         self.number = number
         self.owner = owner
-        self.asked = asked
+        self.target = target
         self.call: upstream_calls.UpstreamCall | None = None
         self.timer: scheduler.Timer | None = None
         self.instance_id = ""
@@ -67,10 +67,10 @@
     def on_call_lost(self, reason: str) -> None:
         self.owner.handle_loss(self, reason)
 
-    def give_up(self) -> None:
+    def on_timeout(self) -> None:
         if self.call is not None:
             self.call.cancel()
-        self.owner.handle_silence(self)
+        self.owner.handle_timeout(self)
 
 
 class EndWatch:
@@ -97,63 +97,63 @@
         self._timers = timers
         self._contents = contents
         self._on_ended = on_ended
-        self._pending_operations: dict[str, _Query] = {}
+        self._queries: dict[str, _Query] = {}
 
-    def query(self, asked: EndQuery) -> None:
+    def query(self, target: EndQuery) -> None:
         """Ask an instance that has just lost a request, unless it is being asked."""
-        if asked.path:
-            self._ask(asked, 1)
+        if target.path:
+            self._ask(target, 1)
 
-    def _ask(self, asked: EndQuery, number: int) -> None:
-        if asked.incarnation_id in self._pending_operations:
+    def _ask(self, target: EndQuery, number: int) -> None:
+        if target.incarnation_id in self._queries:
             return
-        question = self._pending_operations[asked.incarnation_id] = _Query(self, asked, number)
-        question.timer = self._timers.call_later(ANSWER_S, question.give_up)
-        request = upstream_calls.make_request("GET", asked.path, asked.address, (), b"")
-        question.call = self._calls.open(asked.address, request, question, fresh=True)
+        query_state = self._queries[target.incarnation_id] = _Query(self, target, number)
+        query_state.timer = self._timers.call_later(ANSWER_TIMEOUT_S, query_state.on_timeout)
+        request = upstream_calls.make_request("GET", target.path, target.address, (), b"")
+        query_state.call = self._calls.open(target.address, request, query_state, fresh=True)
 
-    def handle_answer(self, question: _Query) -> None:
+    def handle_answer(self, query_state: _Query) -> None:
         """Take an answer: the instance lives, or another one stands in its place."""
-        self._drop(question)
-        asked = question.asked
-        if question.instance_id and question.instance_id != asked.instance_id:
-            self._handle_end(question, f"{question.instance_id} answers")
-        elif question.instance_id or not asked.instance_id:
-            self._log(question, "it answers")
-            self._contents.record_alive(asked.incarnation_id)
+        self._remove(query_state)
+        target = query_state.target
+        if query_state.instance_id and query_state.instance_id != target.instance_id:
+            self._handle_end(query_state, f"{query_state.instance_id} answers")
+        elif query_state.instance_id or not target.instance_id:
+            self._log(query_state, "it answers")
+            self._contents.record_alive(target.incarnation_id)
         else:
-            self._log(question, "it does not say which instance answers")
+            self._log(query_state, "it does not say which instance answers")
 
-    def handle_loss(self, question: _Query, reason: str) -> None:
+    def handle_loss(self, query_state: _Query, reason: str) -> None:
         """Take the loss of a question; refused, the instance has ended."""
-        self._drop(question)
+        self._remove(query_state)
         if reason == links.REFUSED:
-            self._handle_end(question, reason)
+            self._handle_end(query_state, reason)
             return
-        self._log(question, reason)
-        if question.number < MAX_QUERIES:
-            asked, number = question.asked, question.number + 1
-            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(asked, number))
+        self._log(query_state, reason)
+        if query_state.number < MAX_QUERIES:
+            target, number = query_state.target, query_state.number + 1
+            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(target, number))
 
-    def handle_silence(self, question: _Query) -> None:
+    def handle_timeout(self, query_state: _Query) -> None:
         """Take the want of an answer, which another question would not change."""
-        self._drop(question)
-        self._log(question, "no answer")
+        self._remove(query_state)
+        self._log(query_state, "no answer")
 
-    def _handle_end(self, question: _Query, evidence: str) -> None:
-        self._log(question, evidence, has_ended=True)
-        incarnation_id = question.asked.incarnation_id
+    def _handle_end(self, query_state: _Query, evidence: str) -> None:
+        self._log(query_state, evidence, has_ended=True)
+        incarnation_id = query_state.target.incarnation_id
         self._on_ended(incarnation_id)
         self._contents.record_ended(incarnation_id, evidence)
 
-    def _drop(self, question: _Query) -> None:
-        self._pending_operations.pop(question.asked.incarnation_id, None)
-        if question.timer is not None:
-            question.timer.cancel()
+    def _remove(self, query_state: _Query) -> None:
+        self._queries.pop(query_state.target.incarnation_id, None)
+        if query_state.timer is not None:
+            query_state.timer.cancel()
 
-    def _log(self, question: _Query, outcome: str, *, has_ended: bool = False) -> None:
+    def _log(self, query_state: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": question.asked.incarnation_id,
+            "upstream": query_state.target.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -24,9 +24,9 @@
 logger = logging.getLogger(__name__)
 
 FILE_NAME = "contents"
-FORMAT = 1
+FORMAT_VERSION = 1
 """Form of the file. One of another form is left unread: that costs two instances, no promise."""
-SAVE_PAUSE_S = 0.25
+MIN_SAVE_INTERVAL_S = 0.25
 """Least time between two writings. A thousand records, the most that are kept, take some 60 KB, so
 a flood costs the disk 240 KB/s at most; what is lost with the power is no older than this."""
 
@@ -36,7 +36,7 @@
 
     :param wall_s: the time of day, in seconds.
     """
-    payload = msgpack.packb([FORMAT, int(wall_s * 1000), content_record.pack(items)])
+    payload = msgpack.packb([FORMAT_VERSION, int(wall_s * 1000), content_record.pack(items)])
     return changelog.make_record(payload)
 
 
@@ -52,9 +52,9 @@
     payloads = changelog.scan(data).payloads
     if not payloads:
         raise ValueError("no whole record")
-    form, wall_ms, values = msgpack.unpackb(payloads[0])
-    if form != FORMAT:
-        raise ValueError(f"form {form!r}")
+    version, wall_ms, values = msgpack.unpackb(payloads[0])
+    if version != FORMAT_VERSION:
+        raise ValueError(f"form {version!r}")
     since_ms = max(0, int(wall_s * 1000) - wall_ms)
     items = content_record.unpack(values)
     return [content_record.AgedRecord(item.record, item.age_ms + since_ms) for item in items]
@@ -90,7 +90,7 @@
         self._earliest_s = clock()
         self._timer: scheduler.Timer | None = None
         self._condition = threading.Condition()
-        self._waiting: bytes | None = None
+        self._unwritten: bytes | None = None
         self._is_synced = True
         threading.Thread(target=self._run, name="saved-contents", daemon=True).start()
 
@@ -122,12 +122,12 @@
             self._timer.cancel()
             self._timer = None
         now_s = self._clock()
-        self._earliest_s = now_s + SAVE_PAUSE_S
+        self._earliest_s = now_s + MIN_SAVE_INTERVAL_S
         self._digest = self._registry.digest
         items = self._registry.get_all_aged(self._registry.get_ids(), now_s)
         data = encode(items, self._wall_clock())
         with self._condition:
-            self._waiting = data
+            self._unwritten = data
             self._is_synced = False
             self._condition.notify_all()
 
@@ -147,14 +147,14 @@
     def _run(self) -> None:
         while True:
             with self._condition:
-                self._condition.wait_for(lambda: self._waiting is not None)
-                data, self._waiting = self._waiting, None
+                self._condition.wait_for(lambda: self._unwritten is not None)
+                data, self._unwritten = self._unwritten, None
             assert data is not None
             is_written = self._write(data)
             with self._condition:
-                if not is_written and self._waiting is None:
-                    self._waiting = data
-                self._is_synced = self._waiting is None
+                if not is_written and self._unwritten is None:
+                    self._unwritten = data
+                self._is_synced = self._unwritten is None
                 self._condition.notify_all()
             if not is_written:
                 time.sleep(disk_refusals.RETRY_S)
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -13,34 +13,34 @@
 
 logger = logging.getLogger(__name__)
 
-FIRST_S = 0.002
+COALESCE_DELAY_S = 0.002
 """Pause before a change is told after a quiet time, so that what changes with it goes along."""
-PART_S = 0.02
+MIN_SEND_INTERVAL_S = 0.02
 """Least time between two parts, so that a receiver takes in fifty a second at most: each costs an
 entry 15 us and a turn of its loop. A change after a quiet time does not wait for it."""
-PART_BYTES_PER_S = 10_000
+MAX_RECEIVER_BYTES_PER_S = 10_000
 """What one receiver may be sent: half of what a process may spend on control. Small parts, as small
 fleets have, then go each 20 ms, full ones of 300 bytes each 30 ms."""
 HEADER_BYTES = 28
 """What a datagram takes on the link besides its payload."""
-COUNTED_BYTES = 9
+MAX_COUNTED_BYTES = 9
 """What an update names the receiver's own report with, at most."""
-IDLE_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 """Time after which something is said though nothing has changed, so that a lost hub is noticed."""
 
 
-class _Sent:
+class _SendSizes:
     """A datagram that went to several receivers.
 
-    :ivar part_bytes: its size with headers.
-    :ivar all_bytes: what all of them got.
+    :ivar datagram_bytes: its size with headers.
+    :ivar total_bytes: what all of them got.
     """
 
-    __slots__ = ("all_bytes", "part_bytes")
+    __slots__ = ("total_bytes", "datagram_bytes")
 
-    def __init__(self, part_bytes: int, receivers: int) -> None:
-        self.part_bytes = part_bytes
-        self.all_bytes = part_bytes * receivers
+    def __init__(self, datagram_bytes: int, receivers: int) -> None:
+        self.datagram_bytes = datagram_bytes
+        self.total_bytes = datagram_bytes * receivers
 
 
 class HubPort:
@@ -73,8 +73,8 @@
         self._timer: scheduler.Timer | None = None
         self._due_s = 0.0
         self._earliest_s = 0.0
-        self._totals_s = 0.0
-        self._updates_s = 0.0
+        self._totals_sent_s = 0.0
+        self._updates_sent_s = 0.0
 
     def handle_datagram(
         self, message: shared_load.Report | shared_load.Totals, sender: endpoints.Endpoint
@@ -82,7 +82,7 @@
         """Take a datagram of an entry or of another hub."""
         now_s = self._clock()
         if self._hub.is_idle:
-            self._hub.become_idle(now_s)
+            self._hub.discard_pending(now_s)
         if isinstance(message, shared_load.Totals):
             self._hub.handle_totals(message, sender, now_s)
         else:
@@ -90,10 +90,10 @@
         if self._hub.is_idle:
             return
         if self._hub.has_urgent_updates:
-            self._tell()
+            self._send_pending()
             return
         has_new = self._hub.has_unsent_totals or self._hub.has_unsent_updates
-        self._wake(now_s, FIRST_S if has_new else IDLE_S)
+        self._schedule(now_s, COALESCE_DELAY_S if has_new else HEARTBEAT_INTERVAL_S)
 
     def _handle_report(
         self, report: shared_load.Report, sender: endpoints.Endpoint, now_s: float
@@ -106,52 +106,56 @@
             encoded = shared_load.encode_update(update)
             self._send(shared_load.address_update(encoded, update.counted), sender)
 
-    def _wake(self, now_s: float, delay_s: float) -> None:
+    def _schedule(self, now_s: float, delay_s: float) -> None:
         due_s = max(now_s + delay_s, self._earliest_s)
         if self._timer is not None:
             if self._due_s <= due_s:
                 return
             self._timer.cancel()
         self._due_s = due_s
-        self._timer = self._timers.call_later(due_s - now_s, self._tell)
+        self._timer = self._timers.call_later(due_s - now_s, self._send_pending)
 
-    def _tell(self) -> None:
+    def _send_pending(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         now_s = self._clock()
-        self._hub.forget_silent(now_s)
+        self._hub.expire_silent(now_s)
         if self._hub.is_idle:
             return
         totals = self._send_totals(now_s)
         updates = self._send_updates(now_s)
-        sent_bytes = totals.all_bytes + updates.all_bytes
-        part_bytes = max(totals.part_bytes, updates.part_bytes)
-        pause_s = max(PART_S, part_bytes / PART_BYTES_PER_S, sent_bytes / self._bytes_per_s)
-        self._earliest_s = now_s + pause_s
-        self._wake(now_s, 0.0 if self._hub.has_unsent_updates else IDLE_S)
-
-    def _send_totals(self, now_s: float) -> _Sent:
-        if not self._hub.has_unsent_totals and not _is_due(self._totals_s, now_s):
-            return _Sent(0, 0)
-        self._totals_s = now_s
+        sent_bytes = totals.total_bytes + updates.total_bytes
+        datagram_bytes = max(totals.datagram_bytes, updates.datagram_bytes)
+        interval_s = max(
+            MIN_SEND_INTERVAL_S,
+            datagram_bytes / MAX_RECEIVER_BYTES_PER_S,
+            sent_bytes / self._bytes_per_s,
+        )
+        self._earliest_s = now_s + interval_s
+        self._schedule(now_s, 0.0 if self._hub.has_unsent_updates else HEARTBEAT_INTERVAL_S)
+
+    def _send_totals(self, now_s: float) -> _SendSizes:
+        if not self._hub.has_unsent_totals and not _is_due(self._totals_sent_s, now_s):
+            return _SendSizes(0, 0)
+        self._totals_sent_s = now_s
         data = shared_load.encode_totals(self._hub.make_totals(now_s))
         addresses = dict.fromkeys((*self._get_hubs(), *self._hub.get_hub_addresses()))
         for address in addresses:
             self._send(data, address)
-        return _Sent(len(data) + HEADER_BYTES, len(addresses))
+        return _SendSizes(len(data) + HEADER_BYTES, len(addresses))
 
-    def _send_updates(self, now_s: float) -> _Sent:
-        if not self._hub.has_unsent_updates and not _is_due(self._updates_s, now_s):
-            return _Sent(0, 0)
-        self._updates_s = now_s
+    def _send_updates(self, now_s: float) -> _SendSizes:
+        if not self._hub.has_unsent_updates and not _is_due(self._updates_sent_s, now_s):
+            return _SendSizes(0, 0)
+        self._updates_sent_s = now_s
         encoded = shared_load.encode_update(self._hub.make_update(now_s))
         reporters = list(self._hub.reporters)
         for reporter in reporters:
             data = shared_load.address_update(encoded, reporter.counted)
             self._send(data, reporter.address)
-        return _Sent(len(encoded) + COUNTED_BYTES + HEADER_BYTES, len(reporters))
+        return _SendSizes(len(encoded) + MAX_COUNTED_BYTES + HEADER_BYTES, len(reporters))
 
 
-def _is_due(told_s: float, now_s: float) -> bool:
-    return now_s - told_s >= IDLE_S - FIRST_S
+def _is_due(sent_s: float, now_s: float) -> bool:
+    return now_s - sent_s >= HEARTBEAT_INTERVAL_S - COALESCE_DELAY_S
--- a/src/spoolhead/_internal/load_broadcast/load_socket.py
+++ b/src/spoolhead/_internal/load_broadcast/load_socket.py
@@ -18,16 +18,16 @@
 
     :param loop: root of the program.
     :param address: where to listen.
-    :param take: gets each datagram that can be read, and where it came from.
+    :param handle: gets each datagram that can be read, and where it came from.
     """
 
     def __init__(
         self,
         loop: loops.Loop,
         address: endpoints.Endpoint,
-        take: Callable[[shared_load.Message, endpoints.Endpoint], None],
+        handle: Callable[[shared_load.Message, endpoints.Endpoint], None],
     ) -> None:
-        self._take = take
+        self._handle = handle
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
         self._sock.bind(address)
@@ -51,4 +51,4 @@
             except ValueError as error:
                 logger.warning("datagram that tells no load: %s", error)
                 continue
-            self._take(message, sender)
+            self._handle(message, sender)
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -4,44 +4,44 @@
 
 from spoolhead._internal.models import shared_load
 
-CHANGED_ROWS = 20
+MAX_CHANGED_ROWS_PER_DATAGRAM = 20
 """Changed rows told at once, those that wait longest first: 240 bytes, so that 40 parts a second
 stay under 10 KB/s however many instances there are. 195 entries with 80 requests a second were
 worked out to change five rows in 25 ms."""
-REPEATED_ROWS = 3
+MAX_REPEATED_ROWS_PER_DATAGRAM = 3
 """Unchanged rows told beside them, in turn, so that what a lost datagram told is made good: within
 half a second with 37 instances and ten parts a second or more."""
-LAST_ROUNDS = 3
+EMPTY_ROW_SEND_COUNT = 3
 """Turns in which a row without work is still told before it is forgotten."""
 
 
 class ChangedRows:
     """Totals of work by instance, and which of them are still to be told."""
 
-    __slots__ = ("_changed", "_empty_rounds", "_rows", "_turn")
+    __slots__ = ("_changed", "_empty_send_counts", "_rows", "_rotation")
 
     def __init__(self) -> None:
         self._rows: shared_load.Rows = {}
         self._changed: dict[int, None] = {}
-        self._turn: collections.deque[int] = collections.deque()
-        self._empty_rounds: dict[int, int] = {}
+        self._rotation: collections.deque[int] = collections.deque()
+        self._empty_send_counts: dict[int, int] = {}
 
     @property
     def has_changes(self) -> bool:
         """Whether a row has changed since it was last told."""
         return bool(self._changed)
 
-    def add(self, key: int, held: shared_load.InstanceLoad, sign: int = 1) -> None:
+    def add(self, key: int, load: shared_load.InstanceLoad, sign: int = 1) -> None:
         """Add work to a row, or take it off with a sign of -1."""
-        if not held:
+        if not load:
             return
         row = self._rows.get(key)
         if row is None:
             row = self._rows[key] = shared_load.InstanceLoad()
-            self._turn.append(key)
-        row.add(held, sign)
+            self._rotation.append(key)
+        row.add(load, sign)
         self._changed.setdefault(key)
-        self._empty_rounds.pop(key, None)
+        self._empty_send_counts.pop(key, None)
 
     def replace(
         self, key: int, old: shared_load.InstanceLoad | None, new: shared_load.InstanceLoad
@@ -55,28 +55,28 @@
 
     def pop_batch(self) -> shared_load.Rows:
         """Return the rows to be told next, and count them as told."""
-        part: shared_load.Rows = {}
-        for key in list(self._changed)[:CHANGED_ROWS]:
+        rows: shared_load.Rows = {}
+        for key in list(self._changed)[:MAX_CHANGED_ROWS_PER_DATAGRAM]:
             del self._changed[key]
-            part[key] = self._rows[key].copy()
-        for _ in range(min(REPEATED_ROWS, len(self._turn))):
-            key = self._turn.popleft()
-            part[key] = self._rows[key].copy()
-            if self._is_over(key):
+            rows[key] = self._rows[key].copy()
+        for _ in range(min(MAX_REPEATED_ROWS_PER_DATAGRAM, len(self._rotation))):
+            key = self._rotation.popleft()
+            rows[key] = self._rows[key].copy()
+            if self._count_empty_send(key):
                 del self._rows[key]
-                self._empty_rounds.pop(key, None)
+                self._empty_send_counts.pop(key, None)
                 self._changed.pop(key, None)
             else:
-                self._turn.append(key)
-        return part
+                self._rotation.append(key)
+        return rows
 
     def get_all(self) -> shared_load.Rows:
         """Return all rows."""
         return {key: row.copy() for key, row in self._rows.items()}
 
-    def _is_over(self, key: int) -> bool:
+    def _count_empty_send(self, key: int) -> bool:
         if self._rows[key]:
             return False
-        rounds = self._empty_rounds.get(key, 0) + 1
-        self._empty_rounds[key] = rounds
-        return rounds >= LAST_ROUNDS
+        send_count = self._empty_send_counts.get(key, 0) + 1
+        self._empty_send_counts[key] = send_count
+        return send_count >= EMPTY_ROW_SEND_COUNT
--- a/src/spoolhead/_internal/policy/cold_start.py
+++ b/src/spoolhead/_internal/policy/cold_start.py
@@ -65,11 +65,11 @@
     if all(entry.hall != instance.hall for entry in entries):
         return []
 
-    def _get_order(entry: fleet.Process) -> tuple[bool, int]:
+    def _get_sort_key(entry: fleet.Process) -> tuple[bool, int]:
         weight = xxhash.xxh3_64_intdigest(f"{entry.name}/{instance.incarnation_id}".encode())
         return entry.hall != instance.hall, weight
 
-    return sorted(entries, key=_get_order)[: max(1, math.floor(cold_per_s))]
+    return sorted(entries, key=_get_sort_key)[: max(1, math.floor(cold_per_s))]
 
 
 class ColdStarts:
@@ -80,15 +80,15 @@
     """
 
     def __init__(self, own_name: str, hall: str) -> None:
-        self._own = fleet.Process(name=own_name, hall=hall, address="")
-        self._entries: Sequence[fleet.Process] = (self._own,)
+        self._own_process = fleet.Process(name=own_name, hall=hall, address="")
+        self._entries: Sequence[fleet.Process] = (self._own_process,)
         self._quotas: dict[str, Quota] = {}
 
     def set_entries(self, entries: Sequence[fleet.Process]) -> None:
         """Take over which entries there are."""
         known = entries
-        if all(entry.name != self._own.name for entry in entries):
-            known = (*entries, self._own)
+        if all(entry.name != self._own_process.name for entry in entries):
+            known = (*entries, self._own_process)
         if known != self._entries:
             self._entries = known
             self._quotas.clear()
@@ -106,7 +106,7 @@
     def _get_quota(self, service: route_table.Service, instance: instances.Instance) -> Quota:
         quota = self._quotas.get(instance.incarnation_id)
         if quota is None:
-            quota = get_quota(self._own.name, self._entries, instance, service.cold_per_s)
+            quota = get_quota(self._own_process.name, self._entries, instance, service.cold_per_s)
             self._quotas[instance.incarnation_id] = quota
         return quota
 
--- a/src/spoolhead/_internal/policy/content_registry.py
+++ b/src/spoolhead/_internal/policy/content_registry.py
@@ -12,31 +12,31 @@
 
 from spoolhead._internal.models import content_record
 
-KEPT_S = 86_400.0
+RETENTION_S = 86_400.0
 """Time for which a record is kept after its last change: such a request does not become sound by
 time, and a day is as long as anybody is on call for it."""
-MARGIN_S = 60.0
+EXPIRY_MARGIN_S = 60.0
 """A record this close to its end is not taken any more: otherwise processes whose clocks differ a
 little would give it back to each other for ever."""
-MOST_RECORDS = 1_000
+MAX_RECORDS = 1_000
 """Records kept. One takes some 500 bytes, so all take half a megabyte. An instance that ends leaves
 some twenty, and on an ordinary day 38 end."""
 
-RECORDS_AT_ONCE = 8
+MAX_RECORDS_PER_DATAGRAM = 8
 """Records in one datagram: some 400 bytes."""
 RECORD_SEND_COUNT = 3
 """Datagrams in a row that carry a changed record: at one lost in ten, one in a thousand is left to
 the comparison of all."""
-DIFFERS_S = 0.6
+DIGEST_MISMATCH_S = 0.6
 """Time for which another process must name another number before it is told all records: each names
 its number four times a second, and news that is on its way arrives within one of these pauses."""
-TURN_AGAIN_S = 0.5
-TURN_AGAIN_S_PER_RECORD = 0.01
+MIN_FULL_SYNC_INTERVAL_S = 0.5
+FULL_SYNC_INTERVAL_PER_RECORD_S = 0.01
 """Least time between the beginnings of two rounds of telling all records. A round takes 50 bytes a
 record, so rounds in vain cost 5 KB/s at most, however many records there are."""
 
 
-class _Known:
+class _StoredRecord:
     """A record and when it last changed."""
 
     __slots__ = ("changed_s", "record")
@@ -54,25 +54,25 @@
 
     def __init__(self) -> None:
         self.digest = 0
-        self._known: dict[bytes, _Known] = {}
-        self._oldest_s = math.inf
+        self._records: dict[bytes, _StoredRecord] = {}
+        self._oldest_changed_s = math.inf
 
     def __len__(self) -> int:
-        return len(self._known)
+        return len(self._records)
 
     def get(self, content_id: bytes) -> content_record.ContentRecord | None:
         """Return the record of a content; None if nothing is known of it."""
-        known = self._known.get(content_id)
+        known = self._records.get(content_id)
         return known.record if known is not None else None
 
     def get_changed_s(self, content_id: bytes) -> float:
         """Return when the record of a content last changed; minus infinity without one."""
-        known = self._known.get(content_id)
+        known = self._records.get(content_id)
         return known.changed_s if known is not None else -math.inf
 
     def get_aged(self, content_id: bytes, now_s: float) -> content_record.AgedRecord | None:
         """Return a record as it is told."""
-        known = self._known.get(content_id)
+        known = self._records.get(content_id)
         if known is None:
             return None
         return content_record.AgedRecord(known.record, int((now_s - known.changed_s) * 1000))
@@ -86,15 +86,17 @@
 
     def get_all(self) -> list[content_record.ContentRecord]:
         """Return all records."""
-        return [known.record for known in self._known.values()]
+        return [known.record for known in self._records.values()]
 
     def get_ids(self) -> list[bytes]:
         """Return the names of all contents known, those known longest first."""
-        return list(self._known)
+        return list(self._records)
 
     def get_most_severe(self, count: int) -> list[bytes]:
         """Return the names of the contents that matter most, at most so many."""
-        known = heapq.nlargest(count, self._known.items(), key=lambda item: _get_weight_of(item[1]))
+        known = heapq.nlargest(
+            count, self._records.items(), key=lambda item: _get_severity(item[1])
+        )
         return [content_id for content_id, _ in known]
 
     def set(self, record: content_record.ContentRecord, now_s: float) -> bool:
@@ -103,7 +105,7 @@
         :returns: whether that changed what is known.
         """
         is_changed = self._merge(record, now_s)
-        self._forget_old(now_s)
+        self._expire(now_s)
         return is_changed
 
     def merge(
@@ -116,25 +118,27 @@
         changed = []
         for item in items:
             age_s = max(0.0, item.age_ms / 1000)
-            if age_s > KEPT_S - MARGIN_S:
+            if age_s > RETENTION_S - EXPIRY_MARGIN_S:
                 continue
             if self._merge(item.record, now_s - age_s):
-                changed.append(self._known[item.record.content_id].record)
-        self._forget_old(now_s)
-        return [record for record in changed if record.content_id in self._known]
+                changed.append(self._records[item.record.content_id].record)
+        self._expire(now_s)
+        return [record for record in changed if record.content_id in self._records]
 
-    def _forget_old(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         """Forget what has not changed for long."""
-        if now_s - self._oldest_s <= KEPT_S:
+        if now_s - self._oldest_changed_s <= RETENTION_S:
             return
-        for content_id, known in list(self._known.items()):
-            if now_s - known.changed_s > KEPT_S:
-                self._drop(content_id)
-        self._oldest_s = min((item.changed_s for item in self._known.values()), default=math.inf)
+        for content_id, known in list(self._records.items()):
+            if now_s - known.changed_s > RETENTION_S:
+                self._remove(content_id)
+        self._oldest_changed_s = min(
+            (item.changed_s for item in self._records.values()), default=math.inf
+        )
 
     def _merge(self, record: content_record.ContentRecord, changed_s: float) -> bool:
         content_id = record.content_id
-        known = self._known.get(content_id)
+        known = self._records.get(content_id)
         merged = record if known is None else content_record.merge(known.record, record)
         if known is not None and merged == known.record:
             return False
@@ -143,22 +147,22 @@
         self.digest ^= merged.digest
         # What comes late must not end sooner than what it was merged into.
         last_s = changed_s if known is None else max(changed_s, known.changed_s)
-        self._known[content_id] = _Known(merged, last_s)
-        self._oldest_s = min(self._oldest_s, last_s)
-        self._make_room()
+        self._records[content_id] = _StoredRecord(merged, last_s)
+        self._oldest_changed_s = min(self._oldest_changed_s, last_s)
+        self._evict_excess()
         return True
 
-    def _make_room(self) -> None:
+    def _evict_excess(self) -> None:
         """Forget those that matter least: what is not held, and of that the oldest."""
-        while len(self._known) > MOST_RECORDS:
-            least = min(self._known.items(), key=lambda item: _get_weight_of(item[1]))
-            self._drop(least[0])
+        while len(self._records) > MAX_RECORDS:
+            least = min(self._records.items(), key=lambda item: _get_severity(item[1]))
+            self._remove(least[0])
 
-    def _drop(self, content_id: bytes) -> None:
-        self.digest ^= self._known.pop(content_id).record.digest
+    def _remove(self, content_id: bytes) -> None:
+        self.digest ^= self._records.pop(content_id).record.digest
 
 
-def _get_weight_of(known: _Known) -> tuple[bool, int, float]:
+def _get_severity(known: _StoredRecord) -> tuple[bool, int, float]:
     record = known.record
     return record.is_by_hand, record.waves, known.changed_s
 
@@ -171,66 +175,68 @@
 
     def __init__(self, registry: ContentRegistry) -> None:
         self._registry = registry
-        self._left: dict[bytes, int] = {}
-        self._turn: list[bytes] = []
-        self._turned_s = -math.inf
-        self._differs_s: dict[str, float] = {}
+        self._sends_left: dict[bytes, int] = {}
+        self._sync_queue: list[bytes] = []
+        self._last_sync_s = -math.inf
+        self._mismatch_since_s: dict[str, float] = {}
 
     @property
     def has_new(self) -> bool:
         """Whether a record has changed that was not told at all."""
-        return any(left == RECORD_SEND_COUNT for left in self._left.values())
+        return any(sends_left == RECORD_SEND_COUNT for sends_left in self._sends_left.values())
 
     @property
     def has_pending(self) -> bool:
         """Whether anything is left to tell."""
-        return bool(self._left or self._turn)
+        return bool(self._sends_left or self._sync_queue)
 
     def record_changed(self, content_id: bytes) -> None:
         """Tell a record soon."""
-        self._left.pop(content_id, None)
-        self._left[content_id] = RECORD_SEND_COUNT
+        self._sends_left.pop(content_id, None)
+        self._sends_left[content_id] = RECORD_SEND_COUNT
 
-    def record_digest(self, teller: str, digest: int, now_s: float) -> None:
+    def record_digest(self, peer: str, digest: int, now_s: float) -> None:
         """Take the number that stands for another process's records.
 
         One that knows nothing has just started, and is told all at once.
 
-        :param teller: name of that process.
+        :param peer: name of that process.
         """
         if digest == self._registry.digest:
-            self._differs_s.pop(teller, None)
+            self._mismatch_since_s.pop(peer, None)
             return
-        since_s = self._differs_s.setdefault(teller, now_s)
+        since_s = self._mismatch_since_s.setdefault(peer, now_s)
         is_new = not digest
-        if self.has_pending or (now_s - since_s < DIFFERS_S and not is_new):
+        if self.has_pending or (now_s - since_s < DIGEST_MISMATCH_S and not is_new):
             return
-        pause_s = max(TURN_AGAIN_S, TURN_AGAIN_S_PER_RECORD * len(self._registry))
-        if now_s - self._turned_s >= pause_s:
-            self._turned_s = now_s
-            self._turn = self._registry.get_ids()
-
-    def forget_peer(self, teller: str) -> None:
+        interval_s = max(
+            MIN_FULL_SYNC_INTERVAL_S, FULL_SYNC_INTERVAL_PER_RECORD_S * len(self._registry)
+        )
+        if now_s - self._last_sync_s >= interval_s:
+            self._last_sync_s = now_s
+            self._sync_queue = self._registry.get_ids()
+
+    def remove_peer(self, peer: str) -> None:
         """Forget a process that is no longer heard."""
-        self._differs_s.pop(teller, None)
+        self._mismatch_since_s.pop(peer, None)
 
     def pop_batch(self, now_s: float) -> list[content_record.AgedRecord]:
         """Return what is told next, and count it as told."""
-        part = list(self._left)[:RECORDS_AT_ONCE]
-        for content_id in part:
-            self._left[content_id] -= 1
-            if not self._left[content_id]:
-                del self._left[content_id]
-        while self._turn and len(part) < RECORDS_AT_ONCE:
-            part.append(self._turn.pop())
-        return self._registry.get_all_aged(part, now_s)
+        content_ids = list(self._sends_left)[:MAX_RECORDS_PER_DATAGRAM]
+        for content_id in content_ids:
+            self._sends_left[content_id] -= 1
+            if not self._sends_left[content_id]:
+                del self._sends_left[content_id]
+        while self._sync_queue and len(content_ids) < MAX_RECORDS_PER_DATAGRAM:
+            content_ids.append(self._sync_queue.pop())
+        return self._registry.get_all_aged(content_ids, now_s)
 
     def pop_changed(self, now_s: float) -> list[content_record.AgedRecord]:
         """Return all records that have changed, and count them as told."""
-        changed, self._left = self._left, {}
+        changed, self._sends_left = self._sends_left, {}
         return self._registry.get_all_aged(changed, now_s)
 
     def clear(self) -> None:
         """Forget what was to be told: nobody is there to hear it."""
-        self._left.clear()
-        self._turn.clear()
+        self._sends_left.clear()
+        self._sync_queue.clear()
--- a/src/spoolhead/_internal/policy/datagram_order.py
+++ b/src/spoolhead/_internal/policy/datagram_order.py
@@ -4,7 +4,7 @@
 one begins above its former self. The time of day may have been set back meanwhile.
 """
 
-LATE_NUMBERS = 1_000
+REORDER_WINDOW = 1_000
 """Numbers by which a datagram that was overtaken may be behind: two seconds of the fastest
 reporting, far longer than any datagram is under way. One further behind is from a process that was
 restarted after its clock had been set back."""
@@ -12,17 +12,17 @@
 
 def is_late(sequence: int, newest: int) -> bool:
     """Tell whether a datagram was overtaken by one that came before, or came already."""
-    return newest - LATE_NUMBERS < sequence <= newest
+    return newest - REORDER_WINDOW < sequence <= newest
 
 
-def is_other_start(sequence: int, newest: int) -> bool:
+def is_restarted(sequence: int, newest: int) -> bool:
     """Tell whether a datagram is from another start of a process that was heard just now.
 
     Numbers that far ahead cannot have been used up since; the time of day has gone on that far.
     """
-    return sequence > newest + LATE_NUMBERS or is_restart(sequence, newest)
+    return sequence > newest + REORDER_WINDOW or is_sequence_reset(sequence, newest)
 
 
-def is_restart(sequence: int, newest: int) -> bool:
+def is_sequence_reset(sequence: int, newest: int) -> bool:
     """Tell whether a datagram is from a process that has begun its numbers anew, and lower."""
-    return sequence <= newest - LATE_NUMBERS
+    return sequence <= newest - REORDER_WINDOW
--- a/src/spoolhead/_internal/policy/granter_choice.py
+++ b/src/spoolhead/_internal/policy/granter_choice.py
@@ -10,7 +10,7 @@
 
 from spoolhead._internal.models import fleet, instances
 
-GRANTERS = 3
+MAX_GRANTERS = 3
 """Entries that are asked in turn: the first granter and those that stand in for it."""
 
 
@@ -19,8 +19,8 @@
 ) -> list[fleet.Process]:
     """Return the entries to ask for permits, the first granter first."""
 
-    def _get_order(entry: fleet.Process) -> tuple[bool, int]:
+    def _get_sort_key(entry: fleet.Process) -> tuple[bool, int]:
         weight = xxhash.xxh3_64_intdigest(f"permit/{entry.name}/{instance.incarnation_id}".encode())
         return entry.hall != instance.hall, weight
 
-    return sorted(entries, key=_get_order)[:GRANTERS]
+    return sorted(entries, key=_get_sort_key)[:MAX_GRANTERS]
--- a/src/spoolhead/_internal/policy/hall_reach.py
+++ b/src/spoolhead/_internal/policy/hall_reach.py
@@ -9,10 +9,10 @@
 
 from spoolhead._internal.policy import upstream_registry
 
-SUSPECT_S = 0.5
+BACKOFF_S = 0.5
 """Time for which a hall is not tried after a connection to it timed out and nothing came from it
 since: a hall that is well answers some entry's plain requests several times in that time."""
-SILENT_SUSPECT_S = 2.0
+SILENT_HALL_BACKOFF_S = 2.0
 """The same for a hall whose entries are silent: one request in that time finds out whether the cut
 is over, and the others are not held up by it."""
 
@@ -60,7 +60,7 @@
             if name != self._own_hall
             and self._is_unanswered(name)
             and now_s - hall.timed_out_s
-            <= (SILENT_SUSPECT_S if name in silent_halls else SUSPECT_S)
+            <= (SILENT_HALL_BACKOFF_S if name in silent_halls else BACKOFF_S)
         )
 
     def get_unreachable_halls(
@@ -74,15 +74,16 @@
         return frozenset(
             name
             for name in silent_halls
-            if self._is_unanswered(name) or (is_isolated and not self._answers(name, now_s))
+            if self._is_unanswered(name)
+            or (is_isolated and not self._has_answered_lately(name, now_s))
         )
 
     def _is_unanswered(self, name: str) -> bool:
         hall = self._get(name)
         return hall.answered_s < hall.timed_out_s
 
-    def _answers(self, name: str, now_s: float) -> bool:
-        return now_s - self._get(name).answered_s <= SUSPECT_S
+    def _has_answered_lately(self, name: str, now_s: float) -> bool:
+        return now_s - self._get(name).answered_s <= BACKOFF_S
 
     def _get(self, hall: str) -> _Hall:
         return self._halls.setdefault(hall, _Hall())
--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -8,13 +8,13 @@
 
 from spoolhead._internal.utils import endpoints
 
-SILENCE_S = 0.35
+HUB_TIMEOUT_S = 0.35
 """Silence of the hub after which another is tried. A hub says something each tenth of a second; a
 process stands still for some tenths at times, and trying another hub costs little."""
-TRY_S = 0.2
+PROBE_TIMEOUT_S = 0.2
 """Time within which a hub that is tried must answer: a hundred times the way between halls."""
-FIRST_REST_S = 1.0
-LONGEST_REST_S = 8.0
+INITIAL_BACKOFF_S = 1.0
+MAX_BACKOFF_S = 8.0
 """Time for which a hub that fell silent or did not answer is passed over, doubled each time."""
 
 
@@ -32,14 +32,14 @@
         self.distance = distance
 
 
-class _State:
+class _CandidateState:
     """What was seen of a candidate."""
 
-    __slots__ = ("rest_s", "rest_until_s")
+    __slots__ = ("backoff_s", "backoff_until_s")
 
     def __init__(self) -> None:
-        self.rest_s = FIRST_REST_S
-        self.rest_until_s = -math.inf
+        self.backoff_s = INITIAL_BACKOFF_S
+        self.backoff_until_s = -math.inf
 
 
 class UpdateSource(enum.Enum):
@@ -64,16 +64,16 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._candidates: list[Candidate] = []
-        self._states: dict[endpoints.Endpoint, _State] = {}
+        self._states: dict[endpoints.Endpoint, _CandidateState] = {}
         self._heard_s = -math.inf
-        self._tried_s = -math.inf
+        self._probed_s = -math.inf
         self.current: endpoints.Endpoint | None = None
         self.probing: endpoints.Endpoint | None = None
 
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
         """Take over which processes can be the hub."""
         self._candidates = sorted(
-            candidates, key=lambda item: (item.distance, self._get_weight_of(item.address))
+            candidates, key=lambda item: (item.distance, self._get_weight(item.address))
         )
         known = {item.address for item in self._candidates}
         self._states = {key: state for key, state in self._states.items() if key in known}
@@ -87,12 +87,12 @@
             self.current = address
             self.probing = None
         self._heard_s = now_s
-        self._get_state(address).rest_s = FIRST_REST_S
+        self._get_state(address).backoff_s = INITIAL_BACKOFF_S
         return UpdateSource.NEW if is_new else UpdateSource.PRESENT
 
     def record_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
         """Take note that a process is known to be out of reach."""
-        self._rest(address, now_s)
+        self._back_off(address, now_s)
         if address == self.current:
             self.current = None
         if address == self.probing:
@@ -100,40 +100,40 @@
 
     def choose(self, now_s: float) -> bool:
         """Look for a better hub; True if a report should go to one that is tried from now on."""
-        if self.current is not None and now_s - self._heard_s > SILENCE_S:
-            self._rest(self.current, now_s)
+        if self.current is not None and now_s - self._heard_s > HUB_TIMEOUT_S:
+            self._back_off(self.current, now_s)
             self.current = None
         if self.probing is not None:
-            if now_s - self._tried_s < TRY_S:
+            if now_s - self._probed_s < PROBE_TIMEOUT_S:
                 return False
-            self._rest(self.probing, now_s)
+            self._back_off(self.probing, now_s)
             self.probing = None
         best = self._find_best(now_s)
         if best is None or best == self.current:
             return False
         self.probing = best
-        self._tried_s = now_s
+        self._probed_s = now_s
         return True
 
     def _find_best(self, now_s: float) -> endpoints.Endpoint | None:
         for item in self._candidates:
-            if self._get_state(item.address).rest_until_s <= now_s:
+            if self._get_state(item.address).backoff_until_s <= now_s:
                 return item.address
         if self.current is not None:
             return self.current
         return min(
             (item.address for item in self._candidates),
-            key=lambda address: self._get_state(address).rest_until_s,
+            key=lambda address: self._get_state(address).backoff_until_s,
             default=None,
         )
 
-    def _rest(self, address: endpoints.Endpoint, now_s: float) -> None:
+    def _back_off(self, address: endpoints.Endpoint, now_s: float) -> None:
         state = self._get_state(address)
-        state.rest_until_s = now_s + state.rest_s
-        state.rest_s = min(state.rest_s * 2, LONGEST_REST_S)
+        state.backoff_until_s = now_s + state.backoff_s
+        state.backoff_s = min(state.backoff_s * 2, MAX_BACKOFF_S)
 
-    def _get_state(self, address: endpoints.Endpoint) -> _State:
-        return self._states.setdefault(address, _State())
+    def _get_state(self, address: endpoints.Endpoint) -> _CandidateState:
+        return self._states.setdefault(address, _CandidateState())
 
-    def _get_weight_of(self, address: endpoints.Endpoint) -> int:
+    def _get_weight(self, address: endpoints.Endpoint) -> int:
         return xxhash.xxh3_64_intdigest(f"{self._name}\0{address[0]}:{address[1]}".encode())
--- a/src/spoolhead/_internal/policy/latest_starts.py
+++ b/src/spoolhead/_internal/policy/latest_starts.py
@@ -20,23 +20,23 @@
 
     def record(self, instance: instances.Instance) -> bool:
         """Take note of an instance's start; False if a later one is known."""
-        if self.is_former(instance):
+        if self.is_previous(instance):
             return False
         if instance.started_ms:
             self._started_ms[instance.instance_id] = instance.started_ms
             self._started_ms.move_to_end(instance.instance_id)
         return True
 
-    def is_former(self, instance: instances.Instance) -> bool:
+    def is_previous(self, instance: instances.Instance) -> bool:
         """Tell whether a later start is known, or one at all where the instance names none."""
         return instance.started_ms < self._started_ms.get(instance.instance_id, 0)
 
-    def get_current_incarnation_id(self, former: instances.Instance) -> str:
+    def get_current_incarnation_id(self, previous: instances.Instance) -> str:
         """Return the name of the latest run of an instance that is listed as a former one."""
-        started_ms = self._started_ms[former.instance_id]
-        return dataclasses.replace(former, started_ms=started_ms).incarnation_id
+        started_ms = self._started_ms[previous.instance_id]
+        return dataclasses.replace(previous, started_ms=started_ms).incarnation_id
 
-    def forget_oldest(self, listed_count: int) -> None:
+    def evict_oldest(self, listed_count: int) -> None:
         """Forget the ids that were listed longest ago.
 
         :param listed_count: instances that are listed now, all of which are remembered.
--- a/src/spoolhead/_internal/policy/limit_registry.py
+++ b/src/spoolhead/_internal/policy/limit_registry.py
@@ -7,10 +7,10 @@
 
 UNLIMITED_PER_S = 10_000.0
 """Limits from here on bind nobody: the whole fleet is built for fewer requests a second."""
-KEPT_S = 600.0
+RETENTION_S = 600.0
 """Time after which a statement that was not made again is forgotten: a limit and its end alike, as
 the end must outlast every report of the limit."""
-RESTATED_S = 1.0
+RENEWAL_AGE_S = 1.0
 """Age of the known statement from which one of the same limit counts as a change."""
 
 
@@ -83,9 +83,9 @@
     def expire(self, now_s: float) -> None:
         """Forget statements that are too old to matter."""
         for key, stated in list(self._stated.items()):
-            if now_s - stated.stated_s > KEPT_S:
+            if now_s - stated.stated_s > RETENTION_S:
                 del self._stated[key]
 
 
 def _is_old(known: rate_limit.StatedLimit, now_s: float) -> bool:
-    return now_s - known.stated_s >= RESTATED_S
+    return now_s - known.stated_s >= RENEWAL_AGE_S
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -26,9 +26,9 @@
 """Silence of a hub after which its totals no longer count. Its reporters look for another hub after
 a third of that, and until here are counted twice; forgotten sooner, what runs in the part behind a
 cut between hubs would seem gone."""
-SNAPSHOT_PAUSE_S = 0.05
+MIN_SNAPSHOT_INTERVAL_S = 0.05
 """Least time between two snapshots for one reporter; the one before may be under way."""
-ALARM_REMEMBERED_S = 10.0
+SEEN_ALARM_TTL_S = 10.0
 """Time for which an alarm is known to have been told: longer than reports and hubs together repeat
 it."""
 
@@ -56,25 +56,25 @@
 class _Row:
     """A row that another hub told, and the sequence of the datagram that told it."""
 
-    __slots__ = ("held", "sequence")
+    __slots__ = ("load", "sequence")
 
-    def __init__(self, held: shared_load.InstanceLoad, sequence: int) -> None:
-        self.held = held
+    def __init__(self, load: shared_load.InstanceLoad, sequence: int) -> None:
+        self.load = load
         self.sequence = sequence
 
 
-class _OtherHub:
+class _PeerHub:
     """Another hub.
 
     :ivar address: where it sends from.
-    :ivar newest: highest sequence of its datagrams.
+    :ivar newest_sequence: highest sequence of its datagrams.
     """
 
-    __slots__ = ("address", "heard_s", "newest", "rows")
+    __slots__ = ("address", "heard_s", "newest_sequence", "rows")
 
     def __init__(self, address: endpoints.Endpoint) -> None:
         self.address = address
-        self.newest = 0
+        self.newest_sequence = 0
         self.heard_s = 0.0
         self.rows: dict[int, _Row] = {}
 
@@ -96,18 +96,18 @@
         self._name = name
         self._sequence = first_sequence
         self._reporters: dict[str, Reporter] = {}
-        self._hubs: dict[str, _OtherHub] = {}
+        self._hubs: dict[str, _PeerHub] = {}
         self._halls_heard_s: dict[str, float] = {}
         self._halls_reported_s: dict[str, float] = {}
-        self._own = changed_rows.ChangedRows()
-        self._all = changed_rows.ChangedRows()
-        self._alarms_taken_s: dict[tuple[str, int], float] = {}
+        self._reporter_totals = changed_rows.ChangedRows()
+        self._fleet_totals = changed_rows.ChangedRows()
+        self._alarms_seen_s: dict[tuple[str, int], float] = {}
         self._standing_alarms = standing_alarms.StandingAlarms()
         self._alarms_to_hubs = alarm_broadcast.AlarmBroadcast(self._standing_alarms)
         self._alarms_to_reporters = alarm_broadcast.AlarmBroadcast(self._standing_alarms)
         self._contents = contents if contents is not None else content_registry.ContentRegistry()
-        self._to_hubs = content_registry.ContentBroadcast(self._contents)
-        self._to_reporters = content_registry.ContentBroadcast(self._contents)
+        self._contents_to_hubs = content_registry.ContentBroadcast(self._contents)
+        self._contents_to_reporters = content_registry.ContentBroadcast(self._contents)
         self._limits = limit_registry.LimitRegistry()
         self._limits_to_hubs = limit_broadcast.LimitBroadcast(self._limits)
         self._limits_to_reporters = limit_broadcast.LimitBroadcast(self._limits)
@@ -125,21 +125,25 @@
     @property
     def has_unsent_totals(self) -> bool:
         """Whether other hubs wait for something new."""
-        has_rows = self._own.has_changes or self._alarms_to_hubs.has_pending
-        return has_rows or self._to_hubs.has_pending or self._limits_to_hubs.has_pending
+        has_rows = self._reporter_totals.has_changes or self._alarms_to_hubs.has_pending
+        return has_rows or self._contents_to_hubs.has_pending or self._limits_to_hubs.has_pending
 
     @property
     def has_unsent_updates(self) -> bool:
         """Whether reporters wait for something new."""
-        has_rows = self._all.has_changes or self._alarms_to_reporters.has_pending
-        return has_rows or self._to_reporters.has_pending or self._limits_to_reporters.has_pending
+        has_rows = self._fleet_totals.has_changes or self._alarms_to_reporters.has_pending
+        return (
+            has_rows
+            or self._contents_to_reporters.has_pending
+            or self._limits_to_reporters.has_pending
+        )
 
     @property
     def has_urgent_updates(self) -> bool:
         """Whether an alarm, content or limit has not been told at all, which must not wait."""
         has_alarms = self._alarms_to_reporters.has_new
         has_limits = self._limits_to_reporters.has_new
-        return has_alarms or has_limits or self._to_reporters.has_new
+        return has_alarms or has_limits or self._contents_to_reporters.has_new
 
     def get_hub_addresses(self) -> list[endpoints.Endpoint]:
         """Return where the other hubs are that were heard lately."""
@@ -158,9 +162,9 @@
         if known is not None and datagram_order.is_late(report.sequence, known.counted):
             return False
         if not report.is_reporter:
-            self._forget_reporter(report.sender)
+            self._remove_reporter(report.sender)
             return False
-        is_new = known is None or datagram_order.is_other_start(report.sequence, known.counted)
+        is_new = known is None or datagram_order.is_restarted(report.sequence, known.counted)
         reporter = known
         if reporter is None:
             reporter = self._reporters[report.sender] = Reporter(address)
@@ -168,16 +172,16 @@
         reporter.heard_s = now_s
         reporter.counted = report.sequence
         reporter.wants_snapshot = is_new or report.wants_snapshot
-        self._exchange_rows(reporter.rows, report.rows)
+        self._replace_rows(reporter.rows, report.rows)
         reporter.rows = report.rows
-        for alarm in self._take_alarms(report.alarms, now_s):
+        for alarm in self._handle_alarms(report.alarms, now_s):
             self._alarms_to_hubs.add(alarm, now_s)
         for content_id in self._handle_contents(report.contents, now_s):
-            self._to_hubs.record_changed(content_id)
-        self._to_reporters.record_digest(report.sender, report.contents.digest, now_s)
-        limited = self._limits.merge(report.limits, now_s)
-        self._limits_to_hubs.add(limited, now_s)
-        self._limits_to_reporters.add(limited, now_s)
+            self._contents_to_hubs.record_changed(content_id)
+        self._contents_to_reporters.record_digest(report.sender, report.contents.digest, now_s)
+        changed_limits = self._limits.merge(report.limits, now_s)
+        self._limits_to_hubs.add(changed_limits, now_s)
+        self._limits_to_reporters.add(changed_limits, now_s)
         return is_new
 
     def handle_totals(
@@ -187,56 +191,56 @@
         if totals.hub == self._name:
             return
         hub = self._hubs.get(totals.hub)
-        if hub is None or datagram_order.is_other_start(totals.sequence, hub.newest):
+        if hub is None or datagram_order.is_restarted(totals.sequence, hub.newest_sequence):
             self._resend_to_new_hub(now_s)
         if hub is None:
-            hub = self._hubs[totals.hub] = _OtherHub(address)
-        if datagram_order.is_restart(totals.sequence, hub.newest):
-            self._forget_rows(hub)
-            hub.newest = 0
-        hub.newest = max(hub.newest, totals.sequence)
+            hub = self._hubs[totals.hub] = _PeerHub(address)
+        if datagram_order.is_sequence_reset(totals.sequence, hub.newest_sequence):
+            self._remove_rows(hub)
+            hub.newest_sequence = 0
+        hub.newest_sequence = max(hub.newest_sequence, totals.sequence)
         hub.address = address
         hub.heard_s = now_s
-        for key, held in totals.rows.items():
-            self._take_row(hub, key, held, totals.sequence)
+        for key, load in totals.rows.items():
+            self._handle_row(hub, key, load, totals.sequence)
         for age in totals.ages:
             heard_s = now_s - age.age_ms / 1000
             self._halls_reported_s[age.hall] = max(
                 self._halls_reported_s.get(age.hall, heard_s), heard_s
             )
-        self._take_alarms(totals.alarms, now_s)
+        self._handle_alarms(totals.alarms, now_s)
         self._handle_contents(totals.contents, now_s)
-        self._to_hubs.record_digest(totals.hub, totals.contents.digest, now_s)
-        limited = self._limits.merge(totals.limits, now_s)
-        self._limits_to_reporters.add(limited, now_s)
+        self._contents_to_hubs.record_digest(totals.hub, totals.contents.digest, now_s)
+        changed_limits = self._limits.merge(totals.limits, now_s)
+        self._limits_to_reporters.add(changed_limits, now_s)
 
-    def forget_silent(self, now_s: float) -> None:
+    def expire_silent(self, now_s: float) -> None:
         """Forget reporters and hubs that have not been heard for long, old limits and alarms."""
         self._limits.expire(now_s)
         self._standing_alarms.expire(now_s)
         for name, reporter in list(self._reporters.items()):
             if now_s - reporter.heard_s > REPORTER_EXPIRY_S:
-                self._forget_reporter(name)
+                self._remove_reporter(name)
         for name, hub in list(self._hubs.items()):
             if now_s - hub.heard_s > HUB_EXPIRY_S:
                 del self._hubs[name]
-                self._to_hubs.forget_peer(name)
-                self._forget_rows(hub)
-        self._alarms_taken_s = {
-            alarm: taken_s
-            for alarm, taken_s in self._alarms_taken_s.items()
-            if now_s - taken_s <= ALARM_REMEMBERED_S
+                self._contents_to_hubs.remove_peer(name)
+                self._remove_rows(hub)
+        self._alarms_seen_s = {
+            alarm: seen_s
+            for alarm, seen_s in self._alarms_seen_s.items()
+            if now_s - seen_s <= SEEN_ALARM_TTL_S
         }
 
-    def become_idle(self, now_s: float) -> None:
+    def discard_pending(self, now_s: float) -> None:
         """Forget what a hub without reporters need not know any more, as telling it would."""
-        self.forget_silent(now_s)
-        self._own.pop_batch()
-        self._all.pop_batch()
+        self.expire_silent(now_s)
+        self._reporter_totals.pop_batch()
+        self._fleet_totals.pop_batch()
         self._alarms_to_hubs.clear()
         self._alarms_to_reporters.clear()
-        self._to_hubs.clear()
-        self._to_reporters.clear()
+        self._contents_to_hubs.clear()
+        self._contents_to_reporters.clear()
         self._limits_to_hubs.clear()
         self._limits_to_reporters.clear()
 
@@ -246,17 +250,17 @@
         return shared_load.Totals(
             hub=self._name,
             sequence=self._sequence,
-            rows=self._own.pop_batch(),
+            rows=self._reporter_totals.pop_batch(),
             ages=_get_ages(self._halls_heard_s, now_s),
             alarms=self._alarms_to_hubs.pop_batch(now_s),
-            contents=self._make_contents(self._to_hubs, now_s),
+            contents=self._make_contents(self._contents_to_hubs, now_s),
             limits=self._limits_to_hubs.pop_batch(now_s),
         )
 
     def make_update(self, now_s: float) -> shared_load.Update:
         """Return what to tell the reporters next."""
-        rows = self._all.pop_batch()
-        contents = self._make_contents(self._to_reporters, now_s)
+        rows = self._fleet_totals.pop_batch()
+        contents = self._make_contents(self._contents_to_reporters, now_s)
         alarms = self._alarms_to_reporters.pop_batch(now_s)
         limits = self._limits_to_reporters.pop_batch(now_s)
         return self._make_update(rows, alarms, contents, limits, now_s)
@@ -266,7 +270,7 @@
         reporter = self._reporters.get(name)
         if reporter is None or not reporter.wants_snapshot:
             return None
-        if now_s - reporter.snapshot_sent_s < SNAPSHOT_PAUSE_S:
+        if now_s - reporter.snapshot_sent_s < MIN_SNAPSHOT_INTERVAL_S:
             return None
         reporter.snapshot_sent_s = now_s
         update = self.make_snapshot(now_s)
@@ -279,12 +283,12 @@
         Of the records of contents it gets those that matter most, since it may serve at once; the
         others follow in the next round for all.
         """
-        content_ids = self._contents.get_most_severe(content_registry.RECORDS_AT_ONCE)
+        content_ids = self._contents.get_most_severe(content_registry.MAX_RECORDS_PER_DATAGRAM)
         records = self._contents.get_all_aged(content_ids, now_s)
         contents = shared_load.ContentUpdate(records, self._contents.digest)
         limits = self._limits.get_all_aged(now_s)
         alarms = self._standing_alarms.get_all(now_s)
-        update = self._make_update(self._all.get_all(), alarms, contents, limits, now_s)
+        update = self._make_update(self._fleet_totals.get_all(), alarms, contents, limits, now_s)
         update.is_snapshot = True
         return update
 
@@ -320,7 +324,7 @@
         changed = self._contents.merge(contents.records, now_s)
         changed_ids = [record.content_id for record in changed]
         for content_id in changed_ids:
-            self._to_reporters.record_changed(content_id)
+            self._contents_to_reporters.record_changed(content_id)
         return changed_ids
 
     def _resend_to_new_hub(self, now_s: float) -> None:
@@ -328,46 +332,46 @@
         self._limits_to_hubs.add(self._limits.get_keys(), now_s)
         self._alarms_to_hubs.send_again(self._standing_alarms.get_names(), now_s)
 
-    def _take_row(
-        self, hub: _OtherHub, key: int, held: shared_load.InstanceLoad, sequence: int
+    def _handle_row(
+        self, hub: _PeerHub, key: int, load: shared_load.InstanceLoad, sequence: int
     ) -> None:
         row = hub.rows.get(key)
         if row is not None and sequence <= row.sequence:
             return
-        self._all.replace(key, row.held if row is not None else None, held)
-        if held:
-            hub.rows[key] = _Row(held, sequence)
+        self._fleet_totals.replace(key, row.load if row is not None else None, load)
+        if load:
+            hub.rows[key] = _Row(load, sequence)
         else:
             hub.rows.pop(key, None)
 
-    def _exchange_rows(self, old: shared_load.Rows, new: shared_load.Rows) -> None:
+    def _replace_rows(self, old: shared_load.Rows, new: shared_load.Rows) -> None:
         for key in old.keys() | new.keys():
             before = old.get(key)
             after = new.get(key) or shared_load.InstanceLoad()
-            self._own.replace(key, before, after)
-            self._all.replace(key, before, after)
+            self._reporter_totals.replace(key, before, after)
+            self._fleet_totals.replace(key, before, after)
 
-    def _forget_rows(self, hub: _OtherHub) -> None:
+    def _remove_rows(self, hub: _PeerHub) -> None:
         for key, row in hub.rows.items():
-            self._all.add(key, row.held, -1)
+            self._fleet_totals.add(key, row.load, -1)
         hub.rows.clear()
 
-    def _forget_reporter(self, name: str) -> None:
+    def _remove_reporter(self, name: str) -> None:
         reporter = self._reporters.pop(name, None)
-        self._to_reporters.forget_peer(name)
+        self._contents_to_reporters.remove_peer(name)
         if reporter is not None:
-            self._exchange_rows(reporter.rows, {})
+            self._replace_rows(reporter.rows, {})
 
-    def _take_alarms(
+    def _handle_alarms(
         self, alarms: Iterable[shared_load.Alarm], now_s: float
     ) -> list[shared_load.Alarm]:
         """Take alarms, and have the reporters sent those that are new; returns these."""
         new = []
         for alarm in alarms:
             name = (alarm.reporter, alarm.sequence)
-            if name in self._alarms_taken_s or self._standing_alarms.has(alarm):
+            if name in self._alarms_seen_s or self._standing_alarms.has(alarm):
                 continue
-            self._alarms_taken_s[name] = now_s
+            self._alarms_seen_s[name] = now_s
             self._standing_alarms.record(alarm, now_s)
             self._alarms_to_reporters.add(alarm, now_s)
             new.append(alarm)
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -6,13 +6,13 @@
 from spoolhead._internal.models import shared_load
 from spoolhead._internal.policy import datagram_order, upstream_registry
 
-EXPIRY_S = 3.0
+UPDATE_TTL_S = 3.0
 """Time without any update after which what was told no longer counts: requests of a second or two
 have ended by then, and long ones say less than what the entry itself holds."""
-SILENCE_S = 0.6
+HALL_SILENCE_S = 0.6
 """Silence of a hall after which it counts as cut off. Each of its entries reports four times a
 second, and one that loses its hub is heard at another within some 0.4 s."""
-REPORTS_KEPT = 64
+MAX_REPORTS = 64
 """Reports kept until an update says which of them it counts: over half a second of the fastest
 reporting."""
 
@@ -41,7 +41,7 @@
         self._rows: dict[int, _Row] = {}
         self._reports: collections.OrderedDict[int, shared_load.Rows] = collections.OrderedDict()
         self._halls_heard_s: dict[str, float] = {}
-        self._halls_due_s: dict[str, float] = {}
+        self._silence_from_s: dict[str, float] = {}
         self._updated_s = -math.inf
         self._is_new_hub = True
         self.has_snapshot = False
@@ -59,7 +59,7 @@
     def record_report(self, sequence: int, rows: shared_load.Rows) -> None:
         """Remember what was reported: updates contain it, and it has to be taken off again."""
         self._reports[sequence] = rows
-        while len(self._reports) > REPORTS_KEPT:
+        while len(self._reports) > MAX_REPORTS:
             self._reports.popitem(last=False)
 
     def begin_hub(self) -> None:
@@ -78,7 +78,7 @@
         if self._is_new_hub:
             self._is_new_hub = False
             self._clear()
-            self._give_time(now_s)
+            self._restart_silence_timers(now_s)
         self._updated_s = now_s
         self.has_snapshot = self.has_snapshot or update.is_snapshot
         for age in update.ages:
@@ -86,12 +86,12 @@
             known_s = self._halls_heard_s.get(age.hall, heard_s)
             self._halls_heard_s[age.hall] = max(known_s, heard_s)
         for key, total in update.rows.items():
-            self._take_row(key, total, own.get(key), update.sequence)
+            self._handle_row(key, total, own.get(key), update.sequence)
         return True
 
     def rebuild(self, now_s: float) -> None:
         """Count what is known at the instances listed now; due when the list has changed."""
-        if now_s - self._updated_s > EXPIRY_S:
+        if now_s - self._updated_s > UPDATE_TTL_S:
             self._clear()
             self.has_snapshot = False
         for upstream in self._registry.get_all():
@@ -109,7 +109,7 @@
             hall
             for hall, heard_s in self._halls_heard_s.items()
             if hall != self._hall
-            and at_s - max(heard_s, self._halls_due_s.get(hall, heard_s)) > SILENCE_S
+            and at_s - max(heard_s, self._silence_from_s.get(hall, heard_s)) > HALL_SILENCE_S
         )
 
     def is_isolated(self, now_s: float) -> bool:
@@ -125,7 +125,7 @@
         """Return the age of the newest update; -1 if none has come."""
         return int((now_s - self._updated_s) * 1000) if math.isfinite(self._updated_s) else -1
 
-    def _take_row(
+    def _handle_row(
         self,
         key: int,
         total: shared_load.InstanceLoad,
@@ -146,11 +146,11 @@
         if upstream is not None:
             upstream.others = others
 
-    def _give_time(self, now_s: float) -> None:
+    def _restart_silence_timers(self, now_s: float) -> None:
         """Give a new hub time to hear of the halls that are not silent: it may have just begun."""
         silent = self.get_silent_halls(now_s)
         for hall in self._halls_heard_s.keys() - silent:
-            self._halls_due_s[hall] = now_s
+            self._silence_from_s[hall] = now_s
 
     def _clear(self) -> None:
         self._rows.clear()
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -4,14 +4,14 @@
 moment later with nobody left to see a connection lost.
 """
 
-KEPT_S = 10.0
+RETENTION_S = 10.0
 """Time for which a lost request waits for word of its instance, and for which an end is remembered:
 about twice what the platform lists an instance that is gone."""
-ABANDONED_S = 2.0
+ABANDONED_TTL_S = 2.0
 """Time after which an abandoned request has nothing to do with the end of its instance.
 Runs began 0.2 s after their request arrived where others were read first, one that may not be
 repeated is worked on to its end, and an end is noticed within 0.3 s."""
-MOST_INSTANCES = 1_000
+MAX_INSTANCES = 1_000
 """Instances for which either is kept."""
 
 
@@ -62,12 +62,12 @@
     def has_abandoned(self, incarnation_id: str, now_s: float) -> bool:
         """Tell whether this entry abandoned a request at an instance just now."""
         return any(
-            now_s - run.lost_s <= ABANDONED_S for run in self._abandoned.get(incarnation_id, [])
+            now_s - run.lost_s <= ABANDONED_TTL_S for run in self._abandoned.get(incarnation_id, [])
         )
 
     def record_ended(self, incarnation_id: str, now_s: float) -> list[LostRun]:
         """Take note that an instance has ended; returns what it had of this entry's."""
-        self._forget_old(now_s)
+        self._expire(now_s)
         self._ended_s.setdefault(incarnation_id, now_s)
         abandoned = [
             # What became of it is known only now.
@@ -84,18 +84,18 @@
         self._lost.pop(incarnation_id, None)
 
     def _has_ended(self, incarnation_id: str, now_s: float) -> bool:
-        self._forget_old(now_s)
+        self._expire(now_s)
         return incarnation_id in self._ended_s
 
-    def _forget_old(self, now_s: float) -> None:
-        oldest_s = now_s - KEPT_S
-        if len(self._ended_s) + len(self._lost) > MOST_INSTANCES:
+    def _expire(self, now_s: float) -> None:
+        oldest_s = now_s - RETENTION_S
+        if len(self._ended_s) + len(self._lost) > MAX_INSTANCES:
             oldest_s = now_s
         self._ended_s = {name: at_s for name, at_s in self._ended_s.items() if at_s >= oldest_s}
         self._lost = {
             name: runs for name, runs in self._lost.items() if runs[-1].lost_s >= oldest_s
         }
-        abandoned_s = max(oldest_s, now_s - ABANDONED_S)
+        abandoned_s = max(oldest_s, now_s - ABANDONED_TTL_S)
         self._abandoned = {
             name: [run for run in runs if run.lost_s >= abandoned_s]
             for name, runs in self._abandoned.items()
--- a/src/spoolhead/_internal/policy/permit_backoff.py
+++ b/src/spoolhead/_internal/policy/permit_backoff.py
@@ -2,7 +2,7 @@
 
 import math
 
-OTHERS_PART = 0.25
+OTHER_WORKSPACES_FRACTION = 0.25
 """Part of the backoff after which requests of other workspaces ask, so that one does not keep all
 others from being heard."""
 
@@ -49,7 +49,7 @@
         rejection = _Rejection(rank, workspace, retry_at_s=now_s + max(0, retry_after_ms) / 1000)
         backoff_s = max(0, backoff_ms) / 1000
         rejection.until_s = now_s + backoff_s
-        rejection.others_until_s = now_s + backoff_s * OTHERS_PART
+        rejection.others_until_s = now_s + backoff_s * OTHER_WORKSPACES_FRACTION
         known = self._rejections.get(key)
         if known is not None and known.until_s > now_s:
             # The most urgent request that was rejected decides who still may ask.
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -23,11 +23,11 @@
 """Instances after whose end a content is held in any case. Several may end at the same time, by one
 fault or since callers sent it to several at once, and that alone counts as one wave: counted
 singly, 1.1 sound requests of one that many send were refused when two ended together, else 0."""
-TRIAL_AFTER_S = 60.0
+TRIAL_DELAY_S = 60.0
 """Time after the last end at which a content that is held may be run once more. It outlasts a
 series (15 s were seen) and the deadlines of most callers, so that the run costs an engine only
 where the request still comes a minute later; a sound one held by mistake is served from then on."""
-MOST_TRIALS = 2
+MAX_TRIALS = 2
 """Such runs that a content is given: a second one only if the first showed nothing, as when its
 caller left."""
 PROVED_WAVES = WAVES_TO_HOLD + 1
@@ -37,9 +37,9 @@
 """Time for which the entry that wants to run a held content once more waits for others which want
 the same: ten times what news takes to reach all of 350 entries (45 ms at most, simulated), and two
 of the quarters of a second after which a lost report is made good."""
-FIRST_FAILURE = 400
+MIN_ERROR_STATUS = 400
 """Least status that tells of a failure, whoever's."""
-FIRST_SERVER_FAILURE = 500
+MIN_SERVER_ERROR_STATUS = 500
 """Least status that tells of the instance's own."""
 
 
@@ -65,8 +65,8 @@
     def __init__(self, name: str) -> None:
         self.registry = content_registry.ContentRegistry()
         self._name = name
-        self._learnt_s: dict[bytes, float] = {}
-        self._tried: set[bytes] = set()
+        self._crash_recorded_s: dict[bytes, float] = {}
+        self._started_trials: set[bytes] = set()
 
     @property
     def held_count(self) -> int:
@@ -90,9 +90,9 @@
             return Verdict.RUN
         if not is_held(record):
             return Verdict.RUN_APART
-        if record.is_by_hand or record.trials >= MOST_TRIALS or record.waves >= PROVED_WAVES:
+        if record.is_by_hand or record.trials >= MAX_TRIALS or record.waves >= PROVED_WAVES:
             return Verdict.REFUSE
-        if now_s - self.registry.get_changed_s(content_id) < TRIAL_AFTER_S:
+        if now_s - self.registry.get_changed_s(content_id) < TRIAL_DELAY_S:
             return Verdict.REFUSE
         return Verdict.CLAIM
 
@@ -103,16 +103,16 @@
         """
         record = self.registry.get(content_id)
         assert record is not None
-        self._tried.discard(content_id)
+        self._started_trials.discard(content_id)
         claimed = dataclasses.replace(record, trials=record.trials + 1, trier=self._name)
-        return self._change(claimed, now_s)
+        return self._store(claimed, now_s)
 
     def may_run_trial(self, content_id: bytes) -> bool:
         """Tell whether a claim of this entry still stands, once, after :data:`CLAIM_S`."""
         record = self.registry.get(content_id)
-        if record is None or record.trier != self._name or content_id in self._tried:
+        if record is None or record.trier != self._name or content_id in self._started_trials:
             return False
-        self._tried.add(content_id)
+        self._started_trials.add(content_id)
         return True
 
     def record_end(
@@ -129,13 +129,13 @@
         )
         if instance_key in record.ends:
             return None
-        is_later = record.waves and sent_s > self._learnt_s.get(content_id, math.inf)
+        is_later = record.waves and sent_s > self._crash_recorded_s.get(content_id, math.inf)
         waves = record.waves + 1 if is_later else max(record.waves, 1)
-        if content_id in self._tried:
+        if content_id in self._started_trials:
             waves = max(waves, PROVED_WAVES)
-        self._learnt_s[content_id] = now_s
+        self._crash_recorded_s[content_id] = now_s
         ends = tuple(sorted({*record.ends, instance_key}))
-        return self._change(dataclasses.replace(record, ends=ends, waves=waves), now_s)
+        return self._store(dataclasses.replace(record, ends=ends, waves=waves), now_s)
 
     def record_harmless(
         self, content_id: bytes, now_s: float
@@ -147,8 +147,8 @@
         record = self.registry.get(content_id)
         if record is None or not record.ends or record.is_by_hand:
             return None
-        self._forget_previous(content_id)
-        return self._change(content_record.begin_epoch(content_id, record), now_s)
+        self._clear_local_state(content_id)
+        return self._store(content_record.begin_epoch(content_id, record), now_s)
 
     def merge_records(
         self, items: list[content_record.AgedRecord], now_s: float
@@ -160,31 +160,33 @@
         changed = self.registry.merge(items, now_s)
         for record in changed:
             if record.ends:
-                self._learnt_s[record.content_id] = now_s
+                self._crash_recorded_s[record.content_id] = now_s
             else:
-                self._forget_previous(record.content_id)
-        self._forget_unknown()
+                self._clear_local_state(record.content_id)
+        self._evict_unknown()
         return changed
 
-    def _forget_previous(self, content_id: bytes) -> None:
+    def _clear_local_state(self, content_id: bytes) -> None:
         """Forget what is kept beside a record that became void."""
-        self._learnt_s.pop(content_id, None)
-        self._tried.discard(content_id)
+        self._crash_recorded_s.pop(content_id, None)
+        self._started_trials.discard(content_id)
 
-    def _change(
+    def _store(
         self, record: content_record.ContentRecord, now_s: float
     ) -> content_record.ContentRecord:
         self.registry.set(record, now_s)
-        self._forget_unknown()
+        self._evict_unknown()
         return self.registry.get(record.content_id) or record
 
-    def _forget_unknown(self) -> None:
+    def _evict_unknown(self) -> None:
         """Forget what is kept beside records that are no longer known."""
-        if len(self._learnt_s) <= 2 * len(self.registry) + 1:
+        if len(self._crash_recorded_s) <= 2 * len(self.registry) + 1:
             return
         known = set(self.registry.get_ids())
-        self._learnt_s = {key: at_s for key, at_s in self._learnt_s.items() if key in known}
-        self._tried &= known
+        self._crash_recorded_s = {
+            key: at_s for key, at_s in self._crash_recorded_s.items() if key in known
+        }
+        self._started_trials &= known
 
 
 def must_end_running(record: content_record.ContentRecord) -> bool:
@@ -204,10 +206,10 @@
     stay held. Where four in ten are failed before they run, a series ended 2 instances, and up to 5
     (mean 2.7) with every answer taken for a good one, in 30 simulated series.
     """
-    return status < FIRST_FAILURE or (is_trial and status < FIRST_SERVER_FAILURE)
+    return status < MIN_ERROR_STATUS or (is_trial and status < MIN_SERVER_ERROR_STATUS)
 
 
 def is_held(record: content_record.ContentRecord) -> bool:
     """Tell whether a record has its content held."""
-    is_proved = record.waves >= WAVES_TO_HOLD or len(record.ends) >= ENDS_TO_HOLD
-    return record.is_by_hand or is_proved
+    has_enough_crashes = record.waves >= WAVES_TO_HOLD or len(record.ends) >= ENDS_TO_HOLD
+    return record.is_by_hand or has_enough_crashes
--- a/src/spoolhead/_internal/policy/repeats.py
+++ b/src/spoolhead/_internal/policy/repeats.py
@@ -7,9 +7,9 @@
 from collections.abc import Hashable, Iterable
 from typing import Generic, TypeVar
 
-REPEAT_PAUSE_S = 0.5
+REPEAT_INTERVAL_S = 0.5
 """Pause between two datagrams that carry the same item again."""
-REPEATED_FOR_S = 4.0
+REPEAT_DURATION_S = 4.0
 """Time for which an item is repeated; who hears nothing for so long asks for all."""
 
 Item = TypeVar("Item", bound=Hashable)
@@ -37,33 +37,33 @@
     def add(self, items: Iterable[Item], now_s: float) -> None:
         """Have items that are sent now repeated."""
         for item in items:
-            self._repeat_later(item, now_s, now_s + REPEATED_FOR_S)
+            self._schedule(item, now_s, now_s + REPEAT_DURATION_S)
 
     def add_due(self, items: Iterable[Item], now_s: float) -> None:
         """Have items sent with the next datagram, and repeated from then on."""
-        due = {item: _Repeat(now_s, now_s + REPEATED_FOR_S) for item in items}
+        due = {item: _Repeat(now_s, now_s + REPEAT_DURATION_S) for item in items}
         others = {item: repeat for item, repeat in self._repeats.items() if item not in due}
         self._repeats = {**due, **others}
 
-    def pop_due(self, most: int, now_s: float) -> list[Item]:
+    def pop_due(self, max_items: int, now_s: float) -> list[Item]:
         """Return the items that are due, and count them as sent.
 
-        :param most: most items to return; the others stay due.
+        :param max_items: most items to return; the others stay due.
         """
         due = []
-        for item, repeat in list(itertools.islice(self._repeats.items(), most)):
+        for item, repeat in list(itertools.islice(self._repeats.items(), max_items)):
             if repeat.due_s > now_s:
                 break
             due.append(item)
-            self._repeat_later(item, now_s, repeat.until_s)
+            self._schedule(item, now_s, repeat.until_s)
         return due
 
     def clear(self) -> None:
         """Forget all items."""
         self._repeats.clear()
 
-    def _repeat_later(self, item: Item, now_s: float, until_s: float) -> None:
+    def _schedule(self, item: Item, now_s: float, until_s: float) -> None:
         self._repeats.pop(item, None)
-        due_s = now_s + REPEAT_PAUSE_S
+        due_s = now_s + REPEAT_INTERVAL_S
         if due_s <= until_s:
             self._repeats[item] = _Repeat(due_s, until_s)
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -8,7 +8,7 @@
 
 import collections
 
-USED_PART = 0.7
+USED_FRACTION = 0.7
 """Part of what is allowed that is used; the rest covers windows that slide and entries that
 were not heard of."""
 
@@ -35,15 +35,15 @@
 
     def try_acquire(self, now_s: float) -> bool:
         """Take one second attempt, if there is one left."""
-        self._forget(now_s)
-        own_slack = self._slack * USED_PART / max(1, self.entry_count)
-        allowed = len(self._requests) * self._ratio * USED_PART + own_slack
+        self._expire(now_s)
+        own_slack = self._slack * USED_FRACTION / max(1, self.entry_count)
+        allowed = len(self._requests) * self._ratio * USED_FRACTION + own_slack
         if len(self._used) + 1 > allowed:
             return False
         self._used.append(now_s)
         return True
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         oldest_s = now_s - self._window_s
         for times in (self._requests, self._used):
             while times and times[0] < oldest_s:
--- a/src/spoolhead/_internal/policy/run_admission.py
+++ b/src/spoolhead/_internal/policy/run_admission.py
@@ -11,26 +11,26 @@
 from spoolhead._internal.models import route_table
 from spoolhead._internal.policy import upstream_choice, upstream_registry
 
-FILL_LIMIT = 1.0
+MAX_FILL_FRACTION = 1.0
 """Share of an engine's memory that generations may be foreseen to fill at their full length."""
-RANK_FILL_STEP = 0.1
+FILL_FRACTION_PER_RANK = 0.1
 """Memory kept free for more urgent routes, as a share, for each rank below the most urgent."""
 PREFILL_TOKENS_PER_MS = 7.5
 """Prompt tokens that an engine reads while others stream beside: half of its speed alone, since
 each piece of 112 tokens (8 ms) alternates with a step for the others (7 ms)."""
 PREFILL_FRACTION = 0.7
 """Part of the objective that the reading of all prompts before may take."""
-REFUSE_PART = 0.2
+REFUSE_AFTER_FRACTION = 0.2
 """Part of the objective for which what has little hope waits all the same. Engines come and runs
 end unforeseen: refusing at once lost 0.011 of the worth served (standard error 0.005, 24 days with
 engines that come and go), while a wait of some hundred milliseconds leaves a refused caller nearly
 all of its time for another try."""
-OFFER_PART = 0.6
+OFFER_AFTER_FRACTION = 0.6
 """Part of the objective after which it goes to the best engine even without room. What is foreseen
 is more than what is held (three quarters of it were seen in use), so it often begins there at once;
 and reading a prompt takes the rest of the objective (3,000 tokens: 0.4 s of 1.8 s, twice that
 behind another)."""
-HOPELESS_FILL = 1.4
+REFUSE_FILL_FRACTION = 1.4
 """Fill of the emptiest engine from which a start within the objective is not to be hoped for:
 two in five of its generations would have to end before."""
 RETRY_AFTER_FRACTION = 1 / 6
@@ -77,26 +77,26 @@
     @property
     def refuse_s(self) -> float:
         """Monotonic time from which it is refused if it has little hope."""
-        return self.arrived_s + self.objective_ms * REFUSE_PART / 1000
+        return self.arrived_s + self.objective_ms * REFUSE_AFTER_FRACTION / 1000
 
     @property
     def offer_s(self) -> float:
         """Monotonic time from which it goes to any engine."""
-        return self.arrived_s + self.objective_ms * OFFER_PART / 1000
+        return self.arrived_s + self.objective_ms * OFFER_AFTER_FRACTION / 1000
 
 
 def has_room(
     engine: route_table.Engine, upstream: upstream_registry.Upstream, request: Request
 ) -> bool:
     """Tell whether a generation would begin at an engine within its objective."""
-    limit = engine.memory_tokens * (FILL_LIMIT - RANK_FILL_STEP * request.rank)
+    limit = engine.memory_tokens * (MAX_FILL_FRACTION - FILL_FRACTION_PER_RANK * request.rank)
     if upstream.count and upstream.tokens + request.need_tokens > limit:
         return False
-    reading_ms = (upstream.prefill_tokens + request.prompt_tokens) / PREFILL_TOKENS_PER_MS
-    return not upstream.prefill_tokens or reading_ms <= request.objective_ms * PREFILL_FRACTION
+    prefill_ms = (upstream.prefill_tokens + request.prompt_tokens) / PREFILL_TOKENS_PER_MS
+    return not upstream.prefill_tokens or prefill_ms <= request.objective_ms * PREFILL_FRACTION
 
 
-def get_least_fill(engine: route_table.Engine, choice: upstream_choice.Choice) -> float:
+def get_min_fill(engine: route_table.Engine, choice: upstream_choice.Choice) -> float:
     """Return the fill of the emptiest engine of a choice."""
     return min(item.upstream.tokens / engine.memory_tokens for item in choice.candidates)
 
@@ -119,7 +119,7 @@
         return _wait_or_refuse(request, now_s + choice.retry_after_ms / 1000)
     if now_s < request.refuse_s:
         return Verdict.WAIT
-    if choice.upstream is None or get_least_fill(engine, choice) >= HOPELESS_FILL:
+    if choice.upstream is None or get_min_fill(engine, choice) >= REFUSE_FILL_FRACTION:
         return Verdict.REFUSE
     return Verdict.BEGIN if now_s >= request.offer_s else Verdict.WAIT
 
--- a/src/spoolhead/_internal/policy/run_migration_policy.py
+++ b/src/spoolhead/_internal/policy/run_migration_policy.py
@@ -8,11 +8,11 @@
 OTHER_HALL_COST = 0.4
 """What another hall counts against a holder, as a share of a memory: a copy between halls takes
 twice as long, and an instance that leaves has time for a handful of copies only."""
-MADE_TOKEN_VALUE = 10
+GENERATED_TOKEN_VALUE = 10
 """What a token that was made is worth in tokens that were read: making one anew takes some ten
 times as long, a step of 8 ms shared by some eight runs against 14 tokens read in a millisecond."""
-SOON_OVER_TOKENS = 150
-SOON_OVER_PART = 0.3
+NEARLY_DONE_TOKENS = 150
+NEARLY_DONE_FRACTION = 0.3
 """A run that is expected to make fewer tokens than this, a good second's worth, is likely to
 end by itself before its instance does, so copying it saves that part of its value only."""
 DEFAULT_PAUSE_MS = 500
@@ -43,7 +43,7 @@
     engine = service.engine
     if engine is None:
         return None
-    chosen = [
+    candidates = [
         upstream
         for upstream in upstreams
         if upstream is not running_at
@@ -58,7 +58,7 @@
             cost += OTHER_HALL_COST
         return cost
 
-    return min(chosen, key=_get_cost, default=None)
+    return min(candidates, key=_get_cost, default=None)
 
 
 def get_rank(prompt_tokens: int, expected_tokens: int, made_tokens: int) -> float:
@@ -70,9 +70,9 @@
     :param expected_tokens: tokens that it will make on the whole.
     :param made_tokens: tokens that it has made.
     """
-    value = prompt_tokens + MADE_TOKEN_VALUE * max(expected_tokens, made_tokens)
-    if 0 < expected_tokens - made_tokens < SOON_OVER_TOKENS:
-        value *= SOON_OVER_PART
+    value = prompt_tokens + GENERATED_TOKEN_VALUE * max(expected_tokens, made_tokens)
+    if 0 < expected_tokens - made_tokens < NEARLY_DONE_TOKENS:
+        value *= NEARLY_DONE_FRACTION
     return value / max(1, prompt_tokens + made_tokens)
 
 
--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -8,16 +8,16 @@
 
 from spoolhead._internal.models import shared_load
 
-LEAVING_KEPT_S = 30.0
+LEAVING_TTL_S = 30.0
 """Time for which an instance is said to leave; the list shows it long before."""
-MOST_KEPT = 64
+MAX_ALARMS = 64
 """Most alarms that are kept, the newest ones; a new reporter gets all in one datagram."""
 KEPT_KINDS = frozenset(
     {shared_load.AlarmKind.COLD, shared_load.AlarmKind.RESTING, shared_load.AlarmKind.LEAVING}
 )
 """Kinds that hold for a time which the instance itself states, or until it ends."""
 
-Name = tuple[str, shared_load.AlarmKind, str]
+AlarmName = tuple[str, shared_load.AlarmKind, str]
 """Names what one entry found of one kind about one instance."""
 
 
@@ -37,7 +37,7 @@
     __slots__ = ("_standing",)
 
     def __init__(self) -> None:
-        self._standing: dict[Name, _Standing] = {}
+        self._standing: dict[AlarmName, _Standing] = {}
 
     def record(self, alarm: shared_load.Alarm, now_s: float) -> None:
         """Keep an alarm if it states what holds for a time."""
@@ -48,8 +48,8 @@
         if known is not None and known.alarm.sequence > alarm.sequence:
             self._standing[name] = known
             return
-        self._standing[name] = _Standing(alarm, now_s + _get_kept_s(alarm))
-        if len(self._standing) > MOST_KEPT:
+        self._standing[name] = _Standing(alarm, now_s + _get_ttl_s(alarm))
+        if len(self._standing) > MAX_ALARMS:
             del self._standing[next(iter(self._standing))]
 
     def remove(self, alarm: shared_load.Alarm) -> None:
@@ -61,11 +61,11 @@
         known = self._standing.get(get_name(alarm))
         return known is not None and known.alarm.sequence == alarm.sequence
 
-    def get_names(self) -> list[Name]:
+    def get_names(self) -> list[AlarmName]:
         """Return the names of all alarms."""
         return list(self._standing)
 
-    def get(self, names: Iterable[Name], now_s: float) -> list[shared_load.Alarm]:
+    def get(self, names: Iterable[AlarmName], now_s: float) -> list[shared_load.Alarm]:
         """Return those of some alarms that hold, each with the time that is left of it."""
         standing = [self._standing[name] for name in names if name in self._standing]
         return [_make_remaining(item, now_s) for item in standing if now_s < item.until_s]
@@ -81,14 +81,14 @@
                 del self._standing[name]
 
 
-def get_name(alarm: shared_load.Alarm) -> Name:
+def get_name(alarm: shared_load.Alarm) -> AlarmName:
     """Return the name by which an alarm is kept; a newer one of the same name replaces it."""
     return alarm.incarnation_id, alarm.kind, alarm.reporter
 
 
-def _get_kept_s(alarm: shared_load.Alarm) -> float:
+def _get_ttl_s(alarm: shared_load.Alarm) -> float:
     if alarm.kind is shared_load.AlarmKind.LEAVING:
-        return LEAVING_KEPT_S
+        return LEAVING_TTL_S
     return alarm.for_ms / 1000
 
 
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -11,13 +11,13 @@
 """What another hall counts against an instance, as a share of its capacity: a tenth more work
 beside costs a request about as much as the way between halls and the bytes on it. It counts once
 for each usable instance at home beyond the first."""
-HOME_COUNT_LIMIT = 3
+MAX_OTHER_HALL_FACTOR = 3
 """How often it counts at most. A run across halls is lost when either is cut off and
 takes twice as long to move; it buys the least filled of all instances instead of the least filled
 at home, and the more there are at home the nearer those are. With six engines a hall, 4 in 100 runs
 then stand across halls instead of 32, and first tokens come as soon (p95 411 ms in both, simulated
 with the load of a fleet of 32 engines); with one or two a hall nothing changes."""
-SLOW_START_COST = 0.5
+COLD_COST = 0.5
 """What a start that is not over counts against an instance, as a share of its capacity."""
 SILENT_HALL_COST = 2.0
 """What a hall that nothing is heard from counts against its instances: more than any load."""
@@ -27,7 +27,7 @@
 
 
 _DEPARTED = (upstream_gate.BlockReason.LEAVING, upstream_gate.BlockReason.REPLACED)
-_OUT_OF_REACH = (upstream_gate.BlockReason.CUT_OFF, upstream_gate.BlockReason.EVACUATED)
+_UNREACHABLE = (upstream_gate.BlockReason.CUT_OFF, upstream_gate.BlockReason.EVACUATED)
 
 
 class Candidate:
@@ -156,19 +156,19 @@
     :param need_tokens: memory that the request will hold at a model engine.
     :param excluded: runs of instances that it must not go to.
     """
-    bars = [_get_block_reason(service, upstream, view) for upstream in upstreams]
+    reasons = [_get_block_reason(service, upstream, view) for upstream in upstreams]
     untried = [
-        (upstream, bar)
-        for upstream, bar in zip(upstreams, bars, strict=True)
+        (upstream, reason)
+        for upstream, reason in zip(upstreams, reasons, strict=True)
         if upstream.instance.incarnation_id not in excluded
     ]
-    usable = [upstream for upstream, bar in untried if bar is None]
+    usable = [upstream for upstream, reason in untried if reason is None]
     if not usable:
         usable = [
             upstream
-            for upstream, bar in untried
-            if bar is not None
-            and not bar.is_binding
+            for upstream, reason in untried
+            if reason is not None
+            and not reason.is_binding
             and upstream.instance.hall not in view.silent_halls
         ]
     other_hall_cost = _get_other_hall_cost(usable, view.hall)
@@ -180,8 +180,8 @@
     candidates.sort(key=lambda candidate: candidate.cost)
     return Choice(
         candidates,
-        is_cut_off=_is_cut_off(bars),
-        blocked=collections.Counter(bar for _, bar in untried if bar is not None),
+        is_cut_off=_is_cut_off(reasons),
+        blocked=collections.Counter(reason for _, reason in untried if reason is not None),
         retry_after_ms=_get_retry_after_ms(untried, view),
     )
 
@@ -204,20 +204,20 @@
     view: View,
 ) -> int | None:
     waits_ms = [
-        view.gate.get_retry_after_ms(upstream, bar, view.now_s) for upstream, bar in untried
+        view.gate.get_retry_after_ms(upstream, reason, view.now_s) for upstream, reason in untried
     ]
     return min((wait_ms for wait_ms in waits_ms if wait_ms is not None), default=None)
 
 
-def _is_cut_off(bars: Collection[upstream_gate.BlockReason | None]) -> bool:
+def _is_cut_off(reasons: Collection[upstream_gate.BlockReason | None]) -> bool:
     """Tell whether instances are there, but only where nothing may go."""
-    staying = [bar for bar in bars if bar not in _DEPARTED]
-    return bool(staying) and all(bar in _OUT_OF_REACH for bar in staying)
+    staying = [reason for reason in reasons if reason not in _DEPARTED]
+    return bool(staying) and all(reason in _UNREACHABLE for reason in staying)
 
 
 def _get_other_hall_cost(usable: Sequence[upstream_registry.Upstream], hall: str) -> float:
     home_count = sum(upstream.instance.hall == hall for upstream in usable)
-    return OTHER_HALL_COST * min(max(1, home_count - 1), HOME_COUNT_LIMIT)
+    return OTHER_HALL_COST * min(max(1, home_count - 1), MAX_OTHER_HALL_FACTOR)
 
 
 def _get_cost(
@@ -239,5 +239,5 @@
     if instance.hall in view.silent_halls:
         cost += SILENT_HALL_COST
     if upstream.is_cold(view.now_s):
-        cost += SLOW_START_COST
+        cost += COLD_COST
     return cost
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -117,14 +117,14 @@
         return self.limits.get_limit_per_s(upstream.key) is not None
 
     def get_retry_after_ms(
-        self, upstream: upstream_registry.Upstream, bar: BlockReason | None, now_s: float
+        self, upstream: upstream_registry.Upstream, reason: BlockReason | None, now_s: float
     ) -> int | None:
         """Return when a request that an instance may not get should come back.
 
         :returns: None where that is not known.
         """
-        if bar is BlockReason.LIMITED:
+        if reason is BlockReason.LIMITED:
             return self.backoff.get_retry_after_ms(upstream.key, now_s)
-        if bar is BlockReason.RESTING:
-            return upstream.rest.get_left_ms(now_s)
+        if reason is BlockReason.RESTING:
+            return upstream.rest.get_remaining_ms(now_s)
         return None
--- a/src/spoolhead/_internal/policy/upstream_registry.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -11,22 +11,22 @@
 """Attempts in a row without an answer after which an instance is ejected."""
 REPORTERS_TO_EJECT = 2
 """Entries that must have lost a request there before it is ejected: one may itself be cut off."""
-REPORT_S = 1.0
+REPORTER_TTL_S = 1.0
 """Time within which they must have."""
-OWN = ""
+OWN_REPORTER = ""
 """Reporter's name for this entry itself."""
-FIRST_EJECTION_S = 0.5
-LONGEST_EJECTION_S = 4.0
+INITIAL_EJECTION_S = 0.5
+MAX_EJECTION_S = 4.0
 """Ejection time doubles from the first to the longest."""
-LOAD_FRESH_S = 1.0
+LOAD_TTL_S = 1.0
 """Age up to which a load told by an instance counts; it changes within a second or so."""
-ALARM_S = 2.5
+ALARM_TTL_S = 2.5
 """Time for which an alarm counts unless the list confirms it: the list runs up to 0.8 s behind
 and is read each half second."""
-SENT_KEPT = 64
+MAX_SENT_TIMES = 64
 """Requests to one instance whose times are remembered: more than an entry may send to a cold one
 in a second."""
-REPLACED_S = 4.0
+REPLACED_TTL_S = 4.0
 """Time for which an instance gets nothing after another one has answered at its address: about as
 long as the platform lists an instance that is gone."""
 ALARM_COOLDOWN_S = 30.0
@@ -113,7 +113,7 @@
         self._load: dialects.UpstreamLoad | None = None
         self._load_s = 0.0
         self._failures = 0
-        self._ejection_s = FIRST_EJECTION_S
+        self._ejection_s = INITIAL_EJECTION_S
         self._ejected_until_s = 0.0
         self._reporters: dict[str, float] = {}
         self._last_reported_s = -math.inf
@@ -132,12 +132,12 @@
     @property
     def own_tokens(self) -> int:
         """Memory that this entry's requests hold or will hold, in tokens."""
-        return sum(work.tokens for work in self.in_flight.values())
+        return sum(request.tokens for request in self.in_flight.values())
 
     @property
     def own_prefill_tokens(self) -> int:
         """Tokens of this entry's prompts that are still to be read."""
-        return sum(work.prefill_tokens for work in self.in_flight.values())
+        return sum(request.prefill_tokens for request in self.in_flight.values())
 
     @property
     def count(self) -> int:
@@ -147,13 +147,13 @@
     def is_usable(self, now_s: float) -> bool:
         """Tell whether new work may go there."""
         is_open = not self.is_evacuated and not self.may_be_leaving(now_s)
-        is_sound = now_s >= self._ejected_until_s and not self.rest.is_doubtful(now_s)
-        return is_open and not self.is_replaced(now_s) and is_sound
+        is_accepting = now_s >= self._ejected_until_s and not self.rest.is_likely_to_reject(now_s)
+        return is_open and not self.is_replaced(now_s) and is_accepting
 
     @property
     def copy_count(self) -> int:
         """This entry's runs that may go on there from a copy."""
-        return sum(work.is_copy for work in self.in_flight.values())
+        return sum(request.is_copy for request in self.in_flight.values())
 
     def is_cold(self, now_s: float) -> bool:
         """Tell whether it has started a moment ago."""
@@ -169,7 +169,7 @@
         :returns: whether that is news.
         """
         is_new = not self.is_replaced(now_s)
-        self._replaced_until_s = now_s + REPLACED_S
+        self._replaced_until_s = now_s + REPLACED_TTL_S
         return is_new
 
     def record_cold(self, cold_ms: int, now_s: float) -> bool:
@@ -188,7 +188,7 @@
     def record_sent(self, now_s: float) -> None:
         """Take note of a request that is sent to it."""
         if self._sent_s is None:
-            self._sent_s = collections.deque(maxlen=SENT_KEPT)
+            self._sent_s = collections.deque(maxlen=MAX_SENT_TIMES)
         self._sent_s.append(now_s)
         self.rest.record_sent(now_s)
 
@@ -213,11 +213,11 @@
     def is_expected_to_end(self, now_s: float) -> bool:
         """Tell whether it has announced that it leaves, so that its end shows nothing."""
         has_announced = self.instance.is_leaving or self.has_announced_leaving
-        return has_announced or now_s - self._last_reported_s < ALARM_S
+        return has_announced or now_s - self._last_reported_s < ALARM_TTL_S
 
     def is_alarmed(self, now_s: float) -> bool:
         """Tell whether an alarm about it counts."""
-        return now_s - max(self._last_reported_s, self._last_detected_s) < ALARM_S
+        return now_s - max(self._last_reported_s, self._last_detected_s) < ALARM_TTL_S
 
     def raise_alarm(self, now_s: float, kind: shared_load.AlarmKind) -> bool:
         """Raise an alarm.
@@ -227,11 +227,11 @@
         :returns: whether it is a new one; a false one of the same kind before makes this one
             count for nothing.
         """
-        is_said = kind is shared_load.AlarmKind.UNHEALTHY
-        last_s = self._last_reported_s if is_said else self._last_detected_s
-        if now_s - last_s < ALARM_S + ALARM_COOLDOWN_S:
+        is_own_report = kind is shared_load.AlarmKind.UNHEALTHY
+        last_s = self._last_reported_s if is_own_report else self._last_detected_s
+        if now_s - last_s < ALARM_TTL_S + ALARM_COOLDOWN_S:
             return False
-        if is_said:
+        if is_own_report:
             self._last_reported_s = now_s
         else:
             self._last_detected_s = now_s
@@ -245,14 +245,14 @@
 
     def get_reported_count(self, now_s: float) -> int:
         """Return the requests there by its own word, or 0 if that word is old."""
-        if self._load is None or now_s - self._load_s > LOAD_FRESH_S:
+        if self._load is None or now_s - self._load_s > LOAD_TTL_S:
             return 0
         return self._load.running + self._load.waiting
 
     def record_answer(self) -> None:
         """Take note that it answers."""
         self._failures = 0
-        self._ejection_s = FIRST_EJECTION_S
+        self._ejection_s = INITIAL_EJECTION_S
 
     def record_failure(self, now_s: float, *, is_unreachable: bool = False) -> bool:
         """Take note of an attempt without an answer; True if it is ejected from now on.
@@ -260,7 +260,7 @@
         :param is_unreachable: no connection was made, which one request finds out for all.
         """
         self._failures += 1
-        self._reporters[OWN] = now_s
+        self._reporters[OWN_REPORTER] = now_s
         if self._failures < FAILURES_TO_EJECT and not is_unreachable:
             return self._eject_if_reported(now_s)
         self._eject(now_s)
@@ -273,7 +273,7 @@
 
     def _eject_if_reported(self, now_s: float) -> bool:
         for reporter, heard_s in list(self._reporters.items()):
-            if now_s - heard_s > REPORT_S:
+            if now_s - heard_s > REPORTER_TTL_S:
                 del self._reporters[reporter]
         if len(self._reporters) < REPORTERS_TO_EJECT or now_s < self._ejected_until_s:
             return False
@@ -283,7 +283,7 @@
     def _eject(self, now_s: float) -> None:
         self._reporters.clear()
         self._ejected_until_s = now_s + self._ejection_s
-        self._ejection_s = min(self._ejection_s * 2, LONGEST_EJECTION_S)
+        self._ejection_s = min(self._ejection_s * 2, MAX_EJECTION_S)
 
 
 class UpstreamRegistry:
@@ -326,15 +326,15 @@
         leaving: list[Upstream] = []
         for instance in listed:
             if self._starts.record(instance):
-                self._take_listed(instance, before, leaving, now_s)
+                self._update_listed(instance, before, leaving, now_s)
             else:
                 self._keep_current(instance, before)
         self._by_key = {item.key: item for item in self._upstreams.values()}
-        self._starts.forget_oldest(len(self._upstreams))
+        self._starts.evict_oldest(len(self._upstreams))
         for upstream in before.values():
             upstream.is_leaving = True
             upstream.is_gone = True
-            if self._starts.is_former(upstream.instance):
+            if self._starts.is_previous(upstream.instance):
                 upstream.has_restarted = True
             if upstream.in_flight:
                 leaving.append(upstream)
@@ -351,7 +351,7 @@
             upstream.is_evacuated = upstream.instance.hall in halls
         return [item for item in self._upstreams.values() if item.instance.hall in reopened]
 
-    def _take_listed(
+    def _update_listed(
         self,
         instance: instances.Instance,
         before: dict[str, Upstream],
@@ -377,8 +377,8 @@
             leaving.append(upstream)
         self._upstreams[instance.incarnation_id] = upstream
 
-    def _keep_current(self, former: instances.Instance, before: dict[str, Upstream]) -> None:
-        incarnation_id = self._starts.get_current_incarnation_id(former)
+    def _keep_current(self, previous: instances.Instance, before: dict[str, Upstream]) -> None:
+        incarnation_id = self._starts.get_current_incarnation_id(previous)
         upstream = before.pop(incarnation_id, None)
         if upstream is not None:
             self._upstreams[incarnation_id] = upstream
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/watch_duty.py
@@ -40,7 +40,7 @@
             incarnation_id = instance.incarnation_id
             duty = known.get(incarnation_id)
             if duty is None:
-                duty = is_on_duty(self._own_name, watchers, instance)
+                duty = is_watcher(self._own_name, watchers, instance)
             self._duties[incarnation_id] = duty
 
     def has(self, instance: instances.Instance) -> bool:
@@ -48,7 +48,7 @@
         return self._duties.get(instance.incarnation_id, False)
 
 
-def is_on_duty(
+def is_watcher(
     own_name: str, watchers: Sequence[fleet.Process], instance: instances.Instance
 ) -> bool:
     """Tell whether an entry is the one that watches an instance.
@@ -56,11 +56,11 @@
     :param own_name: name of the entry.
     :param watchers: all entries that are alive, this one among them.
     """
-    near = [watcher for watcher in watchers if watcher.hall == instance.hall]
-    chosen = max(near or watchers, key=lambda watcher: _get_weight_of(watcher, instance))
+    same_hall = [watcher for watcher in watchers if watcher.hall == instance.hall]
+    chosen = max(same_hall or watchers, key=lambda watcher: _get_weight(watcher, instance))
     return chosen.name == own_name
 
 
-def _get_weight_of(watcher: fleet.Process, instance: instances.Instance) -> int:
+def _get_weight(watcher: fleet.Process, instance: instances.Instance) -> int:
     key = f"{watcher.name}/{instance.incarnation_id}"
     return xxhash.xxh3_64(key.encode()).intdigest()
--- a/src/spoolhead/_internal/routing/matcher.py
+++ b/src/spoolhead/_internal/routing/matcher.py
@@ -11,23 +11,23 @@
     """Routes of one host.
 
     :ivar by_prefix: each route by its prefix.
-    :ivar longest: length of the longest prefix.
+    :ivar max_prefix_length: length of the longest prefix.
     """
 
-    __slots__ = ("by_prefix", "longest")
+    __slots__ = ("by_prefix", "max_prefix_length")
 
     def __init__(self) -> None:
         self.by_prefix: dict[str, route_table.Route] = {}
-        self.longest = 0
+        self.max_prefix_length = 0
 
     def add(self, route: route_table.Route) -> None:
         self.by_prefix[route.path_prefix] = route
-        self.longest = max(self.longest, len(route.path_prefix))
+        self.max_prefix_length = max(self.max_prefix_length, len(route.path_prefix))
 
     def find(self, path: str) -> route_table.Route | None:
         # Prefixes end with a slash, so each place of one in the path is looked up, the last
         # first; a look-up costs the same with ten routes as with thousands.
-        end = path.rfind("/", 0, self.longest)
+        end = path.rfind("/", 0, self.max_prefix_length)
         while end >= 0:
             route = self.by_prefix.get(path[: end + 1])
             if route is not None:
--- a/src/spoolhead/_internal/routing/table_checks.py
+++ b/src/spoolhead/_internal/routing/table_checks.py
@@ -26,18 +26,18 @@
 
 def _check_route(route: route_table.Route, services: set[str]) -> list[fault.Fault]:
     faults: list[fault.Fault] = []
-    place = f"routes.{route.name}"
+    path = f"routes.{route.name}"
     for share in route.shares:
         if share.service not in services:
-            faults.append(_make_fault(place, f"names the unknown service {share.service}"))
+            faults.append(_make_fault(path, f"names the unknown service {share.service}"))
         if share.weight < 0:
-            faults.append(_make_fault(place, f"has the weight {share.weight}"))
+            faults.append(_make_fault(path, f"has the weight {share.weight}"))
     if sum(share.weight for share in route.shares) <= 0:
-        faults.append(_make_fault(place, "its weights add up to 0"))
+        faults.append(_make_fault(path, "its weights add up to 0"))
     if route.timeout_ms <= 0:
-        faults.append(_make_fault(place, "its time limit must be above 0"))
+        faults.append(_make_fault(path, "its time limit must be above 0"))
     if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
-        faults.append(_make_fault(place, "its path prefix must begin and end with a slash"))
+        faults.append(_make_fault(path, "its path prefix must begin and end with a slash"))
     return faults
 
 
@@ -53,5 +53,5 @@
     return faults
 
 
-def _make_fault(place: str, text: str) -> fault.Fault:
-    return fault.Fault(codes.ResultCode.EDIT_INVALID, text, path=place)
+def _make_fault(path: str, text: str) -> fault.Fault:
+    return fault.Fault(codes.ResultCode.EDIT_INVALID, text, path=path)
--- a/tests/patterns/test_hall_cut.py
+++ b/tests/patterns/test_hall_cut.py
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize("fleet", [LARGE, SMALL], ids=["large", "small"])
 def test_first_tokens_come_as_soon_as_when_halls_are_nearly_one(fleet, monkeypatch):
     now = _play(*fleet)
-    monkeypatch.setattr(upstream_choice, "HOME_COUNT_LIMIT", 1)
+    monkeypatch.setattr(upstream_choice, "MAX_OTHER_HALL_FACTOR", 1)
     nearly_one = _play(*fleet)
     assert now.get_first_ms(0.95) < 1.1 * nearly_one.get_first_ms(0.95)
     assert now.get_fill(0.99) < 0.8
--- a/tests/patterns/test_limited_instance.py
+++ b/tests/patterns/test_limited_instance.py
@@ -12,14 +12,14 @@
 from lib import limit_fleet
 
 SIZES = [(8, 3), (24, 3), (65, 4), (350, 15)]
-USED_PART = 0.8
+USED_FRACTION = 0.8
 PLAY_S = 8.0
 
 
 def _check(fleet, name, bound_s, limit_per_s, *, for_s=PLAY_S):
     times_s = fleet.upstreams[name].get_times_s(bound_s)
     assert limit_fleet.get_most(times_s) <= max(limit_fleet.get_allowed(limit_per_s) - 5, 3)
-    assert len(times_s) >= USED_PART * limit_per_s * for_s
+    assert len(times_s) >= USED_FRACTION * limit_per_s * for_s
 
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -35,8 +35,8 @@
     for _ in range(alarm_broadcast.SEND_COUNT):
         assert broadcast.pop_batch(0.0)
     assert not broadcast.has_pending
-    steps = range(1, round(until_s / repeats.REPEAT_PAUSE_S) + 1)
-    times_s = [number * repeats.REPEAT_PAUSE_S for number in steps]
+    steps = range(1, round(until_s / repeats.REPEAT_INTERVAL_S) + 1)
+    times_s = [number * repeats.REPEAT_INTERVAL_S for number in steps]
     return [(now_s, alarm.for_ms) for now_s in times_s for alarm in broadcast.pop_batch(now_s)]
 
 
@@ -49,7 +49,7 @@
 def test_it_is_repeated_for_some_seconds_and_no_longer():
     broadcast = _make(_make_alarm(KINDS.LEAVING))
     times_s = [now_s for now_s, _ in _get_later(broadcast, 10.0)]
-    assert (times_s[0], times_s[-1]) == (repeats.REPEAT_PAUSE_S, repeats.REPEATED_FOR_S)
+    assert (times_s[0], times_s[-1]) == (repeats.REPEAT_INTERVAL_S, repeats.REPEAT_DURATION_S)
 
 
 def test_an_alarm_that_does_not_hold_for_a_time_is_not_repeated():
@@ -57,7 +57,7 @@
 
 
 def test_a_datagram_repeats_so_many_and_the_others_follow():
-    count = 3 * alarm_broadcast.REPEATED_AT_ONCE
+    count = 3 * alarm_broadcast.MAX_REPEATS_PER_DATAGRAM
     broadcast = _make(
         *(
             _make_alarm(KINDS.LEAVING, incarnation_id=f"i-{number}", sequence=number)
@@ -67,7 +67,7 @@
     for _ in range(alarm_broadcast.SEND_COUNT):
         broadcast.pop_batch(0.0)
     parts = [broadcast.pop_batch(1.0) for _ in range(3)]
-    assert [len(part) for part in parts] == [alarm_broadcast.REPEATED_AT_ONCE] * 3
+    assert [len(part) for part in parts] == [alarm_broadcast.MAX_REPEATS_PER_DATAGRAM] * 3
     assert len({alarm.incarnation_id for part in parts for alarm in part}) == count
 
 
@@ -76,7 +76,7 @@
     items.add(["later"], 0.0)
     items.add_due(["now"], 0.1)
     assert items.pop_due(9, 0.1) == ["now"]
-    assert items.pop_due(9, 0.1 + repeats.REPEAT_PAUSE_S) == ["later", "now"]
+    assert items.pop_due(9, 0.1 + repeats.REPEAT_INTERVAL_S) == ["later", "now"]
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -14,7 +14,7 @@
 LOOK_S = 0.002
 RUNS_ALLOWED = 3
 """Runs later than three seconds after the third end that are still borne."""
-SOUND_AGAIN_S = quarantine.TRIAL_AFTER_S + quarantine.CLAIM_S + content_fleet.CONTACT_S
+SOUND_AGAIN_S = quarantine.TRIAL_DELAY_S + quarantine.CLAIM_S + content_fleet.CONTACT_S
 """Time after which a sound request that was held by mistake, and comes again, is served."""
 
 
@@ -220,7 +220,7 @@
         if record is not None and record.trials:
             return
         fleet = self.fleet
-        fleet.run(quarantine.TRIAL_AFTER_S)
+        fleet.run(quarantine.TRIAL_DELAY_S)
         began_s = fleet.clock.now_s
         fleet.send(0, content, lasting_s=0.1)
         fleet.run(quarantine.CLAIM_S + content_fleet.CONTACT_S)
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -162,7 +162,7 @@
     kind = shared_load.AlarmKind.UNHEALTHY
     assert setting.exchange.upstream.raise_alarm(clocks.get_s(), kind)
     setting.exchange.on_instances_changed()
-    monkeypatch.setattr(upstream_registry, "ALARM_S", 0.0)
+    monkeypatch.setattr(upstream_registry, "ALARM_TTL_S", 0.0)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     assert not first.is_over
     assert len(_get_releases(setting)) == 1
--- a/tests/unit/test_hall_reach.py
+++ b/tests/unit/test_hall_reach.py
@@ -7,8 +7,8 @@
 from spoolhead._internal.network import links
 from spoolhead._internal.policy import hall_reach, upstream_registry
 
-SUSPECT_S = hall_reach.SUSPECT_S
-SILENT_SUSPECT_S = hall_reach.SILENT_SUSPECT_S
+BACKOFF_S = hall_reach.BACKOFF_S
+SILENT_HALL_BACKOFF_S = hall_reach.SILENT_HALL_BACKOFF_S
 
 
 def _make():
@@ -34,10 +34,10 @@
 def test_the_way_is_tried_again_sooner_if_the_halls_entries_are_heard():
     reach = _make()
     reach.record_timeout("hall-b", 10.0)
-    soon_s = 10.0 + SUSPECT_S + 0.1
+    soon_s = 10.0 + BACKOFF_S + 0.1
     assert not reach.get_cut_off_halls((), soon_s)
     assert reach.get_cut_off_halls({"hall-b"}, soon_s) == {"hall-b"}
-    assert not reach.get_cut_off_halls({"hall-b"}, 10.0 + SILENT_SUSPECT_S + 0.1)
+    assert not reach.get_cut_off_halls({"hall-b"}, 10.0 + SILENT_HALL_BACKOFF_S + 0.1)
 
 
 def test_the_own_hall_is_never_cut_off():
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -127,7 +127,7 @@
     expected = 0
     for other in names:
         watchers = [fleet.Process(name=n, hall="hall-a", address="") for n in ("entry-1", other)]
-        expected += watch_duty.is_on_duty("entry-1", watchers, instance)
+        expected += watch_duty.is_watcher("entry-1", watchers, instance)
     assert asked == expected
 
 
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -147,7 +147,7 @@
 def test_a_trial_of_a_held_request_runs_though_it_is_held_and_clears_it():
     entry = Entry()
     request = fakes.make_request(kind="plain", stream=False)
-    content_id = entry.hold(request, since_s=quarantine.TRIAL_AFTER_S)
+    content_id = entry.hold(request, since_s=quarantine.TRIAL_DELAY_S)
     caller = entry.submit(request)
     again = entry.submit(fakes.make_request(kind="plain", stream=False))
     assert not entry.calls.attempts
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -130,7 +130,7 @@
     """Alone there, what is always answered so is let go; a failure may have come before the run."""
     contents = _make_contents(clock)
     _end(contents, clock, _get_content_id(), 1, 2)
-    clock.now_s += quarantine.TRIAL_AFTER_S
+    clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
     setting.timers.run_due(quarantine.CLAIM_S)
     setting.last.answer(status, SIGNED, gateway_setting.make_events(1, 3))
@@ -146,7 +146,7 @@
 def test_a_held_request_that_still_comes_after_a_minute_runs_once_by_itself(clock):
     contents = _make_contents(clock)
     _end(contents, clock, _get_content_id(), 1, 2)
-    clock.now_s += quarantine.TRIAL_AFTER_S
+    clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
     assert not setting.calls.attempts
     setting.timers.run_due(quarantine.CLAIM_S)
@@ -162,7 +162,7 @@
 def test_a_caller_that_leaves_before_its_trial_has_it_not_run(clock):
     contents = _make_contents(clock)
     _end(contents, clock, _get_content_id(), 1, 2)
-    clock.now_s += quarantine.TRIAL_AFTER_S
+    clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
     setting.caller.on_gone()
     setting.timers.run_due(quarantine.CLAIM_S)
@@ -288,7 +288,7 @@
 
 def test_silence_leaves_it_open_and_it_may_be_asked_again(clock):
     asking = ContentSource(clock)
-    asking.timers.run_due(end_watch.ANSWER_S)
+    asking.timers.run_due(end_watch.ANSWER_TIMEOUT_S)
     assert asking.calls.made[0].is_over
     assert not asking.is_suspect
     asking.ask()
@@ -392,7 +392,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
     setting.caller.on_gone()
-    clock.now_s += lost_runs.ABANDONED_S + 0.1
+    clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
     contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
@@ -467,7 +467,7 @@
     _make_news(leaving).drain(leaving.registry.get("i-1"))
     assert not leaving.asked
     former = _abandon(_make_contents(clock))
-    clock.now_s += lost_runs.ABANDONED_S + 0.1
+    clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
     _make_news(former).drain(former.registry.get("i-1"))
     assert not former.asked
 
@@ -491,7 +491,7 @@
 def test_of_requests_abandoned_at_one_instance_only_the_late_ones_count(clock):
     contents = _make_contents(clock)
     contents.record_abandoned("i-1", b"early", clock.now_s - 0.1)
-    clock.now_s += lost_runs.ABANDONED_S
+    clock.now_s += lost_runs.ABANDONED_TTL_S
     contents.record_abandoned("i-1", b"late", clock.now_s - 0.1)
     clock.now_s += 0.1
     contents.record_ended("i-1", "Connection refused")
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -90,25 +90,25 @@
 def test_after_a_rest_one_request_goes_first():
     rest = requested_rest.RequestedRest()
     rest.record(2_000, 0.0)
-    assert not rest.is_doubtful(2.1)
+    assert not rest.is_likely_to_reject(2.1)
     rest.record_sent(2.1)
-    assert rest.is_doubtful(2.2)
+    assert rest.is_likely_to_reject(2.2)
     rest.record_taken()
-    assert not rest.is_doubtful(2.3)
+    assert not rest.is_likely_to_reject(2.3)
 
 
 def test_a_first_request_that_is_lost_does_not_hold_the_others_back_for_long():
     rest = requested_rest.RequestedRest()
     rest.record(2_000, 0.0)
     rest.record_sent(2.1)
-    assert not rest.is_doubtful(2.2 + requested_rest.TRIAL_S)
+    assert not rest.is_likely_to_reject(2.2 + requested_rest.TRIAL_TIMEOUT_S)
 
 
 def test_the_longest_of_several_rests_counts_up_to_a_bound():
     rest = requested_rest.RequestedRest()
     assert rest.record(2_000, 0.0)
     assert not rest.record(500, 1.0)
-    assert rest.get_left_ms(1.0) == 1_000
+    assert rest.get_remaining_ms(1.0) == 1_000
     rest.record(10**12, 1.0)
     assert rest.is_resting(60.9)
     assert not rest.is_resting(61.1)
@@ -117,13 +117,13 @@
 def test_two_others_that_were_asked_make_an_instance_doubtful_until_their_rests_are_over():
     rest = requested_rest.RequestedRest()
     rest.record_report("e-2", 2_000, 0.0)
-    assert not rest.is_doubtful(0.1)
+    assert not rest.is_likely_to_reject(0.1)
     rest.record_report("e-2", 2_000, 0.1)
-    assert not rest.is_doubtful(0.2)
+    assert not rest.is_likely_to_reject(0.2)
     rest.record_report("e-3", 1_000, 0.2)
-    assert rest.is_doubtful(1.1)
+    assert rest.is_likely_to_reject(1.1)
     assert not rest.is_resting(1.1)
-    assert not rest.is_doubtful(1.3)
+    assert not rest.is_likely_to_reject(1.3)
 
 
 def test_a_word_of_another_instance_at_the_address_is_none_of_this_one():
@@ -240,7 +240,7 @@
     fleet.run(1.0)
     upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
-    assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(
+    assert upstream.rest.get_remaining_ms(fleet.clock()) == pytest.approx(
         (until_s - fleet.clock()) * 1000, abs=50
     )
     fleet.run(2.0)
@@ -255,9 +255,9 @@
     upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
     assert not upstream.rest.is_resting(fleet.clock())
-    assert upstream.rest.is_doubtful(fleet.clock())
+    assert upstream.rest.is_likely_to_reject(fleet.clock())
     fleet.run(2.0)
-    assert not upstream.rest.is_doubtful(fleet.clock())
+    assert not upstream.rest.is_likely_to_reject(fleet.clock())
 
 
 def test_an_entrys_own_word_that_comes_back_is_no_news():
@@ -265,9 +265,9 @@
     fleet, name = _make_fleet()
     _say(fleet, 0, name, 503, **REST)
     upstream = fleet.entries[0].registry.get(name)
-    left_ms = upstream.rest.get_left_ms(fleet.clock())
+    left_ms = upstream.rest.get_remaining_ms(fleet.clock())
     fleet.run(0.5)
-    assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(left_ms - 500, abs=1)
+    assert upstream.rest.get_remaining_ms(fleet.clock()) == pytest.approx(left_ms - 500, abs=1)
     assert not upstream.rest.has_reports(fleet.clock())
 
 
@@ -294,17 +294,17 @@
     for _ in range(6):
         rest.record_rejection(now_s)
         began_s = now_s
-        while rest.is_doubtful(now_s):
+        while rest.is_likely_to_reject(now_s):
             now_s += 0.01
         backoffs_s.append(round(now_s - began_s, 1))
     assert backoffs_s == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
     rest.record_taken()
     rest.record_rejection(now_s)
-    assert not rest.is_doubtful(now_s + requested_rest.FIRST_BACKOFF_S + 0.01)
+    assert not rest.is_likely_to_reject(now_s + requested_rest.INITIAL_BACKOFF_S + 0.01)
 
 
 def test_rejections_of_one_moment_count_once():
     rest = requested_rest.RequestedRest()
     for _ in range(9):
         rest.record_rejection(0.0)
-    assert not rest.is_doubtful(requested_rest.FIRST_BACKOFF_S + 0.01)
+    assert not rest.is_likely_to_reject(requested_rest.INITIAL_BACKOFF_S + 0.01)
--- a/tests/unit/test_limit_broadcast.py
+++ b/tests/unit/test_limit_broadcast.py
@@ -33,9 +33,9 @@
     assert sent_s[: limit_broadcast.SEND_COUNT] == [0.0, 0.1]
     later_s = sent_s[limit_broadcast.SEND_COUNT :]
     pauses_s = [after - before for before, after in zip(later_s, later_s[1:], strict=False)]
-    assert all(pause_s <= repeats.REPEAT_PAUSE_S + STEP_S for pause_s in pauses_s)
-    last_s = repeats.REPEATED_FOR_S
-    assert last_s - repeats.REPEAT_PAUSE_S - STEP_S <= later_s[-1] <= last_s
+    assert all(pause_s <= repeats.REPEAT_INTERVAL_S + STEP_S for pause_s in pauses_s)
+    last_s = repeats.REPEAT_DURATION_S
+    assert last_s - repeats.REPEAT_INTERVAL_S - STEP_S <= later_s[-1] <= last_s
 
 
 def test_what_is_repeated_is_the_newest_statement():
@@ -45,14 +45,14 @@
     broadcast.add([0], 1.0)
     sent = _get_sent(broadcast, 1.0, 8.0)
     assert {limit for part in sent.values() for limit in part} == {(0, None)}
-    assert max(sent) > repeats.REPEATED_FOR_S
+    assert max(sent) > repeats.REPEAT_DURATION_S
 
 
 def test_a_datagram_carries_so_many_and_the_others_follow():
-    count = 3 * limit_broadcast.LIMITS_AT_ONCE
+    count = 3 * limit_broadcast.MAX_LIMITS_PER_DATAGRAM
     _, broadcast = _make(count)
     sent = _get_sent(broadcast, 0.0, 3.0)
-    assert max(len(part) for part in sent.values()) <= limit_broadcast.LIMITS_AT_ONCE
+    assert max(len(part) for part in sent.values()) <= limit_broadcast.MAX_LIMITS_PER_DATAGRAM
     first_s = (limit_broadcast.SEND_COUNT * 3) * STEP_S
     later = [key for sent_s, part in sent.items() if sent_s >= first_s for key, _ in part]
     assert set(later) == set(range(count))
@@ -63,7 +63,7 @@
     _get_sent(broadcast, 0.0, 0.2)
     assert not broadcast.has_new
     assert not broadcast.has_pending
-    assert broadcast.pop_batch(repeats.REPEAT_PAUSE_S)
+    assert broadcast.pop_batch(repeats.REPEAT_INTERVAL_S)
 
 
 def test_nothing_is_repeated_once_nobody_is_there():
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -58,18 +58,18 @@
     registry = limit_registry.LimitRegistry()
     registry.record(KEY, 2.0, 1.0)
     assert not registry.record(KEY, 2.0, 1.1)
-    assert registry.record(KEY, 2.0, 1.1 + limit_registry.RESTATED_S)
+    assert registry.record(KEY, 2.0, 1.1 + limit_registry.RENEWAL_AGE_S)
 
 
 def test_old_statements_are_forgotten():
     registry = limit_registry.LimitRegistry()
     registry.record(1, 2.0, 0.0)
     registry.record(2, None, 1.0)
-    registry.expire(limit_registry.KEPT_S - 0.1)
+    registry.expire(limit_registry.RETENTION_S - 0.1)
     assert len(registry) == 2
-    registry.expire(limit_registry.KEPT_S + 0.1)
+    registry.expire(limit_registry.RETENTION_S + 0.1)
     assert (registry.get(1), len(registry)) == (None, 1)
-    registry.expire(limit_registry.KEPT_S + 1.1)
+    registry.expire(limit_registry.RETENTION_S + 1.1)
     assert len(registry) == 0
 
 
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -91,7 +91,7 @@
     made.run(FORGOTTEN_S)
     assert made.is_agreed()
     made.hubs[0].is_up = True
-    made.run(hub_choice.LONGEST_REST_S + 3.0)
+    made.run(hub_choice.MAX_BACKOFF_S + 3.0)
     present = {entry.sharing._choice.current for entry in made.entries}
     assert made.hubs[0].address in present
     assert made.is_agreed()
@@ -229,7 +229,7 @@
     made = _make()
     for hub in made.hubs:
         hub.is_up = False
-    made.run(load_view.SILENCE_S + 0.1)
+    made.run(load_view.HALL_SILENCE_S + 0.1)
     assert not any(entry.sharing.get_silent_halls() for entry in made.entries)
 
 
@@ -266,4 +266,4 @@
     assert texts.count("hall is silent") == texts.count("hall is heard again")
     assert texts.count("hall is silent") == outside + 2 * inside
     silent = next(record for record in caplog.records if record.message == "hall is silent")
-    assert silent.fields["age_ms"] >= load_view.SILENCE_S * 1000
+    assert silent.fields["age_ms"] >= load_view.HALL_SILENCE_S * 1000
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -103,7 +103,7 @@
     _take(hub, sender="e2", tokens=20)
     _take(hub, sender="e1", sequence=2, is_reporter=False)
     assert _tokens(hub) == 20
-    hub.forget_silent(load_hub.REPORTER_EXPIRY_S + 0.1)
+    hub.expire_silent(load_hub.REPORTER_EXPIRY_S + 0.1)
     assert _tokens(hub) == 0
     assert hub.is_idle
 
@@ -117,7 +117,7 @@
     here.handle_totals(new, ADDRESS, 0.0)
     here.handle_totals(old, ADDRESS, 0.0)
     assert _tokens(here) == 30
-    here.forget_silent(load_hub.HUB_EXPIRY_S + 0.1)
+    here.expire_silent(load_hub.HUB_EXPIRY_S + 0.1)
     assert _tokens(here) == 0
 
 
@@ -193,7 +193,7 @@
     left = (shared_load.AlarmKind.LEAVING, 0)
     assert _get_told(hub, 0.5) == [(shared_load.AlarmKind.RESTING, 1_500), left]
     assert _get_told(hub, 2.0) == [left]
-    assert _get_told(hub, standing_alarms.LEAVING_KEPT_S) == []
+    assert _get_told(hub, standing_alarms.LEAVING_TTL_S) == []
 
 
 def test_it_gets_them_from_a_hub_that_was_told_by_another_one():
@@ -201,7 +201,7 @@
     resting = shared_load.AlarmKind.RESTING
     _take(there, alarms=[_make_alarm(resting, for_ms=2_000)])
     here.handle_totals(there.make_totals(0.0), ADDRESS, 0.0)
-    here.become_idle(0.5)
+    here.discard_pending(0.5)
     assert _get_told(here, 0.5) == [(resting, 1_500)]
 
 
@@ -236,11 +236,11 @@
     hub = load_hub.LoadHub("k1", 1)
     leaving = _make_alarm(shared_load.AlarmKind.LEAVING)
     _take(hub, alarms=[leaving])
-    later_s = load_hub.ALARM_REMEMBERED_S + 1.0
+    later_s = load_hub.SEEN_ALARM_TTL_S + 1.0
     for step in range(round(later_s * 10)):
-        hub.forget_silent(step / 10)
+        hub.expire_silent(step / 10)
         hub.make_update(step / 10)
-    hub.forget_silent(later_s)
+    hub.expire_silent(later_s)
     _take(hub, now_s=later_s, sequence=2, alarms=[leaving])
     assert not hub.make_update(later_s).alarms
 
@@ -263,7 +263,7 @@
         )
         _take(hub, sequence=number, alarms=[alarm])
     told = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
-    assert told == [f"i-{number}" for number in range(200 - standing_alarms.MOST_KEPT, 200)]
+    assert told == [f"i-{number}" for number in range(200 - standing_alarms.MAX_ALARMS, 200)]
 
 
 def test_a_reporter_restarted_with_its_clock_set_back_is_taken_at_once():
@@ -298,7 +298,11 @@
     told = []
     while rows.has_changes:
         part = rows.pop_batch()
-        assert len(part) <= changed_rows.CHANGED_ROWS + changed_rows.REPEATED_ROWS
+        assert (
+            len(part)
+            <= changed_rows.MAX_CHANGED_ROWS_PER_DATAGRAM
+            + changed_rows.MAX_REPEATED_ROWS_PER_DATAGRAM
+        )
         told += part
     assert set(told) == set(range(100))
     again = set()
@@ -315,7 +319,7 @@
     rows.add(1, held, -1)
     told = [rows.pop_batch() for _ in range(6)]
     assert told[0] == {1: shared_load.InstanceLoad()}
-    assert not any(told[changed_rows.LAST_ROUNDS + 1 :])
+    assert not any(told[changed_rows.EMPTY_ROW_SEND_COUNT + 1 :])
     assert not rows.get_all()
 
 
@@ -392,9 +396,9 @@
     side.report()
     _take(side.hub, sender="other", tokens=100)
     side.view.handle_update(side.update(), 0.0)
-    side.view.rebuild(load_view.EXPIRY_S - 0.1)
+    side.view.rebuild(load_view.UPDATE_TTL_S - 0.1)
     assert side.upstream.tokens == 100
-    side.view.rebuild(load_view.EXPIRY_S + 0.1)
+    side.view.rebuild(load_view.UPDATE_TTL_S + 0.1)
     assert side.upstream.tokens == 0
 
 
@@ -439,18 +443,18 @@
 
 def test_a_silent_hub_is_replaced_once_another_answers_and_tried_again_later():
     choice = _make_choice()
-    silent_s = 0.01 + hub_choice.SILENCE_S + 0.01
+    silent_s = 0.01 + hub_choice.HUB_TIMEOUT_S + 0.01
     assert choice.choose(silent_s)
     assert (choice.current, choice.probing) == (None, FAR)
     assert choice.record_update(FAR, silent_s) is hub_choice.UpdateSource.NEW
     assert not choice.choose(silent_s + 0.1)
-    later_s = silent_s + hub_choice.FIRST_REST_S
+    later_s = silent_s + hub_choice.INITIAL_BACKOFF_S
     choice.record_update(FAR, later_s)
     assert choice.choose(later_s)
     # The present one stays until the other answers.
     assert (choice.current, choice.probing) == (FAR, NEAR)
-    choice.record_update(FAR, later_s + hub_choice.TRY_S)
-    assert not choice.choose(later_s + hub_choice.TRY_S + 0.01)
+    choice.record_update(FAR, later_s + hub_choice.PROBE_TIMEOUT_S)
+    assert not choice.choose(later_s + hub_choice.PROBE_TIMEOUT_S + 0.01)
     assert (choice.current, choice.probing) == (FAR, None)
 
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -123,7 +123,7 @@
     _, granter = _make_granter()
     for number in range(240):
         (item,) = granter.handle_request(_make_permit_request(number, sender=f"e-{number}"), 0.0)
-    assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.ASKS_PER_S
+    assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.MIN_REQUESTS_PER_S
 
 
 def test_what_waits_goes_once_the_limit_is_lifted():
@@ -136,8 +136,8 @@
 def test_idle_buckets_are_forgotten():
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1), 0.0)
-    granter.expire(permit_granter.IDLE_KEPT_S + 1)
-    assert granter._shares == {}
+    granter.expire(permit_granter.IDLE_TTL_S + 1)
+    assert granter._instances == {}
 
 
 def test_more_urgent_requests_ask_during_a_backoff_and_other_workspaces_soon():
@@ -168,7 +168,7 @@
         ONCE, names=("i-1",), limits_per_s={"i-1": 100.0}, knows_fleet=False
     )
     setting.timers.run_due(0.0)
-    (ask,) = setting.permits._granter._shares[setting.registry.get("i-1").key].waiting
+    (ask,) = setting.permits._granter._instances[setting.registry.get("i-1").key].waiting
     assert ask.request.sender == "entry-1"
 
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -97,10 +97,10 @@
 def test_a_held_content_is_run_once_more_by_itself():
     made = _make()
     _hold(made)
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S - 0.1) is Verdict.REFUSE
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.CLAIM
-    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S) is Verdict.REFUSE
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S - 0.1) is Verdict.REFUSE
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.CLAIM
+    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
+    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.REFUSE
     assert made.may_run_trial(DEADLY)
     assert not made.may_run_trial(DEADLY)
 
@@ -109,7 +109,7 @@
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
     _tell(one, other, NOW_S)
-    later_s = NOW_S + quarantine.TRIAL_AFTER_S + 1.0
+    later_s = NOW_S + quarantine.TRIAL_DELAY_S + 1.0
     one.claim_trial(DEADLY, later_s)
     other.claim_trial(DEADLY, later_s)
     _tell(one, other, later_s + 0.1)
@@ -120,7 +120,7 @@
 def test_a_trial_that_ends_an_instance_is_the_last():
     made = _make()
     _hold(made)
-    later_s = NOW_S + quarantine.TRIAL_AFTER_S
+    later_s = NOW_S + quarantine.TRIAL_DELAY_S
     made.claim_trial(DEADLY, later_s)
     assert made.may_run_trial(DEADLY)
     made.record_end(DEADLY, 3, later_s + 0.5, later_s + 1.0)
@@ -130,7 +130,7 @@
 def test_a_former_trial_says_nothing_of_a_content_that_was_let_go():
     made = _make()
     _hold(made)
-    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_AFTER_S)
+    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
     assert made.may_run_trial(DEADLY)
     _order(made, is_held=False)
     made.record_end(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
@@ -141,8 +141,8 @@
     made = _make()
     _hold(made)
     at_s = NOW_S
-    for _ in range(quarantine.MOST_TRIALS):
-        at_s += quarantine.TRIAL_AFTER_S
+    for _ in range(quarantine.MAX_TRIALS):
+        at_s += quarantine.TRIAL_DELAY_S
         assert made.evaluate(DEADLY, at_s) is Verdict.CLAIM
         made.claim_trial(DEADLY, at_s)
     assert made.evaluate(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
@@ -166,18 +166,18 @@
 def test_memory_is_bounded_and_what_is_held_stays():
     made = _make()
     _hold(made)
-    for number in range(3 * content_registry.MOST_RECORDS):
+    for number in range(3 * content_registry.MAX_RECORDS):
         made.record_end(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
-    assert len(made.registry) == content_registry.MOST_RECORDS
+    assert len(made.registry) == content_registry.MAX_RECORDS
     assert made.is_held(DEADLY)
-    assert len(made._learnt_s) <= 2 * content_registry.MOST_RECORDS + 1
+    assert len(made._crash_recorded_s) <= 2 * content_registry.MAX_RECORDS + 1
 
 
 def test_what_is_old_is_forgotten_and_not_given_back():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
     _tell(one, other, NOW_S)
-    late_s = NOW_S + content_registry.KEPT_S - content_registry.MARGIN_S / 2
+    late_s = NOW_S + content_registry.RETENTION_S - content_registry.EXPIRY_MARGIN_S / 2
     third = _make("entry-3")
     assert _tell(one, third, late_s) == []
     one.record_end(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
@@ -236,12 +236,12 @@
     telling = content_registry.ContentBroadcast(made.registry)
     telling.record_digest("hub", 1, NOW_S)
     assert not telling.has_pending, "it may be on its way"
-    telling.record_digest("hub", 1, NOW_S + content_registry.DIFFERS_S)
+    telling.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S)
     told = set()
     while telling.has_pending:
         told |= {item.record.content_id for item in telling.pop_batch(NOW_S)}
     assert len(told) == 20
-    telling.record_digest("hub", 1, NOW_S + content_registry.DIFFERS_S + 0.1)
+    telling.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S + 0.1)
     assert not telling.has_pending, "not again at once"
     telling.record_digest("hub", 0, NOW_S + 8.0)
     assert telling.has_pending, "it has just started"
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -131,6 +131,6 @@
         process.saved.record()
         process.clock.run(0.01)
     assert process.saved.wait_until_synced(WAIT_S)
-    assert len(made) <= 2.0 / saved_contents.SAVE_PAUSE_S + 2
+    assert len(made) <= 2.0 / saved_contents.MIN_SAVE_INTERVAL_S + 2
     assert writes[-1] == made[-1]
     assert len(saved_contents.decode(writes[-1], process.wall_s)) == 200
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -102,7 +102,7 @@
         registry.get("a").record_failure(100.0)
     assert not registry.get("a").is_usable(100.1)
     assert _name(_choose(registry, excluded={"b"}, now_s=100.1)) == "a"
-    assert registry.get("a").is_usable(100.0 + upstream_registry.FIRST_EJECTION_S)
+    assert registry.get("a").is_usable(100.0 + upstream_registry.INITIAL_EJECTION_S)
 
 
 def test_an_unreachable_instance_rests_at_once():
@@ -120,10 +120,10 @@
     assert upstream.raise_alarm(100.0, SAID)
     assert upstream.may_be_leaving(100.1)
     assert not upstream.raise_alarm(100.5, SAID)
-    assert not upstream.may_be_leaving(100.0 + upstream_registry.ALARM_S)
-    assert not upstream.raise_alarm(100.0 + upstream_registry.ALARM_S + 1.0, SAID)
+    assert not upstream.may_be_leaving(100.0 + upstream_registry.ALARM_TTL_S)
+    assert not upstream.raise_alarm(100.0 + upstream_registry.ALARM_TTL_S + 1.0, SAID)
     assert upstream.raise_alarm(
-        100.0 + upstream_registry.ALARM_S + upstream_registry.ALARM_COOLDOWN_S, SAID
+        100.0 + upstream_registry.ALARM_TTL_S + upstream_registry.ALARM_COOLDOWN_S, SAID
     )
 
 
@@ -145,11 +145,11 @@
     ]
     for number in range(30):
         instance = gateway_setting.make_instance(f"i-{number}", hall="hall-b")
-        on_duty = [w for w in watchers if watch_duty.is_on_duty(w.name, watchers, instance)]
+        on_duty = [w for w in watchers if watch_duty.is_watcher(w.name, watchers, instance)]
         assert len(on_duty) == 1
         assert on_duty[0].hall == "hall-b"
         others = [w for w in watchers if w is not on_duty[0]]
-        assert sum(watch_duty.is_on_duty(w.name, others, instance) for w in others) == 1
+        assert sum(watch_duty.is_watcher(w.name, others, instance) for w in others) == 1
 
 
 def _make_fleet_of_two_halls(entries, instances):
@@ -167,13 +167,13 @@
 def test_duties_are_worked_out_again_only_where_something_changed(monkeypatch):
     """Guards against a cost that grows with instances times entries at each look."""
     asked = []
-    decide = watch_duty.is_on_duty
+    decide = watch_duty.is_watcher
 
     def _record(own_name, watchers, instance):
         asked.append(instance.instance_id)
         return decide(own_name, watchers, instance)
 
-    monkeypatch.setattr(watch_duty, "is_on_duty", _record)
+    monkeypatch.setattr(watch_duty, "is_watcher", _record)
     watchers, listed = _make_fleet_of_two_halls(6, 30)
     duties = watch_duty.WatchDuties("e1")
     duties.update(watchers, listed)
@@ -202,19 +202,19 @@
         shown = [listed[number] for number in sorted(numbers)]
         duties.update(present, shown)
         for instance in listed:
-            expected = instance in shown and watch_duty.is_on_duty("e0", present, instance)
+            expected = instance in shown and watch_duty.is_watcher("e0", present, instance)
             assert duties.has(instance) is expected
 
 
 def test_a_hall_without_entries_is_watched_from_another():
     watchers = [fleet.Process(name="e", hall="hall-a", address="")]
-    assert watch_duty.is_on_duty("e", watchers, gateway_setting.make_instance("i", hall="hall-z"))
+    assert watch_duty.is_watcher("e", watchers, gateway_setting.make_instance("i", hall="hall-z"))
 
 
 def test_an_instance_that_could_not_be_reached_is_still_believed_when_it_speaks():
     upstream = _make_book(gateway_setting.make_instance("i")).get("i")
     assert upstream.raise_alarm(100.0, UNREACHABLE)
-    later_s = 100.0 + upstream_registry.ALARM_S + 1.0
+    later_s = 100.0 + upstream_registry.ALARM_TTL_S + 1.0
     assert not upstream.is_alarmed(later_s)
     assert not upstream.raise_alarm(later_s, UNREACHABLE)
     assert upstream.raise_alarm(later_s, SAID)
@@ -239,7 +239,7 @@
 def test_losses_far_apart_are_two_accidents():
     upstream = _make_book(gateway_setting.make_instance("i")).get("i")
     assert not upstream.record_peer_failure("e1", 100.0)
-    assert not upstream.record_peer_failure("e2", 100.0 + upstream_registry.REPORT_S + 0.1)
+    assert not upstream.record_peer_failure("e2", 100.0 + upstream_registry.REPORTER_TTL_S + 0.1)
 
 
 def test_a_copy_goes_to_the_same_hall_where_there_is_room_and_is_tried_where_there_is_none():
