--- a/src/spoolhead/_internal/policy/__init__.py
+++ b/src/spoolhead/_internal/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions without I/O: who runs, who waits, who is refused, and where."""
+"""Decisions, without I/O: admission, placement, retries, quarantine, permits, load totals."""
--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -1,4 +1,7 @@
-"""Which alarms a hub still has to pass on; no I/O, time passed in."""
+"""Selects the alarms that a hub still has to send.
+
+Performs no I/O; the current time is passed in.
+"""
 
 from collections.abc import Iterable
 
@@ -6,9 +9,10 @@
 from spoolhead._internal.policy import repeats, standing_alarms
 
 SEND_COUNT = 3
-"""Datagrams in a row that carry an alarm: at one lost in ten, one alarm in a thousand is lost."""
+"""Successive datagrams that carry an alarm: at a loss of one in ten, one alarm in a thousand is
+lost."""
 MAX_REPEATS_PER_DATAGRAM = 8
-"""Most alarms that one datagram repeats."""
+"""Maximum number of repeated alarms per datagram."""
 
 
 class _PendingAlarm:
@@ -22,7 +26,7 @@
 
 
 class AlarmBroadcast:
-    """The alarms that one side of a hub has not been sent yet, or is sent again.
+    """The alarms that one group of receivers has not been sent yet, or is sent again.
 
     :param standing: alarms that hold for a time; only these are repeated.
     """
@@ -45,17 +49,17 @@
         return bool(self._pending)
 
     def add(self, alarm: shared_load.Alarm, now_s: float) -> None:
-        """Have an alarm sent."""
+        """Schedule an alarm to be sent."""
         self._pending.append(_PendingAlarm(alarm))
         if alarm.kind in standing_alarms.KEPT_KINDS:
             self._repeats.add([standing_alarms.get_name(alarm)], now_s)
 
     def send_again(self, names: Iterable[standing_alarms.AlarmName], now_s: float) -> None:
-        """Have alarms that were sent before sent again."""
+        """Schedule alarms that were sent before to be sent again."""
         self._repeats.add_due(names, now_s)
 
     def pop_batch(self, now_s: float) -> list[shared_load.Alarm]:
-        """Return what is sent next, and count it as sent."""
+        """Return the alarms to send next, and count them as sent."""
         alarms = [item.alarm for item in self._pending]
         for item in self._pending:
             item.sends_left -= 1
@@ -64,6 +68,6 @@
         return alarms + self._standing.get(names, now_s)
 
     def clear(self) -> None:
-        """Forget what was to be sent: nobody is there to get it."""
+        """Discard pending alarms, as there is no receiver."""
         self._pending.clear()
         self._repeats.clear()
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -1,22 +1,25 @@
-"""Totals that are told in bounded parts: what has changed first, then the rest in turn; no I/O."""
+"""Load totals that are sent in bounded batches: changed rows first, then the rest in rotation.
+
+Performs no I/O.
+"""
 
 import collections
 
 from spoolhead._internal.models import shared_load
 
 MAX_CHANGED_ROWS_PER_DATAGRAM = 20
-"""Changed rows told at once, those that wait longest first: 240 bytes, so that 40 parts a second
-stay under 10 KB/s however many instances there are. 195 entries with 80 requests a second were
-worked out to change five rows in 25 ms."""
+"""Maximum number of changed rows per batch, those that wait longest first: 240 bytes, so that 40
+datagrams a second stay under 10 KB/s however many instances there are. 195 entries with 80 requests
+a second change an estimated five rows in 25 ms."""
 MAX_REPEATED_ROWS_PER_DATAGRAM = 3
-"""Unchanged rows told beside them, in turn, so that what a lost datagram told is made good: within
-half a second with 37 instances and ten parts a second or more."""
+"""Unchanged rows sent in rotation with each batch, to repair lost datagrams: within half a second
+with 37 instances and ten datagrams a second or more."""
 EMPTY_ROW_SEND_COUNT = 3
-"""Turns in which a row without work is still told before it is forgotten."""
+"""How often a row without load is still sent before it is removed."""
 
 
 class ChangedRows:
-    """Totals of work by instance, and which of them are still to be told."""
+    """Load totals by instance, and which of them are still to be sent."""
 
     __slots__ = ("_changed", "_empty_send_counts", "_rows", "_rotation")
 
@@ -28,11 +31,11 @@
 
     @property
     def has_changes(self) -> bool:
-        """Whether a row has changed since it was last told."""
+        """Whether a row has changed since it was last sent."""
         return bool(self._changed)
 
     def add(self, key: int, load: shared_load.InstanceLoad, sign: int = 1) -> None:
-        """Add work to a row, or take it off with a sign of -1."""
+        """Add load to a row, or subtract it with a sign of -1."""
         if not load:
             return
         row = self._rows.get(key)
@@ -46,7 +49,7 @@
     def replace(
         self, key: int, old: shared_load.InstanceLoad | None, new: shared_load.InstanceLoad
     ) -> None:
-        """Exchange one contribution to a row for another."""
+        """Replace one contribution to a row by another."""
         if old == new:
             return
         if old is not None:
@@ -54,7 +57,7 @@
         self.add(key, new)
 
     def pop_batch(self) -> shared_load.Rows:
-        """Return the rows to be told next, and count them as told."""
+        """Return the rows to send next, and count them as sent."""
         rows: shared_load.Rows = {}
         for key in list(self._changed)[:MAX_CHANGED_ROWS_PER_DATAGRAM]:
             del self._changed[key]
--- a/src/spoolhead/_internal/policy/cold_start.py
+++ b/src/spoolhead/_internal/policy/cold_start.py
@@ -1,11 +1,13 @@
-"""How many requests this entry sends to an instance that is cold; no I/O, time passed in.
-
-An instance that has started a moment ago bears few requests a second from all entries together, and
-falls over well above that. Entries hear of each other's work a little late, so all of them would
-choose the emptiest instance, the one that has just come. Therefore only as many entries send to a
-cold instance as it bears requests in a second, or fewer with a larger part each: those of its own
-hall first, which still reach it behind a cut, then others, chosen by rendezvous hashing. Entries
-that see the same fleet agree on that without a word.
+"""How many requests an entry may send to a cold instance.
+
+Performs no I/O; the current time is passed in.
+
+An instance that has just started can take few requests a second from all entries together, and
+crashes well above that. Entries learn of each other's load with a delay, so all of them would
+choose the emptiest instance, which is the new one. Therefore only as many entries send to a cold
+instance as it can take requests in a second, or fewer entries with a larger quota each: first those
+of its own hall, which still reach it during a cut, then others, chosen by rendezvous hashing.
+Entries that see the same fleet compute the same result without communication.
 """
 
 import math
@@ -17,14 +19,14 @@
 from spoolhead._internal.policy import upstream_registry
 
 WINDOW_S = 1.0
-"""Time over which requests are counted."""
+"""Time window over which requests are counted."""
 
 
 class Quota:
-    """What an entry may send to one cold instance.
+    """Requests that an entry may send to one cold instance.
 
-    :ivar requests: how many.
-    :ivar window_s: in any time as long as this.
+    :ivar requests: number of requests per window.
+    :ivar window_s: length of the sliding window.
     """
 
     __slots__ = ("requests", "window_s")
@@ -40,11 +42,11 @@
     instance: instances.Instance,
     cold_per_s: float,
 ) -> Quota:
-    """Return an entry's part of what a cold instance bears.
+    """Return an entry's share of the rate that a cold instance can take.
 
     :param own_name: name of the entry.
     :param entries: all entries, this one among them.
-    :param cold_per_s: requests a second that the instance bears from all of them.
+    :param cold_per_s: requests a second that the instance can take from all of them.
     """
     senders = get_senders(entries, instance, cold_per_s)
     if all(sender.name != own_name for sender in senders):
@@ -57,10 +59,10 @@
 def get_senders(
     entries: Sequence[fleet.Process], instance: instances.Instance, cold_per_s: float
 ) -> list[fleet.Process]:
-    """Return the entries that send to a cold instance.
+    """Return the entries that may send to a cold instance.
 
-    Who knows of no entry in the instance's hall does not know the fleet, as after a start behind
-    a cut, and sends nothing there.
+    An entry that knows no entry in the instance's hall does not know the whole fleet, as after a
+    start during a cut, and sends nothing there.
     """
     if all(entry.hall != instance.hall for entry in entries):
         return []
@@ -73,7 +75,7 @@
 
 
 class ColdStarts:
-    """The quotas of one entry.
+    """Quotas of one entry for all cold instances.
 
     :param own_name: name of the entry.
     :param hall: its hall.
@@ -85,7 +87,7 @@
         self._quotas: dict[str, Quota] = {}
 
     def set_entries(self, entries: Sequence[fleet.Process]) -> None:
-        """Take over which entries there are."""
+        """Set the known entries."""
         known = entries
         if all(entry.name != self._own_process.name for entry in entries):
             known = (*entries, self._own_process)
@@ -96,7 +98,7 @@
     def may_send(
         self, service: route_table.Service, upstream: upstream_registry.Upstream, now_s: float
     ) -> bool:
-        """Tell whether one more request may go to an instance now."""
+        """Return whether one more request may be sent to an instance now."""
         if not service.cold_per_s or not upstream.is_cold(now_s):
             return True
         quota = self._get_quota(service, upstream.instance)
@@ -111,5 +113,5 @@
         return quota
 
     def forget_quotas(self) -> None:
-        """Work the quotas out anew; due when instances or what they bear have changed."""
+        """Clear the cached quotas; must be called when instances or their cold rates change."""
         self._quotas.clear()
--- a/src/spoolhead/_internal/policy/content_registry.py
+++ b/src/spoolhead/_internal/policy/content_registry.py
@@ -1,9 +1,10 @@
-"""Records of contents that may end instances, as one process knows them, and what it tells of them.
+"""Records of contents that may crash instances, as one process knows them, and their broadcast.
 
-A record is told at once when it has changed. Besides, processes tell each other one number that
-stands for all their records; where it differs, each tells the other its records in turn until it no
-longer does. So a lost datagram, a restart or a cut needs no message of its own; no I/O, time passed
-in.
+Performs no I/O; the current time is passed in.
+
+A changed record is sent at once. In addition, processes exchange a digest of all their records;
+while two digests differ, each process sends the other all its records in turn. So lost datagrams,
+restarts and cuts need no messages of their own.
 """
 
 import heapq
@@ -13,31 +14,32 @@
 from spoolhead._internal.models import content_record
 
 RETENTION_S = 86_400.0
-"""Time for which a record is kept after its last change: such a request does not become sound by
-time, and a day is as long as anybody is on call for it."""
+"""Time for which a record is kept after its last change: such a request does not become harmless
+with time, and a day is as long as an operator is on call for it."""
 EXPIRY_MARGIN_S = 60.0
-"""A record this close to its end is not taken any more: otherwise processes whose clocks differ a
-little would give it back to each other for ever."""
+"""A record this close to its expiry is no longer merged: otherwise processes whose clocks differ
+slightly would return it to each other forever."""
 MAX_RECORDS = 1_000
-"""Records kept. One takes some 500 bytes, so all take half a megabyte. An instance that ends leaves
-some twenty, and on an ordinary day 38 end."""
+"""Maximum number of records. One takes some 500 bytes, so all take half a megabyte. A crash leaves
+some twenty records, and on an ordinary day 38 instances terminate."""
 
 MAX_RECORDS_PER_DATAGRAM = 8
-"""Records in one datagram: some 400 bytes."""
+"""Records per datagram, some 400 bytes."""
 RECORD_SEND_COUNT = 3
-"""Datagrams in a row that carry a changed record: at one lost in ten, one in a thousand is left to
-the comparison of all."""
+"""Successive datagrams that carry a changed record: at a loss of one in ten, one record in a
+thousand is left to the digest comparison."""
 DIGEST_MISMATCH_S = 0.6
-"""Time for which another process must name another number before it is told all records: each names
-its number four times a second, and news that is on its way arrives within one of these pauses."""
+"""Time for which another process must report a different digest before it is sent all records: each
+reports its digest four times a second, and a record in transit arrives within one of these
+intervals."""
 MIN_FULL_SYNC_INTERVAL_S = 0.5
 FULL_SYNC_INTERVAL_PER_RECORD_S = 0.01
-"""Least time between the beginnings of two rounds of telling all records. A round takes 50 bytes a
-record, so rounds in vain cost 5 KB/s at most, however many records there are."""
+"""Minimum interval between two rounds that send all records. A round takes 50 bytes per record, so
+useless rounds cost 5 KB/s at most, however many records there are."""
 
 
 class _StoredRecord:
-    """A record and when it last changed."""
+    """A record and the time of its last change."""
 
     __slots__ = ("changed_s", "record")
 
@@ -49,7 +51,7 @@
 class ContentRegistry:
     """The records that one process knows.
 
-    :ivar digest: number that stands for all of them.
+    :ivar digest: digest of all records.
     """
 
     def __init__(self) -> None:
@@ -61,17 +63,17 @@
         return len(self._records)
 
     def get(self, content_id: bytes) -> content_record.ContentRecord | None:
-        """Return the record of a content; None if nothing is known of it."""
+        """Return the record of a content, or None if there is none."""
         known = self._records.get(content_id)
         return known.record if known is not None else None
 
     def get_changed_s(self, content_id: bytes) -> float:
-        """Return when the record of a content last changed; minus infinity without one."""
+        """Return when the record of a content last changed; minus infinity without a record."""
         known = self._records.get(content_id)
         return known.changed_s if known is not None else -math.inf
 
     def get_aged(self, content_id: bytes, now_s: float) -> content_record.AgedRecord | None:
-        """Return a record as it is told."""
+        """Return a record with its age, as it is sent to other processes."""
         known = self._records.get(content_id)
         if known is None:
             return None
@@ -80,7 +82,7 @@
     def get_all_aged(
         self, content_ids: Iterable[bytes], now_s: float
     ) -> list[content_record.AgedRecord]:
-        """Return records as they are told, those that are still known."""
+        """Return the records of some contents with their ages; unknown contents are left out."""
         aged = [self.get_aged(content_id, now_s) for content_id in content_ids]
         return [item for item in aged if item is not None]
 
@@ -89,20 +91,20 @@
         return [known.record for known in self._records.values()]
 
     def get_ids(self) -> list[bytes]:
-        """Return the names of all contents known, those known longest first."""
+        """Return the ids of all known contents, the oldest first."""
         return list(self._records)
 
     def get_most_severe(self, count: int) -> list[bytes]:
-        """Return the names of the contents that matter most, at most so many."""
+        """Return the ids of the most severe contents, up to a maximum count."""
         known = heapq.nlargest(
             count, self._records.items(), key=lambda item: _get_severity(item[1])
         )
         return [content_id for content_id, _ in known]
 
     def set(self, record: content_record.ContentRecord, now_s: float) -> bool:
-        """Take a record that this process has found or changed.
+        """Merge a record that this process created or changed.
 
-        :returns: whether that changed what is known.
+        :returns: whether that changed the stored record.
         """
         is_changed = self._merge(record, now_s)
         self._expire(now_s)
@@ -111,9 +113,9 @@
     def merge(
         self, items: Iterable[content_record.AgedRecord], now_s: float
     ) -> list[content_record.ContentRecord]:
-        """Take what another process tells.
+        """Merge records reported by another process.
 
-        :returns: the records that this changed, as they stand now.
+        :returns: the records that changed, in their present state.
         """
         changed = []
         for item in items:
@@ -126,7 +128,7 @@
         return [record for record in changed if record.content_id in self._records]
 
     def _expire(self, now_s: float) -> None:
-        """Forget what has not changed for long."""
+        """Remove records that have not changed for the retention time."""
         if now_s - self._oldest_changed_s <= RETENTION_S:
             return
         for content_id, known in list(self._records.items()):
@@ -145,7 +147,7 @@
         if known is not None:
             self.digest ^= known.record.digest
         self.digest ^= merged.digest
-        # What comes late must not end sooner than what it was merged into.
+        # A late record must not expire earlier than the record it is merged into.
         last_s = changed_s if known is None else max(changed_s, known.changed_s)
         self._records[content_id] = _StoredRecord(merged, last_s)
         self._oldest_changed_s = min(self._oldest_changed_s, last_s)
@@ -153,7 +155,7 @@
         return True
 
     def _evict_excess(self) -> None:
-        """Forget those that matter least: what is not held, and of that the oldest."""
+        """Evict the least severe records: those not held, and of these the oldest."""
         while len(self._records) > MAX_RECORDS:
             least = min(self._records.items(), key=lambda item: _get_severity(item[1]))
             self._remove(least[0])
@@ -168,7 +170,7 @@
 
 
 class ContentBroadcast:
-    """What a process still has to tell one side of the records in its book.
+    """The records that a process still has to send to one group of receivers.
 
     :param registry: the records.
     """
@@ -182,23 +184,23 @@
 
     @property
     def has_new(self) -> bool:
-        """Whether a record has changed that was not told at all."""
+        """Whether a changed record has not been sent at all."""
         return any(sends_left == RECORD_SEND_COUNT for sends_left in self._sends_left.values())
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is left to tell."""
+        """Whether anything is left to send."""
         return bool(self._sends_left or self._sync_queue)
 
     def record_changed(self, content_id: bytes) -> None:
-        """Tell a record soon."""
+        """Schedule a changed record to be sent."""
         self._sends_left.pop(content_id, None)
         self._sends_left[content_id] = RECORD_SEND_COUNT
 
     def record_digest(self, peer: str, digest: int, now_s: float) -> None:
-        """Take the number that stands for another process's records.
+        """Compare the digest reported by another process and start a full sync if it differs.
 
-        One that knows nothing has just started, and is told all at once.
+        A process without records has just started and is sent all of them at once.
 
         :param peer: name of that process.
         """
@@ -217,11 +219,11 @@
             self._sync_queue = self._registry.get_ids()
 
     def remove_peer(self, peer: str) -> None:
-        """Forget a process that is no longer heard."""
+        """Remove the state of a process that has fallen silent."""
         self._mismatch_since_s.pop(peer, None)
 
     def pop_batch(self, now_s: float) -> list[content_record.AgedRecord]:
-        """Return what is told next, and count it as told."""
+        """Return the records to send next, and count them as sent."""
         content_ids = list(self._sends_left)[:MAX_RECORDS_PER_DATAGRAM]
         for content_id in content_ids:
             self._sends_left[content_id] -= 1
@@ -232,11 +234,11 @@
         return self._registry.get_all_aged(content_ids, now_s)
 
     def pop_changed(self, now_s: float) -> list[content_record.AgedRecord]:
-        """Return all records that have changed, and count them as told."""
+        """Return all changed records, and count them as sent."""
         changed, self._sends_left = self._sends_left, {}
         return self._registry.get_all_aged(changed, now_s)
 
     def clear(self) -> None:
-        """Forget what was to be told: nobody is there to hear it."""
+        """Discard pending records, as there is no receiver."""
         self._sends_left.clear()
         self._sync_queue.clear()
--- a/src/spoolhead/_internal/policy/granter_choice.py
+++ b/src/spoolhead/_internal/policy/granter_choice.py
@@ -1,7 +1,8 @@
-"""Which entries grant permits for an instance; no I/O.
+"""Chooses the entries that grant permits for an instance. Performs no I/O.
 
-Entries of the instance's hall come first, since those that reach the instance behind a cut reach
-them too, chosen by rendezvous hashing: entries that see the same fleet agree without a word.
+Entries of the instance's hall come first, since they can be reached by every entry that reaches the
+instance during a cut. They are chosen by rendezvous hashing: entries that see the same fleet
+compute the same result without communication.
 """
 
 from collections.abc import Sequence
@@ -11,13 +12,13 @@
 from spoolhead._internal.models import fleet, instances
 
 MAX_GRANTERS = 3
-"""Entries that are asked in turn: the first granter and those that stand in for it."""
+"""Entries that are asked in turn: the primary granter and its backups."""
 
 
 def get_granters(
     entries: Sequence[fleet.Process], instance: instances.Instance
 ) -> list[fleet.Process]:
-    """Return the entries to ask for permits, the first granter first."""
+    """Return the entries to ask for permits, the primary granter first."""
 
     def _get_sort_key(entry: fleet.Process) -> tuple[bool, int]:
         weight = xxhash.xxh3_64_intdigest(f"permit/{entry.name}/{instance.incarnation_id}".encode())
--- a/src/spoolhead/_internal/policy/hall_reach.py
+++ b/src/spoolhead/_internal/policy/hall_reach.py
@@ -1,8 +1,10 @@
-"""Which halls this entry can reach instances in; no I/O, time passed in.
+"""Detects the halls that this entry cannot reach.
 
-A hall behind a cut shows in two ways: connections to its instances time out, and nothing is heard
-of its entries. A single dark instance shows in the first way too, but then others of its hall go on
-answering.
+Performs no I/O; the current time is passed in.
+
+A cut-off hall shows in two ways: connections to its instances time out, and its entries are silent.
+A single unreachable instance causes timeouts as well, but then other instances of its hall still
+answer.
 """
 
 from collections.abc import Collection, Iterable
@@ -10,18 +12,18 @@
 from spoolhead._internal.policy import upstream_registry
 
 BACKOFF_S = 0.5
-"""Time for which a hall is not tried after a connection to it timed out and nothing came from it
-since: a hall that is well answers some entry's plain requests several times in that time."""
+"""Time for which a hall is not tried after a connection timeout without a later answer from it: a
+healthy hall answers some entry's plain requests several times in that period."""
 SILENT_HALL_BACKOFF_S = 2.0
-"""The same for a hall whose entries are silent: one request in that time finds out whether the cut
-is over, and the others are not held up by it."""
+"""The same for a hall whose entries are silent: one request in that period checks whether the cut
+is over, without delaying the others."""
 
 
 class _Hall:
-    """What was seen of a hall.
+    """What was observed of a hall.
 
-    :ivar timed_out_s: when a connection to it last timed out.
-    :ivar answered_s: when something last came from it.
+    :ivar timed_out_s: time of the last connection timeout.
+    :ivar answered_s: time of the last answer.
     """
 
     __slots__ = ("answered_s", "timed_out_s")
@@ -32,9 +34,9 @@
 
 
 class HallReach:
-    """What this entry has seen of the way to each other hall.
+    """What this entry has observed of each other hall.
 
-    :param own_hall: hall of this entry, which is never cut off from it.
+    :param own_hall: hall of this entry, which is never considered cut off.
     """
 
     def __init__(self, own_hall: str) -> None:
@@ -42,17 +44,17 @@
         self._halls: dict[str, _Hall] = {}
 
     def record_timeout(self, hall: str, now_s: float) -> None:
-        """Take note that a connection to an instance of a hall timed out."""
+        """Record that a connection to an instance of a hall timed out."""
         self._get(hall).timed_out_s = now_s
 
     def record_answer(self, hall: str, now_s: float) -> None:
-        """Take note that something came from an instance of a hall."""
+        """Record an answer from an instance of a hall."""
         self._get(hall).answered_s = now_s
 
     def get_cut_off_halls(self, silent_halls: Collection[str], now_s: float) -> frozenset[str]:
         """Return the halls that no request should be sent to.
 
-        :param silent_halls: halls whose entries are not heard.
+        :param silent_halls: halls whose entries are silent.
         """
         return frozenset(
             name
@@ -66,10 +68,10 @@
     def get_unreachable_halls(
         self, silent_halls: Collection[str], now_s: float, *, is_isolated: bool
     ) -> frozenset[str]:
-        """Return the silent halls that this one is cut off from.
+        """Return the silent halls that this entry is cut off from.
 
-        :param is_isolated: no other hall is heard, so it is this one that is cut off; no request
-            need find that out, but an answer from a hall still speaks against it.
+        :param is_isolated: all other halls are silent, so this entry's own hall is cut off; the
+            silent halls count as unreachable without a timeout, but not while they still answer.
         """
         return frozenset(
             name
@@ -92,7 +94,9 @@
 def is_service_unreachable(
     upstreams: Iterable[upstream_registry.Upstream], unreachable_halls: Collection[str]
 ) -> bool:
-    """Tell whether a service has instances, and all that stay are in lost or evacuated halls.
+    """Return whether all staying instances of a service are in unreachable or evacuated halls.
+
+    False for a service without instances.
 
     :param upstreams: instances of the service.
     """
--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -1,4 +1,4 @@
-"""Which hub an entry reports to; no I/O, time passed in."""
+"""Chooses the hub that an entry reports to. Performs no I/O; the current time is passed in."""
 
 import enum
 import math
@@ -9,20 +9,21 @@
 from spoolhead._internal.utils import endpoints
 
 HUB_TIMEOUT_S = 0.35
-"""Silence of the hub after which another is tried. A hub says something each tenth of a second; a
-process stands still for some tenths at times, and trying another hub costs little."""
+"""Silence of the hub after which another one is tried. A hub sends something every tenth of a
+second; a process may stall for some tenths, and trying another hub costs little."""
 PROBE_TIMEOUT_S = 0.2
-"""Time within which a hub that is tried must answer: a hundred times the way between halls."""
+"""Time within which a probed hub must answer: a hundred times the latency between halls."""
 INITIAL_BACKOFF_S = 1.0
 MAX_BACKOFF_S = 8.0
-"""Time for which a hub that fell silent or did not answer is passed over, doubled each time."""
+"""Time for which a hub that fell silent or did not answer is skipped, doubled each time."""
 
 
 class Candidate:
     """A process that can be this entry's hub.
 
-    :ivar address: where it takes reports.
-    :ivar distance: least first; keepers of the own hall before keepers elsewhere before entries.
+    :ivar address: where it receives reports.
+    :ivar distance: the lowest is preferred: keepers of the own hall, then keepers elsewhere, then
+        entries.
     """
 
     __slots__ = ("address", "distance")
@@ -33,7 +34,7 @@
 
 
 class _CandidateState:
-    """What was seen of a candidate."""
+    """Backoff state of a candidate."""
 
     __slots__ = ("backoff_s", "backoff_until_s")
 
@@ -43,18 +44,18 @@
 
 
 class UpdateSource(enum.Enum):
-    """Who an update came from."""
+    """Sender of an update, relative to the current hub."""
 
     PRESENT = "present"
-    """The hub."""
+    """The current hub."""
     NEW = "new"
-    """A hub that was being tried and is the hub from now on."""
+    """A probed hub, which is the current hub from now on."""
     OTHER = "other"
-    """Another one."""
+    """Any other process."""
 
 
 class HubChoice:
-    """The choice of one entry. A hub is left for another only once that one has answered.
+    """The hub choice of one entry. A hub is replaced only once another one has answered.
 
     :param name: name of the entry; entries spread over hubs at the same distance.
     :ivar current: the hub; None for none.
@@ -71,7 +72,7 @@
         self.probing: endpoints.Endpoint | None = None
 
     def set_candidates(self, candidates: Iterable[Candidate]) -> None:
-        """Take over which processes can be the hub."""
+        """Set the processes that can be the hub."""
         self._candidates = sorted(
             candidates, key=lambda item: (item.distance, self._get_weight(item.address))
         )
@@ -79,7 +80,7 @@
         self._states = {key: state for key, state in self._states.items() if key in known}
 
     def record_update(self, address: endpoints.Endpoint, now_s: float) -> UpdateSource:
-        """Take note of an update."""
+        """Record an update and return its source."""
         if address not in (self.current, self.probing):
             return UpdateSource.OTHER
         is_new = address == self.probing
@@ -91,7 +92,7 @@
         return UpdateSource.NEW if is_new else UpdateSource.PRESENT
 
     def record_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
-        """Take note that a process is known to be out of reach."""
+        """Record that a process is known to be unreachable."""
         self._back_off(address, now_s)
         if address == self.current:
             self.current = None
@@ -99,7 +100,10 @@
             self.probing = None
 
     def choose(self, now_s: float) -> bool:
-        """Look for a better hub; True if a report should go to one that is tried from now on."""
+        """Look for a better hub.
+
+        :returns: whether a report should be sent to a candidate that is probed from now on.
+        """
         if self.current is not None and now_s - self._heard_s > HUB_TIMEOUT_S:
             self._back_off(self.current, now_s)
             self.current = None
--- a/src/spoolhead/_internal/policy/latest_starts.py
+++ b/src/spoolhead/_internal/policy/latest_starts.py
@@ -1,4 +1,4 @@
-"""The latest start of each instance that was ever listed; no I/O."""
+"""The latest start time of each instance that was ever listed. Performs no I/O."""
 
 import collections
 import dataclasses
@@ -6,12 +6,13 @@
 from spoolhead._internal.models import instances
 
 MAX_DELISTED = 1_000
-"""Ids whose latest start is remembered beyond those that are listed: news of a former run comes a
-second or two late, and a deployment has some hundred departures in an hour."""
+"""Maximum number of ids beyond the listed ones whose latest start is stored: messages about a
+previous incarnation arrive a second or two late, and a deployment has some hundred departures in an
+hour."""
 
 
 class LatestStarts:
-    """Tells a former run of an instance from the present one."""
+    """Distinguishes previous incarnations of an instance from the present one."""
 
     __slots__ = ("_started_ms",)
 
@@ -19,7 +20,10 @@
         self._started_ms: collections.OrderedDict[str, int] = collections.OrderedDict()
 
     def record(self, instance: instances.Instance) -> bool:
-        """Take note of an instance's start; False if a later one is known."""
+        """Record an instance's start.
+
+        :returns: False if a later start is known.
+        """
         if self.is_previous(instance):
             return False
         if instance.started_ms:
@@ -28,18 +32,18 @@
         return True
 
     def is_previous(self, instance: instances.Instance) -> bool:
-        """Tell whether a later start is known, or one at all where the instance names none."""
+        """Return whether a later start is known, or any start if the instance states none."""
         return instance.started_ms < self._started_ms.get(instance.instance_id, 0)
 
     def get_current_incarnation_id(self, previous: instances.Instance) -> str:
-        """Return the name of the latest run of an instance that is listed as a former one."""
+        """Return the latest incarnation id of an instance that is listed as a previous one."""
         started_ms = self._started_ms[previous.instance_id]
         return dataclasses.replace(previous, started_ms=started_ms).incarnation_id
 
     def evict_oldest(self, listed_count: int) -> None:
-        """Forget the ids that were listed longest ago.
+        """Evict the ids that were listed longest ago.
 
-        :param listed_count: instances that are listed now, all of which are remembered.
+        :param listed_count: number of instances listed now, all of which are kept.
         """
         while len(self._started_ms) > listed_count + MAX_DELISTED:
             self._started_ms.popitem(last=False)
--- a/src/spoolhead/_internal/policy/limit_broadcast.py
+++ b/src/spoolhead/_internal/policy/limit_broadcast.py
@@ -1,4 +1,7 @@
-"""Which stated rate limits a hub still has to pass on; no I/O, time passed in."""
+"""Selects the stated rate limits that a hub still has to send.
+
+Performs no I/O; the current time is passed in.
+"""
 
 from collections.abc import Iterable
 
@@ -6,15 +9,15 @@
 from spoolhead._internal.policy import limit_registry, repeats
 
 SEND_COUNT = 2
-"""Datagrams in a row that carry a statement."""
+"""Successive datagrams that carry a changed limit."""
 MAX_LIMITS_PER_DATAGRAM = 32
-"""Most limits in one datagram."""
+"""Maximum number of limits per datagram."""
 
 
 class LimitBroadcast:
-    """The limits that one side of a hub has not been sent yet, or is sent again.
+    """The limits that one group of receivers has not been sent yet, or is sent again.
 
-    :param registry: the newest statement of each instance.
+    :param registry: the newest stated limit of each instance.
     """
 
     __slots__ = ("_registry", "_sends_left", "_repeats")
@@ -35,13 +38,13 @@
         return bool(self._sends_left)
 
     def add(self, keys: Iterable[int], now_s: float) -> None:
-        """Have the limits of some instances sent."""
+        """Schedule the limits of some instances to be sent."""
         for key in keys:
             self._sends_left[key] = SEND_COUNT
             self._repeats.add([key], now_s)
 
     def pop_batch(self, now_s: float) -> list[rate_limit.AgedLimit]:
-        """Return what is sent next, and count it as sent."""
+        """Return the limits to send next, and count them as sent."""
         keys_to_send = list(self._sends_left)[:MAX_LIMITS_PER_DATAGRAM]
         for key in keys_to_send:
             self._sends_left[key] -= 1
@@ -51,6 +54,6 @@
         return self._registry.get_aged(keys_to_send, now_s)
 
     def clear(self) -> None:
-        """Forget what was to be sent: nobody is there to get it."""
+        """Discard pending limits, as there is no receiver."""
         self._sends_left.clear()
         self._repeats.clear()
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -1,8 +1,8 @@
-"""Adds up what entries report and says what is to be told to whom; no I/O, time passed in.
+"""Adds up the load that entries report. Performs no I/O; the current time is passed in.
 
-Each entry reports to one hub. A hub tells its totals to the other hubs and the totals of all to its
-own reporters, in bounded parts, so what an entry sends and gets depends neither on the number of
-entries nor on that of instances.
+Each entry reports to one hub. A hub sends its totals to the other hubs, and the totals of the whole
+fleet to its own reporters, in datagrams of bounded size. What an entry sends and receives therefore
+depends neither on the number of entries nor on the number of instances.
 """
 
 import math
@@ -21,25 +21,25 @@
 from spoolhead._internal.utils import endpoints
 
 REPORTER_EXPIRY_S = 1.6
-"""Silence of a reporter after which its work no longer counts: six of its reports lost in a row."""
+"""Silence of a reporter after which its load no longer counts: six lost reports in a row."""
 HUB_EXPIRY_S = 1.0
 """Silence of a hub after which its totals no longer count. Its reporters look for another hub after
-a third of that, and until here are counted twice; forgotten sooner, what runs in the part behind a
-cut between hubs would seem gone."""
+a third of that time and are counted twice until then; with a shorter expiry, load behind a cut
+between hubs would seem to have ended."""
 MIN_SNAPSHOT_INTERVAL_S = 0.05
-"""Least time between two snapshots for one reporter; the one before may be under way."""
+"""Minimum interval between two snapshots for one reporter; the previous one may be in transit."""
 SEEN_ALARM_TTL_S = 10.0
-"""Time for which an alarm is known to have been told: longer than reports and hubs together repeat
+"""Time for which a received alarm is stored as seen: longer than reports and hubs together repeat
 it."""
 
 
 class Reporter:
-    """An entry that reports here.
+    """An entry that reports to this hub.
 
-    :ivar address: where its updates go.
-    :ivar counted: sequence of its report that is counted.
+    :ivar address: where its updates are sent.
+    :ivar counted: sequence of its report that is included in the totals.
     :ivar wants_snapshot: it has not received a snapshot.
-    :ivar snapshot_sent_s: when one was last sent to it.
+    :ivar snapshot_sent_s: when a snapshot was last sent to it.
     """
 
     __slots__ = ("address", "counted", "heard_s", "rows", "snapshot_sent_s", "wants_snapshot")
@@ -54,7 +54,7 @@
 
 
 class _Row:
-    """A row that another hub told, and the sequence of the datagram that told it."""
+    """A row received from another hub, and the sequence of its datagram."""
 
     __slots__ = ("load", "sequence")
 
@@ -66,7 +66,7 @@
 class _PeerHub:
     """Another hub.
 
-    :ivar address: where it sends from.
+    :ivar address: where its datagrams come from.
     :ivar newest_sequence: highest sequence of its datagrams.
     """
 
@@ -80,10 +80,10 @@
 
 
 class LoadHub:
-    """The hub of one process; without reporters it tells nothing but goes on listening.
+    """The hub of one process; without reporters it sends nothing but still receives totals.
 
     :param name: the process's name.
-    :param first_sequence: above every number that a former run of the process gave out.
+    :param first_sequence: above every sequence number used before a restart.
     :param contents: records of contents that are known already.
     """
 
@@ -114,23 +114,23 @@
 
     @property
     def reporters(self) -> Iterable[Reporter]:
-        """The entries that get updates."""
+        """The entries that receive updates."""
         return self._reporters.values()
 
     @property
     def is_idle(self) -> bool:
-        """Whether there is nobody to tell anything."""
+        """Whether there are no reporters to send updates to."""
         return not self._reporters
 
     @property
     def has_unsent_totals(self) -> bool:
-        """Whether other hubs wait for something new."""
+        """Whether there is something new for the other hubs."""
         has_rows = self._reporter_totals.has_changes or self._alarms_to_hubs.has_pending
         return has_rows or self._contents_to_hubs.has_pending or self._limits_to_hubs.has_pending
 
     @property
     def has_unsent_updates(self) -> bool:
-        """Whether reporters wait for something new."""
+        """Whether there is something new for the reporters."""
         has_rows = self._fleet_totals.has_changes or self._alarms_to_reporters.has_pending
         return (
             has_rows
@@ -140,22 +140,22 @@
 
     @property
     def has_urgent_updates(self) -> bool:
-        """Whether an alarm, content or limit has not been told at all, which must not wait."""
+        """Whether an alarm, content or limit has not been sent at all and must not wait."""
         has_alarms = self._alarms_to_reporters.has_new
         has_limits = self._limits_to_reporters.has_new
         return has_alarms or has_limits or self._contents_to_reporters.has_new
 
     def get_hub_addresses(self) -> list[endpoints.Endpoint]:
-        """Return where the other hubs are that were heard lately."""
+        """Return the addresses of the other hubs that are not silent."""
         return [hub.address for hub in self._hubs.values()]
 
     def handle_report(
         self, report: shared_load.Report, address: endpoints.Endpoint, now_s: float
     ) -> bool:
-        """Take what an entry reports.
+        """Handle a report of an entry.
 
         :param address: where it came from.
-        :returns: whether the entry is new here, or has started anew.
+        :returns: whether the entry is new here or has restarted.
         """
         self._halls_heard_s[report.hall] = now_s
         known = self._reporters.get(report.sender)
@@ -187,7 +187,7 @@
     def handle_totals(
         self, totals: shared_load.Totals, address: endpoints.Endpoint, now_s: float
     ) -> None:
-        """Take what another hub tells."""
+        """Handle the totals of another hub."""
         if totals.hub == self._name:
             return
         hub = self._hubs.get(totals.hub)
@@ -215,7 +215,7 @@
         self._limits_to_reporters.add(changed_limits, now_s)
 
     def expire_silent(self, now_s: float) -> None:
-        """Forget reporters and hubs that have not been heard for long, old limits and alarms."""
+        """Remove silent reporters and hubs, and expired limits and alarms."""
         self._limits.expire(now_s)
         self._standing_alarms.expire(now_s)
         for name, reporter in list(self._reporters.items()):
@@ -233,7 +233,7 @@
         }
 
     def discard_pending(self, now_s: float) -> None:
-        """Forget what a hub without reporters need not know any more, as telling it would."""
+        """Expire old state and discard everything pending, as there are no reporters."""
         self.expire_silent(now_s)
         self._reporter_totals.pop_batch()
         self._fleet_totals.pop_batch()
@@ -245,7 +245,7 @@
         self._limits_to_reporters.clear()
 
     def make_totals(self, now_s: float) -> shared_load.Totals:
-        """Return what to tell the other hubs next."""
+        """Return the next datagram for the other hubs."""
         self._sequence += 1
         return shared_load.Totals(
             hub=self._name,
@@ -258,7 +258,7 @@
         )
 
     def make_update(self, now_s: float) -> shared_load.Update:
-        """Return what to tell the reporters next."""
+        """Return the next datagram for the reporters."""
         rows = self._fleet_totals.pop_batch()
         contents = self._make_contents(self._contents_to_reporters, now_s)
         alarms = self._alarms_to_reporters.pop_batch(now_s)
@@ -266,7 +266,7 @@
         return self._make_update(rows, alarms, contents, limits, now_s)
 
     def make_due_snapshot(self, name: str, now_s: float) -> shared_load.Update | None:
-        """Return the snapshot for a reporter that lacks one; None if none is due."""
+        """Return the snapshot for a reporter that lacks one, or None if none is due."""
         reporter = self._reporters.get(name)
         if reporter is None or not reporter.wants_snapshot:
             return None
@@ -278,10 +278,10 @@
         return update
 
     def make_snapshot(self, now_s: float) -> shared_load.Update:
-        """Return all work, all alarms that hold and all limits that are known.
+        """Return the load of the whole fleet, all standing alarms and all known limits.
 
-        Of the records of contents it gets those that matter most, since it may serve at once; the
-        others follow in the next round for all.
+        Of the content records it holds the most severe ones, since the entry may serve requests at
+        once; the others follow in the next round for all reporters.
         """
         content_ids = self._contents.get_most_severe(content_registry.MAX_RECORDS_PER_DATAGRAM)
         records = self._contents.get_all_aged(content_ids, now_s)
@@ -320,7 +320,7 @@
         return shared_load.ContentUpdate(broadcast.pop_batch(now_s), self._contents.digest)
 
     def _handle_contents(self, contents: shared_load.ContentUpdate, now_s: float) -> list[bytes]:
-        """Take what a process tells of contents; returns those that this changed."""
+        """Merge the content records of a process; return the ids of those that changed."""
         changed = self._contents.merge(contents.records, now_s)
         changed_ids = [record.content_id for record in changed]
         for content_id in changed_ids:
@@ -328,7 +328,7 @@
         return changed_ids
 
     def _resend_to_new_hub(self, now_s: float) -> None:
-        """Have all limits and standing alarms sent to the hubs: one of them may know none."""
+        """Schedule all limits and standing alarms for the hubs: a new hub may know none."""
         self._limits_to_hubs.add(self._limits.get_keys(), now_s)
         self._alarms_to_hubs.send_again(self._standing_alarms.get_names(), now_s)
 
@@ -365,7 +365,7 @@
     def _handle_alarms(
         self, alarms: Iterable[shared_load.Alarm], now_s: float
     ) -> list[shared_load.Alarm]:
-        """Take alarms, and have the reporters sent those that are new; returns these."""
+        """Handle alarms, schedule the new ones for the reporters, and return the new ones."""
         new = []
         for alarm in alarms:
             name = (alarm.reporter, alarm.sequence)
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -1,4 +1,7 @@
-"""What an entry knows of the other entries' work at the instances; no I/O, time passed in."""
+"""The load of the other entries, as one entry knows it.
+
+Performs no I/O; the current time is passed in.
+"""
 
 import collections
 import math
@@ -7,18 +10,18 @@
 from spoolhead._internal.policy import datagram_order, upstream_registry
 
 UPDATE_TTL_S = 3.0
-"""Time without any update after which what was told no longer counts: requests of a second or two
-have ended by then, and long ones say less than what the entry itself holds."""
+"""Time without any update after which received load no longer counts: requests of a second or two
+have ended by then, and long ones matter less than the entry's own requests."""
 HALL_SILENCE_S = 0.6
-"""Silence of a hall after which it counts as cut off. Each of its entries reports four times a
-second, and one that loses its hub is heard at another within some 0.4 s."""
+"""Silence of a hall after which it counts as silent. Each of its entries reports four times a
+second, and an entry that loses its hub reports to another within some 0.4 s."""
 MAX_REPORTS = 64
-"""Reports kept until an update says which of them it counts: over half a second of the fastest
-reporting."""
+"""Maximum number of own reports stored until an update says which of them it includes: over half a
+second of the fastest reporting."""
 
 
 class _Row:
-    """What the others hold at one instance, and which update told it."""
+    """Load of the other entries at one instance, and the sequence of its update."""
 
     __slots__ = ("others", "sequence")
 
@@ -28,11 +31,11 @@
 
 
 class LoadView:
-    """Keeps what others hold in the book of instances.
+    """Writes the other entries' load into the registry of instances.
 
     :param hall: hall of the entry.
     :param registry: the instances.
-    :ivar has_snapshot: the hub has sent all that it knows.
+    :ivar has_snapshot: the hub has sent a snapshot of all that it knows.
     """
 
     def __init__(self, hall: str, registry: upstream_registry.UpstreamRegistry) -> None:
@@ -47,7 +50,7 @@
         self.has_snapshot = False
 
     def get_own(self) -> shared_load.Rows:
-        """Return what this entry holds."""
+        """Return this entry's own load by instance."""
         return {
             upstream.key: shared_load.InstanceLoad(
                 upstream.own_tokens, len(upstream.in_flight), upstream.own_prefill_tokens
@@ -57,20 +60,20 @@
         }
 
     def record_report(self, sequence: int, rows: shared_load.Rows) -> None:
-        """Remember what was reported: updates contain it, and it has to be taken off again."""
+        """Store a report: updates include it, so it has to be subtracted from them."""
         self._reports[sequence] = rows
         while len(self._reports) > MAX_REPORTS:
             self._reports.popitem(last=False)
 
     def begin_hub(self) -> None:
-        """Take note that updates will come from another hub, with numbers of its own."""
+        """Record that updates will come from another hub, with its own sequence numbers."""
         self._is_new_hub = True
         self.has_snapshot = False
 
     def handle_update(self, update: shared_load.Update, now_s: float) -> bool:
-        """Take an update of the hub.
+        """Apply an update of the hub.
 
-        :returns: whether it is of use; one that counts an unknown report is not.
+        :returns: whether it was applied; one that includes an unknown report is not.
         """
         own = self._reports.get(update.counted)
         if own is None:
@@ -90,7 +93,7 @@
         return True
 
     def rebuild(self, now_s: float) -> None:
-        """Count what is known at the instances listed now; due when the list has changed."""
+        """Apply the known load to the listed instances; call it when the list has changed."""
         if now_s - self._updated_s > UPDATE_TTL_S:
             self._clear()
             self.has_snapshot = False
@@ -99,10 +102,10 @@
             upstream.others = row.others if row is not None else shared_load.InstanceLoad()
 
     def get_silent_halls(self, now_s: float) -> frozenset[str]:
-        """Return the halls that were heard of and are silent, as behind a cut.
+        """Return the known halls that are silent, as behind a cut.
 
-        Without updates nothing is heard of any hall, which says nothing of them, so they count as
-        they stood at the last one.
+        Without updates nothing is received from any hall, which says nothing about the halls, so
+        their state at the last update is used.
         """
         at_s = min(now_s, self._updated_s)
         return frozenset(
@@ -113,16 +116,16 @@
         )
 
     def is_isolated(self, now_s: float) -> bool:
-        """Tell whether all other halls that were ever heard of are silent."""
+        """Return whether all other known halls are silent."""
         others = self._halls_heard_s.keys() - {self._hall}
         return bool(others) and len(self.get_silent_halls(now_s)) == len(others)
 
     def get_silence_ms(self, hall: str, now_s: float) -> int:
-        """Return the time since a hall that was heard of was last heard."""
+        """Return for how long a known hall has been silent, in milliseconds."""
         return int((now_s - self._halls_heard_s[hall]) * 1000)
 
     def get_age_ms(self, now_s: float) -> int:
-        """Return the age of the newest update; -1 if none has come."""
+        """Return the age of the newest update in milliseconds; -1 if there is none."""
         return int((now_s - self._updated_s) * 1000) if math.isfinite(self._updated_s) else -1
 
     def _handle_row(
@@ -147,7 +150,7 @@
             upstream.others = others
 
     def _restart_silence_timers(self, now_s: float) -> None:
-        """Give a new hub time to hear of the halls that are not silent: it may have just begun."""
+        """Restart the timers of the halls that are not silent: a new hub may have just started."""
         silent = self.get_silent_halls(now_s)
         for hall in self._halls_heard_s.keys() - silent:
             self._silence_from_s[hall] = now_s
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -1,24 +1,24 @@
-"""Requests that were lost at instances, until it is known whether those have ended; no I/O.
+"""Requests lost at instances, until it is known whether the instance crashed. Performs no I/O.
 
-Those that an entry abandoned itself count, too: the instance may have begun to run them, and ends a
-moment later with nobody left to see a connection lost.
+Requests that an entry abandoned itself are stored too: the instance may have started to run them
+and crash a moment later, when no connection is left that would show it.
 """
 
 RETENTION_S = 10.0
-"""Time for which a lost request waits for word of its instance, and for which an end is remembered:
-about twice what the platform lists an instance that is gone."""
+"""Time for which a lost request waits for a report about its instance, and for which a crash is
+stored: about twice as long as the platform lists an instance that is gone."""
 ABANDONED_TTL_S = 2.0
-"""Time after which an abandoned request has nothing to do with the end of its instance.
-Runs began 0.2 s after their request arrived where others were read first, one that may not be
-repeated is worked on to its end, and an end is noticed within 0.3 s."""
+"""Time after which an abandoned request has nothing to do with the crash of its instance. Runs
+began 0.2 s after their request arrived if other prompts were processed first, a request that may
+not be repeated is run to its end, and a crash is detected within 0.3 s."""
 MAX_INSTANCES = 1_000
-"""Instances for which either is kept."""
+"""Maximum number of instances for which either is stored."""
 
 
 class LostRun:
-    """A request that an instance took and lost.
+    """A request that an instance received and lost.
 
-    :ivar content_id: name of its content.
+    :ivar content_id: id of its content.
     :ivar sent_s: when it was sent there.
     :ivar lost_s: when it was lost.
     """
@@ -32,7 +32,7 @@
 
 
 class LostRuns:
-    """The requests that this entry has lost lately, by the run of the instance that had them."""
+    """The requests that this entry has lost recently, by incarnation of the instance."""
 
     def __init__(self) -> None:
         self._lost: dict[str, list[LostRun]] = {}
@@ -40,9 +40,10 @@
         self._ended_s: dict[str, float] = {}
 
     def record_lost(self, incarnation_id: str, run: LostRun) -> bool:
-        """Take note of a lost request.
+        """Record a lost request.
 
-        :returns: whether its instance is known to have ended; otherwise the request waits for that.
+        :returns: whether its instance is known to have crashed; otherwise the request waits for
+            that.
         """
         if self._has_ended(incarnation_id, run.lost_s):
             return True
@@ -50,7 +51,7 @@
         return False
 
     def record_abandoned(self, incarnation_id: str, run: LostRun) -> bool:
-        """Take note of a request that this entry has abandoned.
+        """Record a request that this entry has abandoned.
 
         :returns: as :meth:`record_lost` does.
         """
@@ -60,26 +61,26 @@
         return False
 
     def has_abandoned(self, incarnation_id: str, now_s: float) -> bool:
-        """Tell whether this entry abandoned a request at an instance just now."""
+        """Return whether this entry recently abandoned a request at an instance."""
         return any(
             now_s - run.lost_s <= ABANDONED_TTL_S for run in self._abandoned.get(incarnation_id, [])
         )
 
     def record_ended(self, incarnation_id: str, now_s: float) -> list[LostRun]:
-        """Take note that an instance has ended; returns what it had of this entry's."""
+        """Record that an instance has crashed; return this entry's requests lost there."""
         self._expire(now_s)
         self._ended_s.setdefault(incarnation_id, now_s)
         abandoned = [
-            # What became of it is known only now.
+            # It counts as lost now, since the crash is known only now.
             LostRun(run.content_id, sent_s=run.sent_s, lost_s=now_s)
             for run in self._abandoned.pop(incarnation_id, [])
         ]
         return self._lost.pop(incarnation_id, []) + abandoned
 
     def record_alive(self, incarnation_id: str) -> None:
-        """Take note that an instance lives: what it lost, it lost by something else.
+        """Record that an instance is alive: its lost requests were lost for another reason.
 
-        What was abandoned there may still wait to be run.
+        Requests abandoned there may still be waiting to run, so they are kept.
         """
         self._lost.pop(incarnation_id, None)
 
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -1,9 +1,11 @@
-"""Decides which requests are held back because they end the instances that run them; no I/O.
+"""Decides which requests are held because they crash the instances that run them.
 
-Some requests end every engine that begins to run them, and callers send them again. An entry sees a
-part of that at best, so entries tell each other which contents were at an instance when it ended.
-All of those are suspects: the ones beside the culprit as well. What tells them apart is that the
-culprit is there each time, and that it never ends well.
+Performs no I/O.
+
+Some requests crash every engine that starts to run them, and callers send them again. A single
+entry sees only part of that, so entries share which contents were in flight at an instance when it
+crashed. All of those become suspects, including the harmless contents beside the deadly one. The
+deadly content differs from them in that it is present at every crash and never completes.
 """
 
 import dataclasses
@@ -14,33 +16,34 @@
 from spoolhead._internal.policy import content_registry
 
 WAVES_TO_HOLD = 2
-"""Ends, one after the other, after which a content is held. One end shows nothing: some twenty
-requests are at an engine. In a series, with three runs at each of nine engines, 3.7 answers beside
-it were cut off (mean of 30 simulated ones); held at the third end 5.3, never held nor run apart 31.
-Held at the first 2.5, but 2.5 sound requests that came again were refused in each series, as they
-would be after any other end of an engine."""
+"""Successive crashes after which a content is held. A single crash proves little: some twenty
+requests are in flight at an engine. In a series of crashes, with three runs at each of nine
+engines, 3.7 other answers were cut off (mean of 30 simulated series); holding at the third crash
+cut off 5.3, and never holding nor isolating runs 31. Holding at the first crash cut off 2.5, but
+2.5 harmless requests that were sent again were refused in each series, as after any other crash of
+an engine."""
 ENDS_TO_HOLD = 3
-"""Instances after whose end a content is held in any case. Several may end at the same time, by one
-fault or since callers sent it to several at once, and that alone counts as one wave: counted
-singly, 1.1 sound requests of one that many send were refused when two ended together, else 0."""
+"""Crashed instances after which a content is held in any case. Several may crash at the same time,
+through one fault or because callers sent the content to several at once; together these count as
+one wave. Counted singly, 1.1 harmless requests of a popular content were refused when two instances
+crashed together, else 0."""
 TRIAL_DELAY_S = 60.0
-"""Time after the last end at which a content that is held may be run once more. It outlasts a
-series (15 s were seen) and the deadlines of most callers, so that the run costs an engine only
-where the request still comes a minute later; a sound one held by mistake is served from then on."""
+"""Time after the last crash at which a held content may be run once more. It is longer than a
+series (15 s were seen) and the deadlines of most callers, so the trial costs an engine only if the
+request is still sent a minute later; a harmless content held by mistake is served from then on."""
 MAX_TRIALS = 2
-"""Such runs that a content is given: a second one only if the first showed nothing, as when its
-caller left."""
+"""Maximum number of trials of a content: the second one is for a first trial without a result, for
+example because its caller left."""
 PROVED_WAVES = WAVES_TO_HOLD + 1
-"""Waves counted once an instance has ended under a content that was run by itself; there is no
-further trial."""
+"""Wave count set when an instance crashed during a trial; no further trial follows."""
 CLAIM_S = 0.5
-"""Time for which the entry that wants to run a held content once more waits for others which want
-the same: ten times what news takes to reach all of 350 entries (45 ms at most, simulated), and two
-of the quarters of a second after which a lost report is made good."""
+"""Time for which the entry that claims a trial waits for competing claims: ten times what a
+broadcast takes to reach all of 350 entries (45 ms at most, simulated), and twice the quarter of a
+second after which a lost report is repeated."""
 MIN_ERROR_STATUS = 400
-"""Least status that tells of a failure, whoever's."""
+"""Lowest HTTP status that reports any error."""
 MIN_SERVER_ERROR_STATUS = 500
-"""Least status that tells of the instance's own."""
+"""Lowest HTTP status that reports a server error."""
 
 
 class Verdict(enum.Enum):
@@ -48,15 +51,15 @@
 
     RUN = "run"
     RUN_APART = "run apart"
-    """It is suspected; where it runs, as few others as possible should: 3.7 answers beside were cut
-    off in a series instead of 5.2, simulated as for :data:`WAVES_TO_HOLD`."""
+    """The content is suspect; it is run where the fewest other requests are in flight. In a series,
+    3.7 other answers were cut off instead of 5.2, simulated as for :data:`WAVES_TO_HOLD`."""
     CLAIM = "claim"
-    """It is held, and this entry may run it once more if no other entry does."""
+    """The content is held, and this entry may run a trial if no other entry does."""
     REFUSE = "refuse"
 
 
 class Quarantine:
-    """What one entry knows of contents that may end instances, and its decisions.
+    """The suspect and held contents that one entry knows, and the decisions about them.
 
     :param name: the entry's name.
     :ivar registry: the records.
@@ -70,21 +73,21 @@
 
     @property
     def held_count(self) -> int:
-        """Contents that are held."""
+        """Number of held contents."""
         return sum(is_held(record) for record in self.registry.get_all())
 
     def is_suspect(self, content_id: bytes) -> bool:
-        """Tell whether a content was at an instance that ended, and has not ended well since."""
+        """Return whether a content was at an instance that crashed and has not completed since."""
         record = self.registry.get(content_id)
         return record is not None and record.is_suspect
 
     def is_held(self, content_id: bytes) -> bool:
-        """Tell whether a content is held."""
+        """Return whether a content is held."""
         record = self.registry.get(content_id)
         return record is not None and is_held(record)
 
     def evaluate(self, content_id: bytes, now_s: float) -> Verdict:
-        """Decide on a request that has just come."""
+        """Decide on a new request."""
         record = self.registry.get(content_id)
         if record is None or not record.is_suspect:
             return Verdict.RUN
@@ -97,9 +100,9 @@
         return Verdict.CLAIM
 
     def claim_trial(self, content_id: bytes, now_s: float) -> content_record.ContentRecord:
-        """Claim the one run that a held content is given.
+        """Claim the next trial of a held content.
 
-        :meth:`may_run_trial` tells who got it.
+        :meth:`may_run_trial` returns whether the claim won.
         """
         record = self.registry.get(content_id)
         assert record is not None
@@ -108,7 +111,7 @@
         return self._store(claimed, now_s)
 
     def may_run_trial(self, content_id: bytes) -> bool:
-        """Tell whether a claim of this entry still stands, once, after :data:`CLAIM_S`."""
+        """Return whether this entry's claim stands after :data:`CLAIM_S`; True only once."""
         record = self.registry.get(content_id)
         if record is None or record.trier != self._name or content_id in self._started_trials:
             return False
@@ -118,9 +121,9 @@
     def record_end(
         self, content_id: bytes, instance_key: int, sent_s: float, now_s: float
     ) -> content_record.ContentRecord | None:
-        """Take note that an instance has ended while it had a request of this entry.
+        """Record that an instance crashed while it had a request of this entry.
 
-        :param instance_key: number of the run of the instance that ended.
+        :param instance_key: number of the incarnation that crashed.
         :param sent_s: when the request was sent there.
         :returns: the record of its content, if that changed.
         """
@@ -140,9 +143,9 @@
     def record_harmless(
         self, content_id: bytes, now_s: float
     ) -> content_record.ContentRecord | None:
-        """Take note that a request has ended well.
+        """Record that a request was answered, which shows that its content is harmless.
 
-        :returns: the record of its content, if it was suspected.
+        :returns: the record of its content, if it was suspect.
         """
         record = self.registry.get(content_id)
         if record is None or not record.ends or record.is_by_hand:
@@ -153,9 +156,9 @@
     def merge_records(
         self, items: list[content_record.AgedRecord], now_s: float
     ) -> list[content_record.ContentRecord]:
-        """Take what other processes tell.
+        """Merge records reported by other processes.
 
-        :returns: the records that this changed.
+        :returns: the records that changed.
         """
         changed = self.registry.merge(items, now_s)
         for record in changed:
@@ -167,7 +170,7 @@
         return changed
 
     def _clear_local_state(self, content_id: bytes) -> None:
-        """Forget what is kept beside a record that became void."""
+        """Clear the local state of a content whose record became void."""
         self._crash_recorded_s.pop(content_id, None)
         self._started_trials.discard(content_id)
 
@@ -179,7 +182,7 @@
         return self.registry.get(record.content_id) or record
 
     def _evict_unknown(self) -> None:
-        """Forget what is kept beside records that are no longer known."""
+        """Evict local state of contents whose records are no longer known."""
         if len(self._crash_recorded_s) <= 2 * len(self.registry) + 1:
             return
         known = set(self.registry.get_ids())
@@ -190,26 +193,28 @@
 
 
 def must_end_running(record: content_record.ContentRecord) -> bool:
-    """Tell whether what runs of a held content is to be ended, too.
+    """Return whether running requests of a held content must be cancelled too.
 
-    Not where several instances ended at one moment and nothing more is known: a run that is under
-    way elsewhere may show that it is sound, and most of what would end has ended by then.
+    Not if several instances crashed at the same time and nothing else is known: a run elsewhere may
+    still show that the content is harmless, and most instances that it would crash have crashed by
+    then.
     """
     return record.is_by_hand or record.waves >= WAVES_TO_HOLD
 
 
 def shows_harmless(status: int, *, is_trial: bool) -> bool:
-    """Tell whether an instance's whole answer shows that the request did it no harm.
+    """Return whether an instance's complete answer shows that a request did not harm it.
 
-    An instance that fails part of its requests, finds one too large or its time over may not have
-    begun to run it. In a trial all but its server errors count: else what it always refuses would
-    stay held. Where four in ten are failed before they run, a series ended 2 instances, and up to 5
-    (mean 2.7) with every answer taken for a good one, in 30 simulated series.
+    An instance that rejects some requests, or finds one too large or past its deadline, may not
+    have started to run it. In a trial every answer but a server error counts: otherwise a content
+    that is always rejected would stay held. Where four in ten requests fail before they run, a
+    series crashed 2 instances; with every answer taken as proof, up to 5 (mean 2.7), in 30
+    simulated series.
     """
     return status < MIN_ERROR_STATUS or (is_trial and status < MIN_SERVER_ERROR_STATUS)
 
 
 def is_held(record: content_record.ContentRecord) -> bool:
-    """Tell whether a record has its content held."""
+    """Return whether a record makes its content held."""
     has_enough_crashes = record.waves >= WAVES_TO_HOLD or len(record.ends) >= ENDS_TO_HOLD
     return record.is_by_hand or has_enough_crashes
--- a/src/spoolhead/_internal/policy/run_admission.py
+++ b/src/spoolhead/_internal/policy/run_admission.py
@@ -1,9 +1,11 @@
-"""Whether a generation begins now, waits at the entry or is refused; no I/O, time passed in.
+"""Decides whether a generation begins, waits at the entry or is refused.
 
-An engine that is given more than its memory holds queues the rest, and what waits there cannot
-go elsewhere when another engine gets room. So what does not fit waits at the entry, for a part
-of the time within which its first token is wanted; what has little hope by then is refused
-early enough for its caller to come back in time.
+Performs no I/O; the current time is passed in.
+
+An engine that gets more than its memory holds queues the rest, and a request queued there cannot
+move to another engine that has room. Requests that do not fit therefore wait at the entry, for part
+of the time within which the first token is expected; a request that is unlikely to start by then is
+refused early enough for its caller to retry in time.
 """
 
 import enum
@@ -12,35 +14,36 @@
 from spoolhead._internal.policy import upstream_choice, upstream_registry
 
 MAX_FILL_FRACTION = 1.0
-"""Share of an engine's memory that generations may be foreseen to fill at their full length."""
+"""Share of an engine's memory that generations may be expected to fill at their full length."""
 FILL_FRACTION_PER_RANK = 0.1
-"""Memory kept free for more urgent routes, as a share, for each rank below the most urgent."""
+"""Share of the memory kept free for more urgent routes, for each rank below the most urgent."""
 PREFILL_TOKENS_PER_MS = 7.5
-"""Prompt tokens that an engine reads while others stream beside: half of its speed alone, since
-each piece of 112 tokens (8 ms) alternates with a step for the others (7 ms)."""
+"""Prompt tokens that an engine processes per millisecond while it also streams other answers: half
+of its speed without them, since each chunk of 112 tokens (8 ms) alternates with a decoding step for
+the others (7 ms)."""
 PREFILL_FRACTION = 0.7
-"""Part of the objective that the reading of all prompts before may take."""
+"""Share of the objective that prefill of all prompts ahead may take."""
 REFUSE_AFTER_FRACTION = 0.2
-"""Part of the objective for which what has little hope waits all the same. Engines come and runs
-end unforeseen: refusing at once lost 0.011 of the worth served (standard error 0.005, 24 days with
-engines that come and go), while a wait of some hundred milliseconds leaves a refused caller nearly
-all of its time for another try."""
+"""Share of the objective for which a request waits even if it is unlikely to start. Engines start
+and runs end at unexpected times: refusing at once lost 0.011 of the value served (standard error
+0.005, 24 days with engines that come and go), while a wait of some hundred milliseconds leaves a
+refused caller nearly all of its time for a retry."""
 OFFER_AFTER_FRACTION = 0.6
-"""Part of the objective after which it goes to the best engine even without room. What is foreseen
-is more than what is held (three quarters of it were seen in use), so it often begins there at once;
-and reading a prompt takes the rest of the objective (3,000 tokens: 0.4 s of 1.8 s, twice that
-behind another)."""
+"""Share of the objective after which a request is sent to the best engine even without room. The
+expected memory exceeds the memory in use (three quarters of it were in use), so it often starts
+there at once; prefill takes the rest of the objective (3,000 tokens: 0.4 s of 1.8 s, twice that
+behind another prompt)."""
 REFUSE_FILL_FRACTION = 1.4
-"""Fill of the emptiest engine from which a start within the objective is not to be hoped for:
-two in five of its generations would have to end before."""
+"""Fill of the emptiest engine from which a start within the objective is unlikely: two in five of
+its generations would have to end first."""
 RETRY_AFTER_FRACTION = 1 / 6
-"""Part of the time left after which a refused caller is asked to come back: late enough for room
-to come (a new engine takes four seconds), early enough to be served."""
+"""Share of the remaining time after which a refused caller is asked to retry: late enough for
+capacity to appear (a new engine takes four seconds), early enough to be served."""
 MIN_RETRY_AFTER_MS = 300
 
 
 class Verdict(enum.Enum):
-    """What happens to a generation."""
+    """Outcome for a generation."""
 
     BEGIN = "begin"
     WAIT = "wait"
@@ -48,12 +51,12 @@
 
 
 class Request:
-    """A generation that asks for an engine.
+    """A generation that waits for admission.
 
     :ivar rank: its route's rank, 0 for the most urgent.
-    :ivar need_tokens: memory that it will hold at its full length.
-    :ivar prompt_tokens: its prompt.
-    :ivar objective_ms: time within which its first token is wanted.
+    :ivar need_tokens: memory that it needs at its full length, in tokens.
+    :ivar prompt_tokens: length of its prompt.
+    :ivar objective_ms: time within which its first token is expected.
     :ivar arrived_s: monotonic time of its arrival.
     """
 
@@ -76,19 +79,19 @@
 
     @property
     def refuse_s(self) -> float:
-        """Monotonic time from which it is refused if it has little hope."""
+        """Monotonic time from which it is refused if it is unlikely to start."""
         return self.arrived_s + self.objective_ms * REFUSE_AFTER_FRACTION / 1000
 
     @property
     def offer_s(self) -> float:
-        """Monotonic time from which it goes to any engine."""
+        """Monotonic time from which it is sent to any engine."""
         return self.arrived_s + self.objective_ms * OFFER_AFTER_FRACTION / 1000
 
 
 def has_room(
     engine: route_table.Engine, upstream: upstream_registry.Upstream, request: Request
 ) -> bool:
-    """Tell whether a generation would begin at an engine within its objective."""
+    """Return whether a generation would start at an engine within its objective."""
     limit = engine.memory_tokens * (MAX_FILL_FRACTION - FILL_FRACTION_PER_RANK * request.rank)
     if upstream.count and upstream.tokens + request.need_tokens > limit:
         return False
@@ -106,16 +109,15 @@
 ) -> Verdict:
     """Decide on a generation.
 
-    :param choice: the engines that it may go to; those without room have been left out where
-        any has room.
+    :param choice: the engines that it may use; engines without room are left out if any has room.
     """
     if choice.upstream is not None and has_room(engine, choice.upstream, request):
         return Verdict.BEGIN
     if choice.is_cut_off:
-        # A cut lasts for seconds; waiting would only keep the caller from asking elsewhere.
+        # A cut lasts for seconds; waiting would only keep the caller from retrying elsewhere.
         return Verdict.REFUSE
     if choice.retry_after_ms is not None and choice.upstream is None:
-        # What bars all engines ends at a known time.
+        # All engines are blocked until a known time.
         return _wait_or_refuse(request, now_s + choice.retry_after_ms / 1000)
     if now_s < request.refuse_s:
         return Verdict.WAIT
@@ -129,8 +131,8 @@
 
 
 def compute_retry_after_ms(remaining_ms: int) -> int:
-    """Return when a refused caller should come back.
+    """Return the time after which a refused caller should retry.
 
-    :param remaining_ms: time that its caller will still wait for the answer.
+    :param remaining_ms: time for which the caller still waits for the answer.
     """
     return max(MIN_RETRY_AFTER_MS, int(remaining_ms * RETRY_AFTER_FRACTION))
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -1,4 +1,7 @@
-"""Which instance a request goes to; no I/O, time passed in."""
+"""Chooses the instance that a request is sent to.
+
+Performs no I/O; the current time is passed in.
+"""
 
 import collections
 import random
@@ -8,22 +11,23 @@
 from spoolhead._internal.policy import upstream_gate, upstream_registry
 
 OTHER_HALL_COST = 0.1
-"""What another hall counts against an instance, as a share of its capacity: a tenth more work
-beside costs a request about as much as the way between halls and the bytes on it. It counts once
-for each usable instance at home beyond the first."""
+"""Cost of an instance in another hall, as a share of its capacity: a tenth more load costs a
+request about as much as the latency and transfer between halls. It is multiplied by the number of
+usable instances in the entry's hall beyond the first."""
 MAX_OTHER_HALL_FACTOR = 3
-"""How often it counts at most. A run across halls is lost when either is cut off and
-takes twice as long to move; it buys the least filled of all instances instead of the least filled
-at home, and the more there are at home the nearer those are. With six engines a hall, 4 in 100 runs
-then stand across halls instead of 32, and first tokens come as soon (p95 411 ms in both, simulated
-with the load of a fleet of 32 engines); with one or two a hall nothing changes."""
+"""Upper bound of that multiplier. A run in another hall is lost when either hall is cut off, and
+its migration takes twice as long; in return the run gets the least filled of all instances instead
+of the least filled in its own hall, and the more instances the own hall has, the closer the two
+are. With six engines per hall, 4 in 100 runs are then in another hall instead of 32, with equal
+time to first token (p95 411 ms in both, simulated with the load of a fleet of 32 engines); with one
+or two engines per hall nothing changes."""
 COLD_COST = 0.5
-"""What a start that is not over counts against an instance, as a share of its capacity."""
+"""Cost of an instance that is still cold, as a share of its capacity."""
 SILENT_HALL_COST = 2.0
-"""What a hall that nothing is heard from counts against its instances: more than any load."""
+"""Cost of an instance in a silent hall: more than any load can cost."""
 PREFILL_TOKENS_PER_COST = 14_000
-"""Tokens still to be read that count as much as a full memory: the reading of one second, most
-of the time in which a first token is wanted."""
+"""Prefill tokens that cost as much as a full memory: one second of prefill, most of the time within
+which a first token is expected."""
 
 
 _DEPARTED = (upstream_gate.BlockReason.LEAVING, upstream_gate.BlockReason.REPLACED)
@@ -31,10 +35,10 @@
 
 
 class Candidate:
-    """An instance and why it was or was not chosen.
+    """An instance that can be chosen, and its cost.
 
     :ivar upstream: the instance.
-    :ivar cost: what counts against it; the least is chosen.
+    :ivar cost: cost of sending the request there; the instance with the lowest cost is chosen.
     """
 
     __slots__ = ("cost", "upstream")
@@ -45,15 +49,15 @@
 
 
 class Choice:
-    """Outcome of a choice.
+    """Result of a choice.
 
     :ivar upstream: the chosen instance, or None.
-    :ivar candidates: what it was chosen from.
-    :ivar is_cut_off: there are instances, but none in a hall that can be reached and is not
+    :ivar candidates: the instances considered, the best first.
+    :ivar is_cut_off: the service has instances, but all are in halls that are unreachable or
         evacuated.
-    :ivar retry_after_ms: when an instance that may get nothing just now is expected to; None where
-        that is not known.
-    :ivar blocked: how many untried instances may get nothing, by the reason.
+    :ivar retry_after_ms: time after which the first blocked instance is expected to accept
+        requests; None if unknown.
+    :ivar blocked: number of untried instances that are blocked, by reason.
     """
 
     __slots__ = ("blocked", "candidates", "is_cut_off", "retry_after_ms", "upstream")
@@ -73,11 +77,11 @@
         self.upstream = candidates[0].upstream if candidates else None
 
     def prefer(self, is_preferred: Callable[[upstream_registry.Upstream], bool]) -> "Choice":
-        """Return the choice with those that a test holds for before the others."""
+        """Return the choice with the candidates that satisfy a predicate moved to the front."""
         return self._order(lambda upstream: not is_preferred(upstream))
 
     def prefer_least_shared(self) -> "Choice":
-        """Return the choice with those before the others that run the fewest requests."""
+        """Return the choice ordered by the number of requests in flight, fewest first."""
         return self._order(lambda upstream: upstream.count)
 
     def _order(self, get_rank: Callable[[upstream_registry.Upstream], int]) -> "Choice":
@@ -91,15 +95,16 @@
 
 
 class View:
-    """What a choice is made from.
+    """Input of a choice.
 
     :ivar hall: hall of the entry.
-    :ivar silent_halls: halls from which nothing has been heard for a while.
-    :ivar cut_off_halls: halls that cannot be reached just now.
+    :ivar silent_halls: halls from which nothing has been received for a while.
+    :ivar cut_off_halls: halls that are currently unreachable.
     :ivar now_s: monotonic time in seconds.
-    :ivar request_priority: what the request may claim where not all get something.
-    :ivar permitted: run of a limited instance for which the request has a permit; empty for none.
-    :ivar gate: what bounds this entry's requests to instances.
+    :ivar request_priority: rank and workspace of the request.
+    :ivar permitted: incarnation id of the rate-limited instance for which the request has a permit;
+        empty for none.
+    :ivar gate: decides whether an instance is blocked for this entry.
     :ivar rng: source of random numbers.
     """
 
@@ -146,15 +151,14 @@
 ) -> Choice:
     """Choose an instance.
 
-    Where every instance is ejected or reported unhealthy, one of them is better than none, but
-    not in a hall from which nothing is heard. In a hall that cannot be reached none is tried: the
-    request would wait for a connection that does not come. Nothing goes to an evacuated hall, and
-    no more to a cold instance than it bears.
+    If every instance is ejected or suspected, one of them is used anyway, except in a silent hall.
+    An instance in an unreachable hall is never used, since the connection attempt would only time
+    out. Evacuated halls get no requests, and cold instances no more than their quota.
 
     :param service: the request's service.
     :param upstreams: its instances.
-    :param need_tokens: memory that the request will hold at a model engine.
-    :param excluded: runs of instances that it must not go to.
+    :param need_tokens: memory that the request will need at a model engine, in tokens.
+    :param excluded: incarnation ids of the instances that must not be used.
     """
     reasons = [_get_block_reason(service, upstream, view) for upstream in upstreams]
     untried = [
@@ -210,7 +214,7 @@
 
 
 def _is_cut_off(reasons: Collection[upstream_gate.BlockReason | None]) -> bool:
-    """Tell whether instances are there, but only where nothing may go."""
+    """Return whether there are instances, all of them in unreachable or evacuated halls."""
     staying = [reason for reason in reasons if reason not in _DEPARTED]
     return bool(staying) and all(reason in _UNREACHABLE for reason in staying)
 
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -1,8 +1,10 @@
-"""Whether one more request may go to an instance now; no I/O, time passed in.
+"""Decides whether an instance may receive one more request.
 
-The one place that decides this, for first and further attempts and for runs that move. What the
-instance itself asked for, and what would only cost the request its time, binds always; what this
-entry merely suspects is passed over where there is nothing better.
+Performs no I/O; the current time is passed in.
+
+First attempts, further attempts and migrations all use this check. Reasons that the instance itself
+gave, and those that would only cost the request its time, are binding; a mere suspicion of this
+entry is ignored if no other instance is left.
 """
 
 import enum
@@ -13,28 +15,28 @@
 
 
 class BlockReason(enum.Enum):
-    """Why nothing more may go to an instance now; the first that applies counts."""
+    """Why an instance is blocked; the first reason that applies is reported."""
 
     LEAVING = "leaving"
     REPLACED = "replaced"
     CUT_OFF = "cut_off"
     EVACUATED = "evacuated"
     RESTING = "resting"
-    """It asked this entry for rest."""
+    """It asked this entry to rest."""
     COLD = "cold"
     LIMITED = "limited"
-    """A permit for a request at least as urgent was just rejected."""
+    """A permit for a request of the same or a higher priority was just rejected."""
     SUSPECTED = "suspected"
-    """It is ejected, an alarm about it counts, or it turns other entries away."""
+    """It is ejected, has a current alarm, or rejects requests of other entries."""
 
     @property
     def is_binding(self) -> bool:
-        """Whether it holds even where no other instance is left."""
+        """Whether the reason applies even if no other instance is left."""
         return self is not BlockReason.SUSPECTED
 
 
 class RequestPriority:
-    """What a request may claim where not all get something.
+    """Priority of a request where capacity is scarce.
 
     :ivar rank: its rank, 0 for the most urgent.
     :ivar workspace: name of its workspace.
@@ -48,11 +50,11 @@
 
 
 class Gate:
-    """What bounds one entry's requests to the instances.
+    """Checks that limit one entry's requests to instances.
 
-    :ivar cold_starts: what the entry may send to instances that are cold.
+    :ivar cold_starts: quotas for cold instances.
     :ivar limits: rate limits that instances stated.
-    :ivar backoff: permits that were rejected.
+    :ivar backoff: backoffs after rejected permits.
     """
 
     __slots__ = ("backoff", "cold_starts", "limits")
@@ -77,13 +79,13 @@
         has_permit: bool = False,
         cut_off_halls: Collection[str] = (),
     ) -> BlockReason | None:
-        """Return why no request may go to an instance; None if one may.
+        """Return why an instance is blocked, or None if it is not.
 
-        One that may go to a limited instance still needs a permit.
+        A rate-limited instance that is not blocked still requires a permit.
 
-        :param request_priority: what the request may claim where not all get something.
-        :param has_permit: the request was granted a permit for it.
-        :param cut_off_halls: halls that cannot be reached just now.
+        :param request_priority: rank and workspace of the request.
+        :param has_permit: whether the request has a permit for the instance.
+        :param cut_off_halls: halls that are currently unreachable.
         """
         if upstream.is_leaving:
             return BlockReason.LEAVING
@@ -113,15 +115,15 @@
         )
 
     def is_limited(self, upstream: upstream_registry.Upstream) -> bool:
-        """Tell whether a request needs a permit to go to an instance."""
+        """Return whether a request needs a permit for an instance."""
         return self.limits.get_limit_per_s(upstream.key) is not None
 
     def get_retry_after_ms(
         self, upstream: upstream_registry.Upstream, reason: BlockReason | None, now_s: float
     ) -> int | None:
-        """Return when a request that an instance may not get should come back.
+        """Return the time after which a request may retry a blocked instance.
 
-        :returns: None where that is not known.
+        :returns: None if that is unknown.
         """
         if reason is BlockReason.LIMITED:
             return self.backoff.get_retry_after_ms(upstream.key, now_s)
--- a/src/spoolhead/_internal/policy/upstream_registry.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -1,4 +1,7 @@
-"""What an entry knows of the instances of each service; no I/O, time passed in."""
+"""The instances that an entry knows, with their state.
+
+Performs no I/O; the current time is passed in.
+"""
 
 import collections
 import math
@@ -8,38 +11,40 @@
 from spoolhead._internal.policy import latest_starts, requested_rest
 
 FAILURES_TO_EJECT = 3
-"""Attempts in a row without an answer after which an instance is ejected."""
+"""Consecutive attempts without an answer after which an instance is ejected."""
 REPORTERS_TO_EJECT = 2
-"""Entries that must have lost a request there before it is ejected: one may itself be cut off."""
+"""Entries that must have lost a request at an instance before it is ejected: a single entry may
+itself be cut off."""
 REPORTER_TTL_S = 1.0
-"""Time within which they must have."""
+"""Time within which those entries must have reported the loss."""
 OWN_REPORTER = ""
-"""Reporter's name for this entry itself."""
+"""Reporter name that stands for this entry itself."""
 INITIAL_EJECTION_S = 0.5
 MAX_EJECTION_S = 4.0
-"""Ejection time doubles from the first to the longest."""
+"""Each ejection in a row lasts twice as long as the previous one, up to the maximum."""
 LOAD_TTL_S = 1.0
-"""Age up to which a load told by an instance counts; it changes within a second or so."""
+"""Age up to which a load reported by an instance is used; the load changes within about a
+second."""
 ALARM_TTL_S = 2.5
-"""Time for which an alarm counts unless the list confirms it: the list runs up to 0.8 s behind
-and is read each half second."""
+"""Time for which an alarm counts unless the instance list confirms it: the list lags by up to 0.8 s
+and is polled every half second."""
 MAX_SENT_TIMES = 64
-"""Requests to one instance whose times are remembered: more than an entry may send to a cold one
+"""Maximum number of send times stored per instance: more than an entry may send to a cold instance
 in a second."""
 REPLACED_TTL_S = 4.0
-"""Time for which an instance gets nothing after another one has answered at its address: about as
-long as the platform lists an instance that is gone."""
+"""Time for which an instance is blocked after another one has answered at its address: about as
+long as the platform goes on listing an instance that is gone."""
 ALARM_COOLDOWN_S = 30.0
-"""Ignores repeated alarms for an instance after a false positive."""
+"""Time for which repeated alarms for an instance are ignored after a false positive."""
 
 
 class InFlightRequest:
-    """A request at an instance.
+    """A request in flight at an instance.
 
     :ivar request_id: its id.
     :ivar tokens: memory that it holds or will hold, in tokens; 0 for a plain request.
-    :ivar prefill_tokens: tokens of its prompt that are still to be read.
-    :ivar is_copy: it is a copy of a run that may go on there.
+    :ivar prefill_tokens: tokens of its prompt that are not processed yet.
+    :ivar is_copy: it is a copy of a run, kept for a migration to this instance.
     """
 
     __slots__ = ("is_copy", "prefill_tokens", "request_id", "tokens")
@@ -54,19 +59,19 @@
 
 
 class Upstream:
-    """One run of one instance.
-
-    :ivar instance: as listed.
-    :ivar key: number by which datagrams name it.
-    :ivar in_flight: this entry's requests there.
-    :ivar others: what other entries' requests hold there.
-    :ivar is_leaving: it takes no new work.
-    :ivar has_announced_leaving: it said itself that it leaves, whatever the list shows.
+    """One incarnation of an instance.
+
+    :ivar instance: the instance as listed.
+    :ivar key: number that identifies it in datagrams.
+    :ivar in_flight: this entry's requests there, by request id.
+    :ivar others: load of the other entries' requests there.
+    :ivar is_leaving: it accepts no new requests.
+    :ivar has_announced_leaving: it announced itself that it leaves, whatever the list shows.
     :ivar is_gone: it is no longer listed.
-    :ivar is_evacuated: its hall is, so nothing more is sent to it.
+    :ivar is_evacuated: its hall is evacuated, so nothing more is sent to it.
     :ivar rest: rest that it asked for.
-    :ivar listed_cold: reading by which it was last taken for cold.
-    :ivar has_restarted: its instance has, so this run of it is over.
+    :ivar listed_cold: the list entry from which it was last marked cold.
+    :ivar has_restarted: the instance has restarted, so this incarnation has terminated.
     """
 
     __slots__ = (
@@ -108,7 +113,8 @@
         self.listed_cold: instances.Instance | None = None
         self._cold_until_s = -math.inf
         self._replaced_until_s = -math.inf
-        # An empty deque takes as much memory as a full one, and most instances get nothing.
+        # Created on first use: an empty deque takes as much memory as a full one, and most
+        # instances get no requests.
         self._sent_s: collections.deque[float] | None = None
         self._load: dialects.UpstreamLoad | None = None
         self._load_s = 0.0
@@ -126,7 +132,7 @@
 
     @property
     def prefill_tokens(self) -> int:
-        """Tokens of all known prompts that are still to be read."""
+        """Tokens of all known prompts that are not processed yet."""
         return self.others.prefill_tokens + self.own_prefill_tokens
 
     @property
@@ -136,70 +142,70 @@
 
     @property
     def own_prefill_tokens(self) -> int:
-        """Tokens of this entry's prompts that are still to be read."""
+        """Tokens of this entry's prompts that are not processed yet."""
         return sum(request.prefill_tokens for request in self.in_flight.values())
 
     @property
     def count(self) -> int:
-        """Known requests of all entries."""
+        """Number of known requests of all entries."""
         return self.others.count + len(self.in_flight)
 
     def is_usable(self, now_s: float) -> bool:
-        """Tell whether new work may go there."""
+        """Return whether new requests may be sent to it."""
         is_open = not self.is_evacuated and not self.may_be_leaving(now_s)
         is_accepting = now_s >= self._ejected_until_s and not self.rest.is_likely_to_reject(now_s)
         return is_open and not self.is_replaced(now_s) and is_accepting
 
     @property
     def copy_count(self) -> int:
-        """This entry's runs that may go on there from a copy."""
+        """Number of this entry's runs that have a copy there."""
         return sum(request.is_copy for request in self.in_flight.values())
 
     def is_cold(self, now_s: float) -> bool:
-        """Tell whether it has started a moment ago."""
+        """Return whether it has just started and can take few requests."""
         return now_s < self._cold_until_s
 
     def is_replaced(self, now_s: float) -> bool:
-        """Tell whether another instance answers at its address, though it is still listed."""
+        """Return whether another instance answers at its address, though it is still listed."""
         return now_s < self._replaced_until_s
 
     def record_replaced(self, now_s: float) -> bool:
-        """Take note that another instance answers at its address.
+        """Record that another instance answers at its address.
 
-        :returns: whether that is news.
+        :returns: whether that was not known yet.
         """
         is_new = not self.is_replaced(now_s)
         self._replaced_until_s = now_s + REPLACED_TTL_S
         return is_new
 
     def record_cold(self, cold_ms: int, now_s: float) -> bool:
-        """Take note of how much longer it is cold, by its own word or the list's.
+        """Record for how long it stays cold, as reported by the instance or the list.
 
-        :returns: whether it was not known to be.
+        :returns: whether it was not known to be cold.
         """
         is_new = cold_ms > 0 and not self.is_cold(now_s)
         self._cold_until_s = now_s + cold_ms / 1000
         return is_new
 
     def assume_cold(self, cold_ms: int, now_s: float) -> None:
-        """Take it for cold for a time, unless it is known to be so for longer."""
+        """Treat it as cold for a time, unless it is known to be cold for longer."""
         self._cold_until_s = max(self._cold_until_s, now_s + cold_ms / 1000)
 
     def record_sent(self, now_s: float) -> None:
-        """Take note of a request that is sent to it."""
+        """Record a request that is sent to it."""
         if self._sent_s is None:
             self._sent_s = collections.deque(maxlen=MAX_SENT_TIMES)
         self._sent_s.append(now_s)
         self.rest.record_sent(now_s)
 
     def count_sent(self, since_s: float) -> int:
-        """Return how many requests this entry has sent to it after a moment."""
+        """Return how many requests this entry has sent to it after a time."""
         return sum(sent_s > since_s for sent_s in self._sent_s or ())
 
     def record_announced_leaving(self) -> bool:
-        """Record that it said itself that it leaves, which it does not take back.
+        """Record that the instance announced that it leaves, which it cannot revoke.
 
-        :returns: whether that is news.
+        :returns: whether that was not known yet.
         """
         is_new = not self.has_announced_leaving
         self.has_announced_leaving = True
@@ -207,25 +213,25 @@
         return is_new
 
     def may_be_leaving(self, now_s: float) -> bool:
-        """Tell whether it leaves, or says something that may mean so."""
+        """Return whether it leaves, or has a current alarm, which may mean the same."""
         return self.is_leaving or self.is_alarmed(now_s)
 
     def is_expected_to_end(self, now_s: float) -> bool:
-        """Tell whether it has announced that it leaves, so that its end shows nothing."""
+        """Return whether it announced that it leaves, so that its termination proves nothing."""
         has_announced = self.instance.is_leaving or self.has_announced_leaving
         return has_announced or now_s - self._last_reported_s < ALARM_TTL_S
 
     def is_alarmed(self, now_s: float) -> bool:
-        """Tell whether an alarm about it counts."""
+        """Return whether an alarm about it is current."""
         return now_s - max(self._last_reported_s, self._last_detected_s) < ALARM_TTL_S
 
     def raise_alarm(self, now_s: float, kind: shared_load.AlarmKind) -> bool:
         """Raise an alarm.
 
-        :param kind: that it could not be reached may be the fault of whoever tried, and says
-            nothing of the instance's own word.
-        :returns: whether it is a new one; a false one of the same kind before makes this one
-            count for nothing.
+        :param kind: an alarm that the instance is unreachable may be the fault of its reporter and
+            is counted apart from an alarm that the instance raised itself.
+        :returns: whether the alarm counts: it is new, and no false alarm of the same kind preceded
+            it within the cooldown.
         """
         is_own_report = kind is shared_load.AlarmKind.UNHEALTHY
         last_s = self._last_reported_s if is_own_report else self._last_detected_s
@@ -238,26 +244,27 @@
         return True
 
     def update_load(self, load: dialects.UpstreamLoad | None, now_s: float) -> None:
-        """Take the load that an answer told."""
+        """Store the load that an answer reported, if any."""
         if load is not None:
             self._load = load
             self._load_s = now_s
 
     def get_reported_count(self, now_s: float) -> int:
-        """Return the requests there by its own word, or 0 if that word is old."""
+        """Return the number of requests that the instance reported, or 0 if that is outdated."""
         if self._load is None or now_s - self._load_s > LOAD_TTL_S:
             return 0
         return self._load.running + self._load.waiting
 
     def record_answer(self) -> None:
-        """Take note that it answers."""
+        """Record that it answers."""
         self._failures = 0
         self._ejection_s = INITIAL_EJECTION_S
 
     def record_failure(self, now_s: float, *, is_unreachable: bool = False) -> bool:
-        """Take note of an attempt without an answer; True if it is ejected from now on.
+        """Record an attempt without an answer.
 
-        :param is_unreachable: no connection was made, which one request finds out for all.
+        :param is_unreachable: no connection was made; a single such attempt ejects the instance.
+        :returns: whether the instance is ejected from now on.
         """
         self._failures += 1
         self._reporters[OWN_REPORTER] = now_s
@@ -267,7 +274,10 @@
         return True
 
     def record_peer_failure(self, reporter: str, now_s: float) -> bool:
-        """Take note that another entry lost a request there; True if it is ejected from now on."""
+        """Record that another entry lost a request there.
+
+        :returns: whether the instance is ejected from now on.
+        """
         self._reporters[reporter] = now_s
         return self._eject_if_reported(now_s)
 
@@ -296,11 +306,11 @@
         self._by_key: dict[int, Upstream] = {}
 
     def get(self, incarnation_id: str) -> Upstream | None:
-        """Return a run of an instance, or None if it is not listed."""
+        """Return an incarnation of an instance, or None if it is not listed."""
         return self._upstreams.get(incarnation_id)
 
     def get_by_key(self, key: int) -> Upstream | None:
-        """Return the instance that datagrams name by a number, or None if it is not listed."""
+        """Return the instance with a datagram key, or None if it is not listed."""
         return self._by_key.get(key)
 
     def get_service(self, service: str) -> list[Upstream]:
@@ -314,12 +324,12 @@
     def update_instances(
         self, listed: Iterable[instances.Instance], now_s: float
     ) -> list[Upstream]:
-        """Take over a reading of the platform's list.
+        """Apply a new version of the platform's instance list.
 
-        A former run of an instance that was started again is passed over: such a reading is
-        older than one before, and the run that is known stays.
+        A previous incarnation of a restarted instance is ignored: such a list is older than one
+        already applied, and the known incarnation stays.
 
-        :returns: instances that began to leave, are gone or started again with work on them.
+        :returns: instances that began to leave, or are gone or restarted with requests in flight.
         """
         before = self._upstreams
         self._upstreams = {}
@@ -341,9 +351,9 @@
         return leaving
 
     def set_evacuated(self, halls: frozenset[str]) -> list[Upstream]:
-        """Take over which halls are evacuated.
+        """Set which halls are evacuated.
 
-        :returns: instances of the halls that were until now.
+        :returns: instances of the halls that are no longer evacuated.
         """
         reopened = self._evacuated_halls - halls
         self._evacuated_halls = halls
@@ -363,11 +373,11 @@
         if upstream is None:
             upstream = Upstream(instance)
             if known is not None:
-                # It was started elsewhere, which an id alone does not tell.
+                # The address changed, so it is a new process, though the id is the same.
                 known.has_restarted = True
                 before[instance.incarnation_id] = known
         if instance.cold_ms and upstream.listed_cold is not instance:
-            # The same reading comes again with each one in which the instance has not changed.
+            # Unchanged list entries are passed again with each update of the list.
             upstream.listed_cold = instance
             upstream.assume_cold(instance.cold_ms, now_s)
         upstream.instance = instance
