--- a/src/spoolhead/_internal/contents/__init__.py
+++ b/src/spoolhead/_internal/contents/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the instances which run them: what an entry finds out and hears of them."""
+"""Detection and exchange of requests whose content crashes the instances that run them."""
--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -1,6 +1,6 @@
-"""What an entry finds out about requests that end the instances which run them, and hears of them.
+"""Collects evidence about requests that crash instances, and exchanges it with other processes.
 
-What is decided from it is worked out in :mod:`spoolhead._internal.policy.quarantine`.
+The decisions are made in :mod:`spoolhead._internal.policy.quarantine`.
 """
 
 import logging
@@ -14,13 +14,14 @@
 
 
 class ContentWatch:
-    """Keeps what one entry knows of contents that may end instances.
+    """The knowledge of one entry about contents that may crash instances.
 
     :param name: the entry's name.
     :param clock: monotonic time in seconds.
-    :param request_broadcast: called when something is to be told at once.
-    :param on_held: called with the name of a content of which nothing may go on running.
-    :ivar is_in_sync: a hub has been heard that knew what is known here, and nothing else.
+    :param request_broadcast: called when something is to be sent at once.
+    :param on_held: called with the id of a content whose running requests must be cancelled.
+    :ivar is_in_sync: a hub has reported the same digest as this entry's, so nothing is missing
+        here.
     """
 
     def __init__(
@@ -46,74 +47,76 @@
 
     @property
     def held_count(self) -> int:
-        """Contents that are held."""
+        """Number of held contents."""
         return self._quarantine.held_count
 
     @property
     def has_unsent(self) -> bool:
-        """Whether something is left to tell."""
+        """Whether something is left to send."""
         return self._broadcast.has_pending
 
     def evaluate(self, content_id: bytes) -> quarantine.Verdict:
-        """Decide on a request that has just come."""
+        """Decide on a new request."""
         return self._quarantine.evaluate(content_id, self._clock())
 
     def is_held(self, content_id: bytes) -> bool:
-        """Tell whether a content is held."""
+        """Return whether a content is held."""
         return self._quarantine.is_held(content_id)
 
     def is_suspect(self, content_id: bytes) -> bool:
-        """Tell whether a content was at an instance that ended, and has not ended well since."""
+        """Return whether a content was at an instance that crashed and has not completed since."""
         return self._quarantine.is_suspect(content_id)
 
     def claim_trial(self, content_id: bytes) -> None:
-        """Claim the one run that a held content is given."""
-        self._publish(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
+        """Claim the next trial of a held content."""
+        self._publish(
+            self._quarantine.claim_trial(content_id, self._clock()), "trial claimed by this entry"
+        )
 
     def may_run_trial(self, content_id: bytes) -> bool:
-        """Tell whether this entry's claim still stands, once."""
+        """Return whether this entry's claim stands; True only once."""
         return self._quarantine.may_run_trial(content_id)
 
     def record_lost(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
-        """Take note of a request that an instance took and lost."""
+        """Record a request that an instance received and lost."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_lost(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "lost after that")
+            self._record_crash(incarnation_id, run, "request lost after the crash")
 
     def record_abandoned(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
-        """Take note of a request that an instance took and this entry has abandoned."""
+        """Record a request that an instance received and this entry has abandoned."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_abandoned(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "abandoned after that")
+            self._record_crash(incarnation_id, run, "request abandoned after the crash")
 
     def has_abandoned(self, incarnation_id: str) -> bool:
-        """Tell whether this entry abandoned a request at an instance just now."""
+        """Return whether this entry recently abandoned a request at an instance."""
         return self._lost_runs.has_abandoned(incarnation_id, self._clock())
 
     def record_ended(self, incarnation_id: str, evidence: str) -> None:
-        """Take note that a run of an instance has ended, and of what shows it."""
-        for run in self._lost_runs.record_ended(incarnation_id, self._clock()):
+        """Record that an incarnation of an instance has crashed, and the evidence for it."""
+        for run in self._lost_runs.record_crashed(incarnation_id, self._clock()):
             self._record_crash(incarnation_id, run, evidence)
 
     def record_alive(self, incarnation_id: str) -> None:
-        """Take note that a run of an instance lives."""
+        """Record that an incarnation of an instance is alive."""
         self._lost_runs.record_alive(incarnation_id)
 
     def record_harmless(self, content_id: bytes) -> None:
-        """Take note of a request that has ended well."""
+        """Record that a request was answered, which shows that its content is harmless."""
         record = self._quarantine.record_harmless(content_id, self._clock())
         if record is not None:
-            self._publish(record, "it ended well here")
+            self._publish(record, "answered at this entry")
 
     def handle_update(self, hub: str, update: shared_load.ContentUpdate) -> None:
-        """Take what a hub tells."""
+        """Handle the content records and digest sent by a hub."""
         self.merge_records(hub, update.records)
         if update.digest == self._quarantine.registry.digest:
             self.is_in_sync = True
         self._broadcast.record_digest(hub, update.digest, self._clock())
 
     def pop_changed(self) -> list[content_record.AgedRecord]:
-        """Return the records that were not told since they changed, to be told without loss."""
+        """Return the changed records that have not been sent, for a reliable channel."""
         return self._broadcast.pop_changed(self._clock())
 
     def get_all(self) -> list[content_record.AgedRecord]:
@@ -122,18 +125,18 @@
         return registry.get_all_aged(registry.get_ids(), self._clock())
 
     def merge_records(self, peer: str, items: list[content_record.AgedRecord]) -> None:
-        """Take records that another process tells."""
+        """Merge records reported by another process."""
         for record in self._quarantine.merge_records(items, self._clock()):
-            self._log(record, f"told by {peer}")
+            self._log(record, f"reported by {peer}")
             self._report_if_held(record)
 
     def make_content_update(self) -> shared_load.ContentUpdate:
-        """Return what a report made now should carry."""
+        """Return the records and digest for the next report."""
         records = self._broadcast.pop_batch(self._clock())
         return shared_load.ContentUpdate(records, self._quarantine.registry.digest)
 
     def make_digest_update(self) -> shared_load.ContentUpdate:
-        """Return what a report carries that tells nothing."""
+        """Return an update with the digest alone, for a report without records."""
         return shared_load.ContentUpdate(digest=self._quarantine.registry.digest)
 
     def _make_run(self, content_id: bytes, sent_s: float) -> lost_runs.LostRun:
@@ -141,12 +144,12 @@
 
     def _record_crash(self, incarnation_id: str, run: lost_runs.LostRun, evidence: str) -> None:
         key = shared_load.get_key(incarnation_id)
-        record = self._quarantine.record_end(run.content_id, key, run.sent_s, run.lost_s)
+        record = self._quarantine.record_crash(run.content_id, key, run.sent_s, run.lost_s)
         if record is not None:
-            self._publish(record, f"{incarnation_id} ended: {evidence}")
+            self._publish(record, f"{incarnation_id} crashed: {evidence}")
 
     def _publish(self, record: content_record.ContentRecord, reason: str) -> None:
-        """Pass on what this entry has found out itself."""
+        """Broadcast a record that this entry has changed itself."""
         self._log(record, reason)
         self._broadcast.record_changed(record.content_id)
         self._request_broadcast()
@@ -168,4 +171,4 @@
             "is_by_hand": record.is_by_hand,
             "reason": reason,
         }
-        logger.info("content is judged anew", extra={"fields": fields})
+        logger.info("content record changed", extra={"fields": fields})
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -1,7 +1,7 @@
-"""Finds out whether an instance that lost a request has ended, or only its connection has.
+"""Checks whether an instance that lost a request has crashed, or only its connection was lost.
 
-The question goes out at once, on a new connection: a process that has ended refuses it, and is back
-after some seconds.
+The query is sent at once, on a new connection: a crashed process refuses connections, and restarts
+within some seconds.
 """
 
 import logging
@@ -13,24 +13,25 @@
 logger = logging.getLogger(__name__)
 
 ANSWER_TIMEOUT_S = 0.5
-"""Longest wait for an answer: many times the usual few milliseconds. Without one the list of
-instances, or another entry, has to tell."""
+"""Maximum wait for an answer, many times the usual few milliseconds. Without an answer, the
+instance list or another entry has to report the crash."""
 
 RETRY_INTERVAL_S = 0.1
-"""Pause before a question is put again whose connection was made and lost: a process that is just
-ending still takes connections for a moment, and by then refuses them."""
+"""Interval before a query is repeated whose connection was made and then lost: a process that is
+just crashing still accepts connections for a moment, and refuses them by then."""
 MAX_QUERIES = 4
-"""Questions about one loss, within 0.3 s. A connection was seen to be taken 3 ms after a loss,
-beside six busy processes; where an end stays unseen, its requests are not suspected."""
+"""Maximum number of queries about one loss, within 0.3 s. A connection was accepted as late as 3 ms
+after a loss, beside six busy processes; if a crash stays undetected, its requests do not become
+suspects."""
 
 
 class EndQuery:
-    """An instance to be asked.
+    """An instance to be queried.
 
-    :ivar incarnation_id: which run of which instance lost the request.
-    :ivar instance_id: id by which the instance names itself; empty if it does not.
+    :ivar incarnation_id: incarnation of the instance that lost the request.
+    :ivar instance_id: id that the instance states in its answers; empty if it states none.
     :ivar address: ``IP:PORT``.
-    :ivar path: what to ask for.
+    :ivar path: path to request.
     """
 
     __slots__ = ("address", "instance_id", "incarnation_id", "path")
@@ -43,7 +44,7 @@
 
 
 class _Query:
-    """One question."""
+    """One query in flight."""
 
     __slots__ = ("target", "call", "instance_id", "number", "owner", "timer")
 
@@ -74,13 +75,13 @@
 
 
 class EndWatch:
-    """Asks instances that lost a request.
+    """Queries instances that lost a request.
 
     :param calls: makes HTTP requests.
-    :param timers: calls back.
-    :param contents: is told what is found.
-    :param read_instance_id: returns the id by which an answer names its instance, or nothing.
-    :param on_ended: called with the run of an instance that was found to have ended.
+    :param timers: schedules callbacks.
+    :param contents: receives the results.
+    :param read_instance_id: returns the instance id that an answer states, or an empty string.
+    :param on_ended: called with the incarnation id of an instance that has crashed.
     """
 
     def __init__(
@@ -100,61 +101,61 @@
         self._queries: dict[str, _Query] = {}
 
     def query(self, target: EndQuery) -> None:
-        """Ask an instance that has just lost a request, unless it is being asked."""
+        """Query an instance that has just lost a request, unless a query is in flight."""
         if target.path:
             self._ask(target, 1)
 
     def _ask(self, target: EndQuery, number: int) -> None:
         if target.incarnation_id in self._queries:
             return
-        query_state = self._queries[target.incarnation_id] = _Query(self, target, number)
-        query_state.timer = self._timers.call_later(ANSWER_TIMEOUT_S, query_state.on_timeout)
+        query = self._queries[target.incarnation_id] = _Query(self, target, number)
+        query.timer = self._timers.call_later(ANSWER_TIMEOUT_S, query.on_timeout)
         request = upstream_calls.make_request("GET", target.path, target.address, (), b"")
-        query_state.call = self._calls.open(target.address, request, query_state, fresh=True)
-
-    def handle_answer(self, query_state: _Query) -> None:
-        """Take an answer: the instance lives, or another one stands in its place."""
-        self._remove(query_state)
-        target = query_state.target
-        if query_state.instance_id and query_state.instance_id != target.instance_id:
-            self._handle_end(query_state, f"{query_state.instance_id} answers")
-        elif query_state.instance_id or not target.instance_id:
-            self._log(query_state, "it answers")
+        query.call = self._calls.open(target.address, request, query, fresh=True)
+
+    def handle_answer(self, query: _Query) -> None:
+        """Handle an answer: the instance is alive, or another one answers at its address."""
+        self._remove(query)
+        target = query.target
+        if query.instance_id and query.instance_id != target.instance_id:
+            self._handle_end(query, f"{query.instance_id} answers at its address")
+        elif query.instance_id or not target.instance_id:
+            self._log(query, "the instance answers")
             self._contents.record_alive(target.incarnation_id)
         else:
-            self._log(query_state, "it does not say which instance answers")
+            self._log(query, "the answer states no instance id")
 
-    def handle_loss(self, query_state: _Query, reason: str) -> None:
-        """Take the loss of a question; refused, the instance has ended."""
-        self._remove(query_state)
+    def handle_loss(self, query: _Query, reason: str) -> None:
+        """Handle a lost query; if its connection was refused, the instance has crashed."""
+        self._remove(query)
         if reason == links.REFUSED:
-            self._handle_end(query_state, reason)
+            self._handle_end(query, reason)
             return
-        self._log(query_state, reason)
-        if query_state.number < MAX_QUERIES:
-            target, number = query_state.target, query_state.number + 1
+        self._log(query, reason)
+        if query.number < MAX_QUERIES:
+            target, number = query.target, query.number + 1
             self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(target, number))
 
-    def handle_timeout(self, query_state: _Query) -> None:
-        """Take the want of an answer, which another question would not change."""
-        self._remove(query_state)
-        self._log(query_state, "no answer")
+    def handle_timeout(self, query: _Query) -> None:
+        """Handle a missing answer, which another query would not change."""
+        self._remove(query)
+        self._log(query, "no answer")
 
-    def _handle_end(self, query_state: _Query, evidence: str) -> None:
-        self._log(query_state, evidence, has_ended=True)
-        incarnation_id = query_state.target.incarnation_id
+    def _handle_end(self, query: _Query, evidence: str) -> None:
+        self._log(query, evidence, has_ended=True)
+        incarnation_id = query.target.incarnation_id
         self._on_ended(incarnation_id)
         self._contents.record_ended(incarnation_id, evidence)
 
-    def _remove(self, query_state: _Query) -> None:
-        self._queries.pop(query_state.target.incarnation_id, None)
-        if query_state.timer is not None:
-            query_state.timer.cancel()
+    def _remove(self, query: _Query) -> None:
+        self._queries.pop(query.target.incarnation_id, None)
+        if query.timer is not None:
+            query.timer.cancel()
 
-    def _log(self, query_state: _Query, outcome: str, *, has_ended: bool = False) -> None:
+    def _log(self, query: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": query_state.target.incarnation_id,
+            "upstream": query.target.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
-        logger.info("upstream that lost a request was asked", extra={"fields": fields})
+        logger.info("queried an upstream that lost a request", extra={"fields": fields})
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -1,9 +1,9 @@
-"""Keeps a process's records of contents on its disk.
+"""Saves a process's content records on its disk.
 
-Few entries have a disk, so without this all would be forgotten if they and the keepers lost power
-at once, and each deadly request would end instances anew. One keeper whose disk is left is enough,
-since processes tell each other what they know. A thread of its own writes, so that a slow disk
-delays nobody.
+Few entries have a disk, so without this file all records would be lost if the entries and the
+keepers lost power together, and each deadly request would crash instances again. One keeper with an
+intact disk is enough, since processes exchange their records. A separate thread writes the file, so
+that a slow disk delays nothing else.
 """
 
 import logging
@@ -25,14 +25,16 @@
 
 FILE_NAME = "contents"
 FORMAT_VERSION = 1
-"""Form of the file. One of another form is left unread: that costs two instances, no promise."""
+"""Version of the file format. A file of another version is not read: that costs two crashed
+instances, but breaks no guarantee."""
 MIN_SAVE_INTERVAL_S = 0.25
-"""Least time between two writings. A thousand records, the most that are kept, take some 60 KB, so
-a flood costs the disk 240 KB/s at most; what is lost with the power is no older than this."""
+"""Minimum interval between two writes. The maximum of a thousand records takes some 60 KB, so
+frequent changes cost the disk 240 KB/s at most; records lost with the power are no older than this
+interval."""
 
 
 def encode(items: list[content_record.AgedRecord], wall_s: float) -> bytes:
-    """Return the content of the file.
+    """Return the bytes of the file.
 
     :param wall_s: the time of day, in seconds.
     """
@@ -41,32 +43,33 @@
 
 
 def decode(data: bytes, wall_s: float) -> list[content_record.AgedRecord]:
-    """Read the content of the file.
+    """Decode the bytes of the file.
 
-    The time since it was written counts by the time of day, the only clock that outlasts a start.
+    Ages include the time since the file was written, by the time of day, the only clock that
+    survives a restart.
 
     :param wall_s: the time of day, in seconds.
-    :raises ValueError: if it cannot be read.
-    :raises TypeError: if it cannot be read.
+    :raises ValueError: if the data is not valid.
+    :raises TypeError: if the data is not valid.
     """
     payloads = changelog.scan(data).payloads
     if not payloads:
-        raise ValueError("no whole record")
+        raise ValueError("no complete record")
     version, wall_ms, values = msgpack.unpackb(payloads[0])
     if version != FORMAT_VERSION:
-        raise ValueError(f"form {version!r}")
+        raise ValueError(f"unknown format version {version!r}")
     since_ms = max(0, int(wall_s * 1000) - wall_ms)
     items = content_record.unpack(values)
     return [content_record.AgedRecord(item.record, item.age_ms + since_ms) for item in items]
 
 
 class SavedContents:
-    """Fills a book from the disk, and keeps the disk up to date with it.
+    """Loads a registry from the disk and saves its changes.
 
     :param folder: the process's data folder.
     :param registry: the records.
-    :param timers: calls back.
-    :param clock: monotonic time in seconds, by which the book counts.
+    :param timers: schedules callbacks.
+    :param clock: monotonic time in seconds, as used by the registry.
     :param wall_clock: the time of day in seconds.
     """
 
@@ -95,7 +98,7 @@
         threading.Thread(target=self._run, name="saved-contents", daemon=True).start()
 
     def record(self) -> None:
-        """Have the records saved soon, if they have changed."""
+        """Schedule a write of the records if they have changed."""
         if self._registry.digest == self._digest or self._timer is not None:
             return
         delay_s = self._earliest_s - self._clock()
@@ -106,12 +109,12 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether all that was noted is on the disk."""
+        """Whether all recorded changes are on the disk."""
         with self._condition:
             return self._timer is None and self._is_synced
 
     def wait_until_synced(self, timeout_s: float) -> bool:
-        """Wait until all that was to be saved is on the disk; False if that took too long."""
+        """Wait until all changes are on the disk; return False on a timeout."""
         if self._timer is not None:
             self._save()
         with self._condition:
@@ -139,10 +142,10 @@
             items = decode(self._path.read_bytes(), self._wall_clock())
         except (OSError, TypeError, ValueError) as error:
             fields["reason"] = str(error)
-            logger.warning("saved contents are left unread", extra={"fields": fields})
+            logger.warning("cannot read saved contents", extra={"fields": fields})
             return
         fields["contents"] = len(self._registry.merge(items, self._clock()))
-        logger.info("saved contents are known again", extra={"fields": fields})
+        logger.info("loaded saved contents", extra={"fields": fields})
 
     def _run(self) -> None:
         while True:
@@ -160,7 +163,7 @@
                 time.sleep(disk_refusals.RETRY_S)
 
     def _write(self, data: bytes) -> bool:
-        """Write the file; False if the disk refuses that."""
+        """Write the file; return False if the disk refuses it."""
         try:
             files.replace_file(self._path, data)
         except exceptions.DiskError as error:
--- a/src/spoolhead/_internal/load_broadcast/__init__.py
+++ b/src/spoolhead/_internal/load_broadcast/__init__.py
@@ -1,1 +1,1 @@
-"""How processes tell each other of the work that entries hold: sockets and times of both sides."""
+"""Sockets and send timing of the load reports, totals and updates between processes."""
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -1,6 +1,6 @@
-"""The datagrams of a hub: what it takes, when it tells what to whom.
+"""Sends and receives the datagrams of a hub.
 
-What is told is worked out in :mod:`spoolhead._internal.policy.load_hub`.
+Their content is computed in :mod:`spoolhead._internal.policy.load_hub`.
 """
 
 import logging
@@ -14,26 +14,29 @@
 logger = logging.getLogger(__name__)
 
 COALESCE_DELAY_S = 0.002
-"""Pause before a change is told after a quiet time, so that what changes with it goes along."""
+"""Delay before a change is sent after a quiet time, so that concurrent changes are sent
+together."""
 MIN_SEND_INTERVAL_S = 0.02
-"""Least time between two parts, so that a receiver takes in fifty a second at most: each costs an
-entry 15 us and a turn of its loop. A change after a quiet time does not wait for it."""
+"""Minimum interval between two datagrams, so that a receiver handles fifty a second at most: each
+costs an entry 15 us and a turn of its event loop. A change after a quiet time is not delayed by
+it."""
 MAX_RECEIVER_BYTES_PER_S = 10_000
-"""What one receiver may be sent: half of what a process may spend on control. Small parts, as small
-fleets have, then go each 20 ms, full ones of 300 bytes each 30 ms."""
+"""Maximum rate for one receiver: half of what a process may use for control traffic. Small
+datagrams, as in small fleets, are then sent every 20 ms, full ones of 300 bytes every 30 ms."""
 HEADER_BYTES = 28
-"""What a datagram takes on the link besides its payload."""
+"""Header bytes of a datagram on the link."""
 MAX_COUNTED_BYTES = 9
-"""What an update names the receiver's own report with, at most."""
+"""Maximum size of the sequence of the receiver's own report in an update."""
 HEARTBEAT_INTERVAL_S = 0.1
-"""Time after which something is said though nothing has changed, so that a lost hub is noticed."""
+"""Interval after which a datagram is sent although nothing has changed, so that a lost hub is
+noticed."""
 
 
 class _SendSizes:
-    """A datagram that went to several receivers.
+    """Sizes of a datagram sent to several receivers.
 
     :ivar datagram_bytes: its size with headers.
-    :ivar total_bytes: what all of them got.
+    :ivar total_bytes: the bytes sent to all receivers.
     """
 
     __slots__ = ("total_bytes", "datagram_bytes")
@@ -46,11 +49,11 @@
 class HubPort:
     """Runs a hub.
 
-    :param timers: calls back.
-    :param hub: what the hub knows.
+    :param timers: schedules callbacks.
+    :param hub: state of the hub.
     :param send: sends a datagram.
-    :param get_hubs: returns where other hubs may be, besides those that were heard.
-    :param bytes_per_s: what the hub may send, as far as that delays what it tells.
+    :param get_hubs: returns addresses of possible hubs, in addition to those that sent totals.
+    :param bytes_per_s: rate that the hub may send at, by which its datagrams are delayed.
     :param clock: monotonic time in seconds.
     """
 
@@ -79,7 +82,7 @@
     def handle_datagram(
         self, message: shared_load.Report | shared_load.Totals, sender: endpoints.Endpoint
     ) -> None:
-        """Take a datagram of an entry or of another hub."""
+        """Handle a datagram of an entry or of another hub."""
         now_s = self._clock()
         if self._hub.is_idle:
             self._hub.discard_pending(now_s)
@@ -100,7 +103,7 @@
     ) -> None:
         if self._hub.handle_report(report, sender, now_s):
             fields = {"entry": report.sender, "hall": report.hall}
-            logger.info("entry reports its load here", extra={"fields": fields})
+            logger.info("entry reports its load to this hub", extra={"fields": fields})
         update = self._hub.make_due_snapshot(report.sender, now_s)
         if update is not None:
             encoded = shared_load.encode_update(update)
--- a/src/spoolhead/_internal/load_broadcast/load_socket.py
+++ b/src/spoolhead/_internal/load_broadcast/load_socket.py
@@ -14,11 +14,11 @@
 
 
 class LoadSocket:
-    """Sends and takes the datagrams by which work at instances is told.
+    """Sends and receives the datagrams that report load.
 
     :param loop: root of the program.
     :param address: where to listen.
-    :param handle: gets each datagram that can be read, and where it came from.
+    :param handle: called with each decoded datagram and its sender.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
         loop.poller.add_direct_reader(loop, self._sock, self._on_readable)
 
     def send(self, data: bytes, address: endpoints.Endpoint) -> None:
-        """Send a datagram; one that cannot be sent is made good by the next."""
+        """Send a datagram; if that fails, the next one makes up for it."""
         try:
             self._sock.sendto(data, address)
         except OSError as error:
-            logger.debug("datagram not sent to %s: %s", address, error)
+            logger.debug("cannot send datagram to %s: %s", address, error)
 
     def _on_readable(self, sock: socket.socket) -> None:
         while True:
@@ -49,6 +49,6 @@
             try:
                 message = shared_load.decode(data)
             except ValueError as error:
-                logger.warning("datagram that tells no load: %s", error)
+                logger.warning("ignored a malformed load datagram: %s", error)
                 continue
             self._handle(message, sender)
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -78,6 +78,7 @@
         return {key: row.copy() for key, row in self._rows.items()}
 
     def _count_empty_send(self, key: int) -> bool:
+        """Return whether a row without load has been sent often enough to be removed."""
         if self._rows[key]:
             return False
         send_count = self._empty_send_counts.get(key, 0) + 1
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._lost: dict[str, list[LostRun]] = {}
         self._abandoned: dict[str, list[LostRun]] = {}
-        self._ended_s: dict[str, float] = {}
+        self._crashed_s: dict[str, float] = {}
 
     def record_lost(self, incarnation_id: str, run: LostRun) -> bool:
         """Record a lost request.
@@ -45,7 +45,7 @@
         :returns: whether its instance is known to have crashed; otherwise the request waits for
             that.
         """
-        if self._has_ended(incarnation_id, run.lost_s):
+        if self._has_crashed(incarnation_id, run.lost_s):
             return True
         self._lost.setdefault(incarnation_id, []).append(run)
         return False
@@ -55,7 +55,7 @@
 
         :returns: as :meth:`record_lost` does.
         """
-        if self._has_ended(incarnation_id, run.lost_s):
+        if self._has_crashed(incarnation_id, run.lost_s):
             return True
         self._abandoned.setdefault(incarnation_id, []).append(run)
         return False
@@ -66,10 +66,10 @@
             now_s - run.lost_s <= ABANDONED_TTL_S for run in self._abandoned.get(incarnation_id, [])
         )
 
-    def record_ended(self, incarnation_id: str, now_s: float) -> list[LostRun]:
+    def record_crashed(self, incarnation_id: str, now_s: float) -> list[LostRun]:
         """Record that an instance has crashed; return this entry's requests lost there."""
         self._expire(now_s)
-        self._ended_s.setdefault(incarnation_id, now_s)
+        self._crashed_s.setdefault(incarnation_id, now_s)
         abandoned = [
             # It counts as lost now, since the crash is known only now.
             LostRun(run.content_id, sent_s=run.sent_s, lost_s=now_s)
@@ -84,15 +84,15 @@
         """
         self._lost.pop(incarnation_id, None)
 
-    def _has_ended(self, incarnation_id: str, now_s: float) -> bool:
+    def _has_crashed(self, incarnation_id: str, now_s: float) -> bool:
         self._expire(now_s)
-        return incarnation_id in self._ended_s
+        return incarnation_id in self._crashed_s
 
     def _expire(self, now_s: float) -> None:
         oldest_s = now_s - RETENTION_S
-        if len(self._ended_s) + len(self._lost) > MAX_INSTANCES:
+        if len(self._crashed_s) + len(self._lost) > MAX_INSTANCES:
             oldest_s = now_s
-        self._ended_s = {name: at_s for name, at_s in self._ended_s.items() if at_s >= oldest_s}
+        self._crashed_s = {name: at_s for name, at_s in self._crashed_s.items() if at_s >= oldest_s}
         self._lost = {
             name: runs for name, runs in self._lost.items() if runs[-1].lost_s >= oldest_s
         }
--- a/src/spoolhead/_internal/policy/permit_backoff.py
+++ b/src/spoolhead/_internal/policy/permit_backoff.py
@@ -1,10 +1,13 @@
-"""When an entry asks again for a permit that was rejected; no I/O, time passed in."""
+"""Decides when an entry may ask again after a rejected permit.
+
+Performs no I/O; the current time is passed in.
+"""
 
 import math
 
 OTHER_WORKSPACES_FRACTION = 0.25
-"""Part of the backoff after which requests of other workspaces ask, so that one does not keep all
-others from being heard."""
+"""Fraction of the backoff after which requests of other workspaces may ask, so that one workspace
+does not block all others."""
 
 
 class _Rejection:
@@ -21,7 +24,7 @@
 
 
 class PermitBackoff:
-    """The rejections that one entry got."""
+    """The rejections that one entry received."""
 
     __slots__ = ("_rejections",)
 
@@ -40,11 +43,11 @@
     ) -> None:
         """Record a rejection.
 
-        :param key: number of the instance.
+        :param key: key of the instance.
         :param rank: rank of the request that was rejected.
         :param workspace: its workspace.
-        :param retry_after_ms: when a request that is refused now should come back.
-        :param backoff_ms: time for which not to ask again.
+        :param retry_after_ms: time after which a request that is refused now should retry.
+        :param backoff_ms: time for which the entry must not ask again.
         """
         rejection = _Rejection(rank, workspace, retry_at_s=now_s + max(0, retry_after_ms) / 1000)
         backoff_s = max(0, backoff_ms) / 1000
@@ -52,12 +55,12 @@
         rejection.others_until_s = now_s + backoff_s * OTHER_WORKSPACES_FRACTION
         known = self._rejections.get(key)
         if known is not None and known.until_s > now_s:
-            # The most urgent request that was rejected decides who still may ask.
+            # The most urgent rejected request decides which requests may still ask.
             rejection.rank = min(rank, known.rank)
         self._rejections[key] = rejection
 
     def blocks(self, key: int, rank: int, workspace: str, now_s: float) -> bool:
-        """Tell whether a request need not ask, as one at least as urgent was just rejected."""
+        """Return whether a request must not ask, as one at least as urgent was just rejected."""
         rejection = self._rejections.get(key)
         if rejection is None or rank < rejection.rank:
             return False
@@ -65,7 +68,7 @@
         return now_s < (rejection.until_s if is_same else rejection.others_until_s)
 
     def get_retry_after_ms(self, key: int, now_s: float) -> int:
-        """Return when a request that is not granted may come back."""
+        """Return the time after which a request without a permit may retry."""
         rejection = self._rejections.get(key)
         if rejection is None:
             return 0
@@ -73,7 +76,7 @@
         return max(1, math.ceil((return_s - now_s) * 1000))
 
     def expire(self, now_s: float) -> None:
-        """Forget rejections that keep nobody back any more."""
+        """Remove rejections that no longer block any request."""
         self._rejections = {
             key: item
             for key, item in self._rejections.items()
@@ -81,5 +84,5 @@
         }
 
     def clear(self, key: int) -> None:
-        """Forget the rejection for an instance."""
+        """Remove the rejection for an instance."""
         self._rejections.pop(key, None)
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -1,9 +1,11 @@
-"""Shares out what limited instances accept among the entries that ask; no I/O, time passed in.
+"""Grants permits for rate-limited instances to the entries.
 
-For each limited instance one entry, the first granter, keeps a token bucket at the limit and grants
-permits one by one to whoever asks, so the limit holds whatever the number of entries and wherever
-the demand is. An entry that stands in for a granter which does not reply grants a part of the limit
-only, because the first granter may be alive and reached by others.
+Performs no I/O; the current time is passed in.
+
+For each limited instance one entry, the primary granter, keeps a token bucket at the limit and
+grants permits one by one to the entries that ask, so the limit holds whatever the number of entries
+and wherever the load arises. A backup that replaces a granter which does not reply grants only a
+fraction of the limit, because the primary granter may be alive and reachable by other entries.
 """
 
 import collections
@@ -13,34 +15,36 @@
 from spoolhead._internal.policy import limit_registry, token_bucket
 
 BURST_S = 0.25
-"""Time whose tokens are kept for later, besides one."""
+"""Time whose tokens may accumulate, in addition to one token."""
 BACKUP_FRACTION = 0.4
-"""Part of the limit that an entry grants while it is not the first granter."""
+"""Fraction of the limit that an entry grants while it is not the primary granter."""
 PRIMARY_TTL_S = 2.0
-"""Time after an ask to the first granter for which it takes itself for that."""
+"""Time after a request to the primary granter for which it considers itself primary."""
 PROBE_RATE_PER_S = 0.2
-"""Rate at which requests go to an instance with a lower limit, to learn when it is lifted."""
+"""Rate at which requests are sent to an instance with a lower limit, to learn when the limit is
+lifted."""
 MAX_RETRY_AFTER_S = 5.0
 MIN_REQUESTS_PER_S = 12.0
 REQUESTS_PER_TOKEN = 3.0
-"""Asks a second that a granter wants for an instance: some for each token, and a few in any case.
-The entries that ask are given a backoff by which they come to about that."""
+"""Permit requests a second that a granter aims at for an instance: a number for each token, and a
+minimum in any case. The backoff of the requesting entries is set so that they reach about that
+rate."""
 PHASE_COUNT = 1_000
 MIN_BACKOFF_S = 0.05
 REQUESTER_TTL_S = 12.0
-"""Time after its last ask for which an entry counts among those that ask."""
+"""Time after its last permit request for which an entry counts as a requester."""
 MAX_RECENT_GRANTS = 32
-"""Latest grants of an instance by which workspaces and halls take turns."""
+"""Recent grants of an instance by which workspaces and halls take turns."""
 MAX_REPLIES = 256
-"""Latest replies of an instance that are repeated for an ask that comes again."""
+"""Recent replies of an instance that are repeated for a duplicate request."""
 MAX_WAITING = 64
-"""Asks that wait for one instance."""
+"""Maximum number of requests that wait for one instance."""
 IDLE_TTL_S = 60.0
-"""Time without an ask after which an instance's bucket is forgotten."""
+"""Time without a permit request after which an instance's bucket is removed."""
 
 
 class AddressedReply:
-    """A reply and the entry that it goes to.
+    """A reply and its receiver.
 
     :ivar receiver: name of the entry.
     :ivar reply: the reply.
@@ -54,7 +58,7 @@
 
 
 class _WaitingRequest:
-    """An ask that waits for a token."""
+    """A permit request that waits for a token."""
 
     __slots__ = ("arrived_s", "request", "expires_s")
 
@@ -65,7 +69,7 @@
 
 
 class _InstancePermits:
-    """One instance's bucket and the asks for it."""
+    """One instance's token bucket and the requests that wait for it."""
 
     __slots__ = (
         "requested_s",
@@ -79,7 +83,7 @@
     )
 
     def __init__(self, key: int, now_s: float) -> None:
-        # Instances that state limits at one moment should not have tokens at the same moments.
+        # Spreads the tokens of instances that state limits at the same moment.
         self.bucket = token_bucket.TokenBucket(now_s, (key % PHASE_COUNT) / PHASE_COUNT)
         self.waiting: list[_WaitingRequest] = []
         self.recent_grants: collections.deque[tuple[int, str]] = collections.deque(
@@ -105,7 +109,7 @@
         self._instances: dict[int, _InstancePermits] = {}
 
     def handle_request(self, request: permits.PermitRequest, now_s: float) -> list[AddressedReply]:
-        """Take an ask; returns the replies that are due, to this one or to others."""
+        """Handle a permit request; return the replies now due, to this request or to others."""
         state = self._instances.get(request.key)
         if state is None:
             state = self._instances[request.key] = _InstancePermits(request.key, now_s)
@@ -127,7 +131,7 @@
         return replies
 
     def poll(self, now_s: float) -> list[AddressedReply]:
-        """Return the replies that have become due to asks that waited."""
+        """Return the replies that have become due to waiting requests."""
         replies: list[AddressedReply] = []
         for key, state in self._instances.items():
             limit_per_s = self._registry.get_limit_per_s(key)
@@ -138,13 +142,13 @@
         return replies
 
     def expire(self, now_s: float) -> None:
-        """Forget instances that nobody asks for any more."""
+        """Remove instances for which no entry has asked for a while."""
         for key, state in list(self._instances.items()):
             if not state.waiting and now_s - state.requested_s > IDLE_TTL_S:
                 del self._instances[key]
 
     def get_due_s(self, now_s: float) -> float | None:
-        """Return when :meth:`poll` has something to do; None if nothing waits."""
+        """Return when :meth:`poll` should be called next; None if no request waits."""
         due_times_s = []
         for key, state in self._instances.items():
             if not state.waiting:
@@ -165,7 +169,7 @@
     def _process_waiting(
         self, key: int, state: _InstancePermits, limit_per_s: float, now_s: float
     ) -> list[AddressedReply]:
-        """Grant what there are tokens for, and reject what can't be granted in time."""
+        """Grant requests while tokens last, and reject those that would get one too late."""
         rate_per_s = self._get_rate_per_s(key, state, now_s)
         state.bucket.update(rate_per_s, 1.0 + limit_per_s * BURST_S, now_s)
         replies = []
@@ -187,7 +191,7 @@
         return replies
 
     def _release_waiting(self, state: _InstancePermits, now_s: float) -> list[AddressedReply]:
-        """Let all that waits go, since the instance has lifted its limit."""
+        """Reply to all waiting requests, as the instance has lifted its limit."""
         waiting, state.waiting = state.waiting, []
         return [self._reply(item.request, permits.Verdict.UNLIMITED, now_s) for item in waiting]
 
@@ -201,7 +205,7 @@
     ) -> AddressedReply:
         _store_verdict(state, request, permits.Verdict.REJECTED)
         if request.is_final:
-            # Callers come back one after the other.
+            # Callers are told to retry one after the other.
             latest_s = now_s + MAX_RETRY_AFTER_S
             state.retry_at_s = min(
                 max(expected_grant_s, state.retry_at_s + 1 / rate_per_s), latest_s
@@ -227,7 +231,7 @@
 
 
 def _get_backoff_s(state: _InstancePermits, rate_per_s: float, now_s: float) -> float:
-    """Return the pause by which all entries that ask together ask as often as is wanted."""
+    """Return the backoff with which all requesting entries together reach the target rate."""
     state.requesters_s = {
         name: requested_s
         for name, requested_s in state.requesters_s.items()
@@ -240,7 +244,7 @@
 def _get_sort_key(
     state: _InstancePermits, item: _WaitingRequest
 ) -> tuple[int, bool, int, int, float]:
-    """Return an ask's place: by rank, first attempts, workspaces in turn, halls in turn."""
+    """Return the sort key of a request: rank, first attempts, workspaces and halls in turn."""
     request = item.request
     workspace_grants = sum(workspace == request.workspace for workspace, _ in state.recent_grants)
     hall_grants = sum(hall == request.hall for _, hall in state.recent_grants)
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -118,7 +118,7 @@
         self._started_trials.add(content_id)
         return True
 
-    def record_end(
+    def record_crash(
         self, content_id: bytes, instance_key: int, sent_s: float, now_s: float
     ) -> content_record.ContentRecord | None:
         """Record that an instance crashed while it had a request of this entry.
--- a/src/spoolhead/_internal/policy/repeats.py
+++ b/src/spoolhead/_internal/policy/repeats.py
@@ -1,6 +1,7 @@
-"""When what was sent to many receivers is sent again; no I/O, time passed in.
+"""Schedules repetitions of broadcast items. Performs no I/O; the current time is passed in.
 
-Receivers of a broadcast do not confirm it. What must reach all of them is repeated for a while.
+Receivers of a broadcast do not acknowledge it, so an item that must reach all of them is repeated
+for a while.
 """
 
 import itertools
@@ -8,9 +9,10 @@
 from typing import Generic, TypeVar
 
 REPEAT_INTERVAL_S = 0.5
-"""Pause between two datagrams that carry the same item again."""
+"""Interval between two datagrams that repeat the same item."""
 REPEAT_DURATION_S = 4.0
-"""Time for which an item is repeated; who hears nothing for so long asks for all."""
+"""Time for which an item is repeated; a receiver that gets no datagram for so long requests all
+items."""
 
 Item = TypeVar("Item", bound=Hashable)
 
@@ -26,21 +28,21 @@
 
 
 class Repeats(Generic[Item]):
-    """Items that are sent again from time to time."""
+    """Items that are sent again at intervals."""
 
     __slots__ = ("_repeats",)
 
     def __init__(self) -> None:
-        # In the order in which they are due, as the pause is the same for all.
+        # In the order in which they are due, as the interval is the same for all.
         self._repeats: dict[Item, _Repeat] = {}
 
     def add(self, items: Iterable[Item], now_s: float) -> None:
-        """Have items that are sent now repeated."""
+        """Schedule repetitions of items that are sent now."""
         for item in items:
             self._schedule(item, now_s, now_s + REPEAT_DURATION_S)
 
     def add_due(self, items: Iterable[Item], now_s: float) -> None:
-        """Have items sent with the next datagram, and repeated from then on."""
+        """Schedule items for the next datagram and for repetitions after it."""
         due = {item: _Repeat(now_s, now_s + REPEAT_DURATION_S) for item in items}
         others = {item: repeat for item, repeat in self._repeats.items() if item not in due}
         self._repeats = {**due, **others}
@@ -48,7 +50,7 @@
     def pop_due(self, max_items: int, now_s: float) -> list[Item]:
         """Return the items that are due, and count them as sent.
 
-        :param max_items: most items to return; the others stay due.
+        :param max_items: maximum number of items to return; the others stay due.
         """
         due = []
         for item, repeat in list(itertools.islice(self._repeats.items(), max_items)):
@@ -59,7 +61,7 @@
         return due
 
     def clear(self) -> None:
-        """Forget all items."""
+        """Remove all items."""
         self._repeats.clear()
 
     def _schedule(self, item: Item, now_s: float, until_s: float) -> None:
--- a/src/spoolhead/_internal/policy/request_content.py
+++ b/src/spoolhead/_internal/policy/request_content.py
@@ -1,11 +1,11 @@
-"""Names what a request asks, whoever sends it again and under whichever request id."""
+"""Computes the id of a request's content, which does not depend on the caller or the request id."""
 
 import hashlib
 from typing import Protocol
 
 DIGEST_BYTES = 16
-"""Size of a name: that two contents share one is as good as impossible, also if somebody tries to
-have another's requests taken for his own."""
+"""Size of a content id: collisions are practically impossible, even if a caller tries to construct
+one with another caller's request."""
 
 
 class ContentSource(Protocol):
@@ -22,19 +22,19 @@
 
 
 def get_content_id(request: ContentSource, host: str, workspace: str) -> bytes:
-    """Return the name of a request's content.
+    """Return the id of a request's content.
 
-    Requests of different workspaces never have the same content, so that nobody's request is
-    judged by what another's did. Headers are left out: they change from one try to the next.
+    Requests of different workspaces never share an id, so that a request is never held because of
+    another workspace's request. Headers are left out: they change between attempts.
 
     :param request: the request.
     :param host: host that it is for.
-    :param workspace: whose it is; empty on a route without keys.
+    :param workspace: its workspace; empty on a route without keys.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for text in (request.method, host, request.target, workspace):
         part = text.encode()
-        # With its length, so that no part can be taken for the end of the one before.
+        # The length prefix keeps different splits of the same bytes apart.
         digest.update(len(part).to_bytes(4, "big") + part)
     digest.update(request.body)
     return digest.digest()
--- a/src/spoolhead/_internal/policy/requested_rest.py
+++ b/src/spoolhead/_internal/policy/requested_rest.py
@@ -1,23 +1,24 @@
-"""The rest that an instance asks of an entry; no I/O, time passed in."""
+"""The rest that an instance asked for. Performs no I/O; the current time is passed in."""
 
 import math
 
 MAX_REST_S = 60.0
-"""Longest rest that is granted at once; then a trial request is sent."""
+"""Maximum rest that is granted at once; after it a trial request is sent."""
 TRIAL_TIMEOUT_S = 2.0
-"""Time for which one request is waited for, after a rest, before another may go."""
+"""Time for which a trial request after a rest blocks further requests."""
 MIN_REPORTERS = 2
-"""Other entries that must have been asked for rest before this one holds back unasked: an instance
-may have turned a single entry away."""
+"""Other entries that must have been asked for rest before this entry also avoids the instance: it
+may have rejected the requests of a single entry only."""
 
 
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-"""Backoff after a rejection that asks for no rest; it doubles with each further one in a row."""
+"""Backoff after a rejection without a requested rest, doubled with each further rejection in a
+row."""
 
 
 class RequestedRest:
-    """What one instance asked of this entry, and of others."""
+    """The rest that one instance requested of this entry and of others."""
 
     __slots__ = (
         "_backoff_s",
@@ -37,9 +38,9 @@
         self._reported_until_s: dict[str, float] = {}
 
     def record(self, rest_ms: int, now_s: float) -> bool:
-        """Record that the instance wants nothing from this entry for a time.
+        """Record that the instance asked this entry for rest.
 
-        :returns: whether it did not rest already.
+        :returns: whether it was not resting already.
         """
         is_new = not self.is_resting(now_s)
         self._until_s = max(self._until_s, now_s + _get_rest_s(rest_ms))
@@ -48,7 +49,7 @@
         return is_new
 
     def record_rejection(self, now_s: float) -> None:
-        """Record that the instance turned a request away."""
+        """Record that the instance rejected a request."""
         if now_s < self._backoff_until_s:
             return
         self._backoff_until_s = now_s + self._backoff_s
@@ -60,36 +61,40 @@
         self._reported_until_s[reporter] = now_s + _get_rest_s(rest_ms)
 
     def record_sent(self, now_s: float) -> None:
-        """Record that a request is sent, the first one after a rest if it is over."""
+        """Record that a request is sent; after a rest it is the trial request."""
         if self._needs_trial:
             self._trial_sent_s = now_s
 
     def record_taken(self) -> None:
-        """Record that the instance took a request."""
+        """Record that the instance accepted a request."""
         self._needs_trial = False
         self._backoff_s = INITIAL_BACKOFF_S
         self._reported_until_s.clear()
 
     def is_resting(self, now_s: float) -> bool:
-        """Tell whether it wants nothing from this entry now."""
+        """Return whether it currently accepts no requests of this entry."""
         return now_s < self._until_s
 
     def is_likely_to_reject(self, now_s: float) -> bool:
-        """Tell whether it is likely to reject: it just did, others say so, or a trial is due."""
+        """Return whether it is likely to reject a request.
+
+        True if it just rejected one, a trial is in flight, or enough other entries were asked for
+        rest.
+        """
         if now_s < self._backoff_until_s:
             return True
         is_trial_running = self._needs_trial and now_s - self._trial_sent_s < TRIAL_TIMEOUT_S
         return is_trial_running or self.has_reports(now_s)
 
     def has_reports(self, now_s: float) -> bool:
-        """Tell whether enough other entries were asked for rest."""
+        """Return whether enough other entries were asked for rest."""
         for reporter, until_s in list(self._reported_until_s.items()):
             if now_s >= until_s:
                 del self._reported_until_s[reporter]
         return len(self._reported_until_s) >= MIN_REPORTERS
 
     def get_remaining_ms(self, now_s: float) -> int:
-        """Return the time that is left of the rest."""
+        """Return the remaining time of the rest in milliseconds."""
         return max(0, math.ceil((self._until_s - now_s) * 1000))
 
 
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -1,23 +1,21 @@
-"""How many second attempts an entry may make; no I/O, time passed in.
+"""Limits the retries of one entry. Performs no I/O; the current time is passed in.
 
-The whole fleet may make a share of the requests and a little besides, in any window. An entry
-that counts only its own requests cannot exceed the share, whether it hears of others or not;
-of the little besides it takes the part that falls to it if the fleet is as large as it was
-ever heard to be.
+In any window the whole fleet may make a fixed ratio of retries to requests, plus a fixed slack. An
+entry that counts only its own requests cannot exceed the ratio, whether it knows other entries or
+not; of the slack it uses its share for the largest fleet size that it has known.
 """
 
 import collections
 
 USED_FRACTION = 0.7
-"""Part of what is allowed that is used; the rest covers windows that slide and entries that
-were not heard of."""
+"""Fraction of the allowance that is used; the rest covers sliding windows and unknown entries."""
 
 
 class RetryAllowance:
-    """Allowance of one entry for one service.
+    """Retry allowance of one entry for one service.
 
-    :param ratio: second attempts for each request.
-    :param slack: second attempts besides, in one window, over all entries.
+    :param ratio: retries for each request.
+    :param slack: additional retries in one window, over all entries.
     :param window_ms: length of the window.
     """
 
@@ -34,7 +32,7 @@
         self._requests.append(now_s)
 
     def try_acquire(self, now_s: float) -> bool:
-        """Take one second attempt, if there is one left."""
+        """Acquire one retry; return whether one was left."""
         self._expire(now_s)
         own_slack = self._slack * USED_FRACTION / max(1, self.entry_count)
         allowed = len(self._requests) * self._ratio * USED_FRACTION + own_slack
--- a/src/spoolhead/_internal/policy/run_migration_policy.py
+++ b/src/spoolhead/_internal/policy/run_migration_policy.py
@@ -1,4 +1,4 @@
-"""What keeps a run alive when its instance goes: where its memory is copied; no I/O."""
+"""Chooses where and in which order runs are copied when their instance leaves. Performs no I/O."""
 
 from collections.abc import Collection, Sequence
 
@@ -6,17 +6,18 @@
 from spoolhead._internal.policy import upstream_gate, upstream_registry
 
 OTHER_HALL_COST = 0.4
-"""What another hall counts against a holder, as a share of a memory: a copy between halls takes
-twice as long, and an instance that leaves has time for a handful of copies only."""
+"""Cost of a copy target in another hall, as a share of its memory: a copy between halls takes twice
+as long, and a leaving instance has time for a handful of copies only."""
 GENERATED_TOKEN_VALUE = 10
-"""What a token that was made is worth in tokens that were read: making one anew takes some ten
-times as long, a step of 8 ms shared by some eight runs against 14 tokens read in a millisecond."""
+"""Value of a generated token relative to a prompt token: generating one takes some ten times as
+long, a step of 8 ms shared by some eight runs against 14 prompt tokens processed in a
+millisecond."""
 NEARLY_DONE_TOKENS = 150
 NEARLY_DONE_FRACTION = 0.3
-"""A run that is expected to make fewer tokens than this, a good second's worth, is likely to
-end by itself before its instance does, so copying it saves that part of its value only."""
+"""A run that is expected to generate fewer further tokens than this, a good second's worth, is
+likely to end before its instance does, so copying it saves only this fraction of its value."""
 DEFAULT_PAUSE_MS = 500
-"""Longest good pause on a route that states none."""
+"""Maximum acceptable pause on a route that states none."""
 
 
 def choose_copy_target(
@@ -31,14 +32,15 @@
 ) -> upstream_registry.Upstream | None:
     """Choose the instance that gets a copy of a run's memory.
 
-    One that is foreseen to be full is tried too: what is foreseen is more than what is held, the
-    instance itself refuses what it has no room for, and without a copy the run is lost.
+    An instance that is expected to be full may be chosen too: the expected memory exceeds the
+    memory in use, the instance itself refuses a copy for which it has no room, and without a copy
+    the run is lost.
 
-    :param running_at: where the run is.
-    :param excluded: runs of instances that have just refused.
-    :param gate: what bounds this entry's requests to instances.
-    :param request_priority: what the request may claim where not all get something.
-    :returns: the instance with most room, with those of the same hall preferred, or None.
+    :param running_at: instance of the run.
+    :param excluded: incarnation ids of instances that have just refused.
+    :param gate: decides whether an instance is blocked for this entry.
+    :param request_priority: rank and workspace of the request.
+    :returns: the least filled instance, with those of the same hall preferred, or None.
     """
     engine = service.engine
     if engine is None:
@@ -62,13 +64,13 @@
 
 
 def get_rank(prompt_tokens: int, expected_tokens: int, made_tokens: int) -> float:
-    """Return how much is saved by copying a run, for the time that it takes.
+    """Return the value saved by copying a run, relative to the duration of the copy.
 
-    A run's value grows with its whole size, in which a token that was made counts for more
-    than one that was read; the time grows with what is in memory now.
+    The value grows with the run's full size, in which a generated token counts more than a prompt
+    token; the duration grows with the tokens in memory now.
 
-    :param expected_tokens: tokens that it will make on the whole.
-    :param made_tokens: tokens that it has made.
+    :param expected_tokens: total number of tokens that it is expected to generate.
+    :param made_tokens: tokens that it has generated.
     """
     value = prompt_tokens + GENERATED_TOKEN_VALUE * max(expected_tokens, made_tokens)
     if 0 < expected_tokens - made_tokens < NEARLY_DONE_TOKENS:
@@ -77,5 +79,5 @@
 
 
 def get_max_pause_ms(route: route_table.Route) -> int:
-    """Return the longest pause between two events that counts as good."""
+    """Return the maximum acceptable pause between two events."""
     return route.pause_ms or DEFAULT_PAUSE_MS
--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -1,6 +1,6 @@
-"""What instances said of themselves and what still holds; no I/O, time passed in.
+"""Alarms that hold for a time. Performs no I/O; the current time is passed in.
 
-An alarm is sent when it is raised. An entry that starts later or missed it gets it from here.
+An alarm is sent when it is raised. An entry that starts later or missed it receives it from here.
 """
 
 import math
@@ -9,16 +9,16 @@
 from spoolhead._internal.models import shared_load
 
 LEAVING_TTL_S = 30.0
-"""Time for which an instance is said to leave; the list shows it long before."""
+"""Time for which an instance is reported as leaving; the list shows it long before that ends."""
 MAX_ALARMS = 64
-"""Most alarms that are kept, the newest ones; a new reporter gets all in one datagram."""
+"""Maximum number of stored alarms, the newest ones; a new reporter gets all in one datagram."""
 KEPT_KINDS = frozenset(
     {shared_load.AlarmKind.COLD, shared_load.AlarmKind.RESTING, shared_load.AlarmKind.LEAVING}
 )
-"""Kinds that hold for a time which the instance itself states, or until it ends."""
+"""Kinds that hold for a time stated by the instance itself, or until it terminates."""
 
 AlarmName = tuple[str, shared_load.AlarmKind, str]
-"""Names what one entry found of one kind about one instance."""
+"""Identifies the alarms of one kind that one entry raised about one instance."""
 
 
 class _Standing:
@@ -40,7 +40,7 @@
         self._standing: dict[AlarmName, _Standing] = {}
 
     def record(self, alarm: shared_load.Alarm, now_s: float) -> None:
-        """Keep an alarm if it states what holds for a time."""
+        """Store an alarm if its kind holds for a time."""
         if alarm.kind not in KEPT_KINDS:
             return
         name = get_name(alarm)
@@ -53,11 +53,11 @@
             del self._standing[next(iter(self._standing))]
 
     def remove(self, alarm: shared_load.Alarm) -> None:
-        """Forget an alarm."""
+        """Remove an alarm."""
         self._standing.pop(get_name(alarm), None)
 
     def has(self, alarm: shared_load.Alarm) -> bool:
-        """Tell whether an alarm is kept, and not an earlier or later one of its name."""
+        """Return whether exactly this alarm is stored, not an earlier or later one of its name."""
         known = self._standing.get(get_name(alarm))
         return known is not None and known.alarm.sequence == alarm.sequence
 
@@ -66,23 +66,23 @@
         return list(self._standing)
 
     def get(self, names: Iterable[AlarmName], now_s: float) -> list[shared_load.Alarm]:
-        """Return those of some alarms that hold, each with the time that is left of it."""
+        """Return the named alarms that still hold, each with its remaining time."""
         standing = [self._standing[name] for name in names if name in self._standing]
         return [_make_remaining(item, now_s) for item in standing if now_s < item.until_s]
 
     def get_all(self, now_s: float) -> list[shared_load.Alarm]:
-        """Return the alarms that hold, each with the time that is left of it."""
+        """Return the alarms that still hold, each with its remaining time."""
         return self.get(self._standing, now_s)
 
     def expire(self, now_s: float) -> None:
-        """Forget the alarms that hold no more."""
+        """Remove the alarms that no longer hold."""
         for name, item in list(self._standing.items()):
             if now_s >= item.until_s:
                 del self._standing[name]
 
 
 def get_name(alarm: shared_load.Alarm) -> AlarmName:
-    """Return the name by which an alarm is kept; a newer one of the same name replaces it."""
+    """Return the name under which an alarm is stored; a newer one of the same name replaces it."""
     return alarm.incarnation_id, alarm.kind, alarm.reporter
 
 
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/watch_duty.py
@@ -1,8 +1,8 @@
-"""Which entry watches an instance's health; no I/O.
+"""Assigns the health checks of instances to entries. Performs no I/O.
 
-Each instance is watched by one entry only, one of its hall where there is one, chosen by
-rendezvous hashing, so that entries which see the same fleet agree without a word and few
-instances change hands when an entry comes or goes.
+Each instance is watched by exactly one entry, one of its own hall if there is any, chosen by
+rendezvous hashing: entries that see the same fleet compute the same result without communication,
+and few instances are reassigned when an entry starts or stops.
 """
 
 from collections.abc import Iterable, Sequence
@@ -15,8 +15,8 @@
 class WatchDuties:
     """The instances that one entry watches.
 
-    The choice among all entries for all instances is a product of both numbers, so it is made only
-    for instances that are new, and for all when the entries change.
+    Choosing among all entries for all instances costs the product of both numbers, so it is done
+    only for new instances, and for all of them when the entries change.
 
     :param own_name: name of the entry.
     """
@@ -31,7 +31,7 @@
     def update(
         self, watchers: Sequence[fleet.Process], listed: Iterable[instances.Instance]
     ) -> None:
-        """Take over which entries and which instances there are."""
+        """Set the present entries and instances."""
         described = [(watcher.name, watcher.hall) for watcher in watchers]
         known = self._duties if described == self._watchers else {}
         self._watchers = described
@@ -44,14 +44,14 @@
             self._duties[incarnation_id] = duty
 
     def has(self, instance: instances.Instance) -> bool:
-        """Tell whether the entry watches an instance."""
+        """Return whether the entry watches an instance."""
         return self._duties.get(instance.incarnation_id, False)
 
 
 def is_watcher(
     own_name: str, watchers: Sequence[fleet.Process], instance: instances.Instance
 ) -> bool:
-    """Tell whether an entry is the one that watches an instance.
+    """Return whether an entry is the one that watches an instance.
 
     :param own_name: name of the entry.
     :param watchers: all entries that are alive, this one among them.
--- a/src/spoolhead/_internal/routing/__init__.py
+++ b/src/spoolhead/_internal/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The route table: where requests may go, and for whom."""
+"""Lookups in the route table, and its validation."""
--- a/src/spoolhead/_internal/routing/matcher.py
+++ b/src/spoolhead/_internal/routing/matcher.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request and whose it is; no I/O."""
+"""Finds the route and the workspace of a request. Performs no I/O."""
 
 import collections
 import random
@@ -25,8 +25,8 @@
         self.max_prefix_length = max(self.max_prefix_length, len(route.path_prefix))
 
     def find(self, path: str) -> route_table.Route | None:
-        # Prefixes end with a slash, so each place of one in the path is looked up, the last
-        # first; a look-up costs the same with ten routes as with thousands.
+        # Prefixes end with a slash, so the part up to each slash in the path is looked up, the
+        # longest first; a lookup costs the same with ten routes as with thousands.
         end = path.rfind("/", 0, self.max_prefix_length)
         while end >= 0:
             route = self.by_prefix.get(path[: end + 1])
@@ -37,11 +37,11 @@
 
 
 class Matcher:
-    """One version of the route table, made ready for look-ups.
+    """One version of the route table, indexed for lookups.
 
-    :param table: the table; it was checked.
+    :param table: the table, already validated.
     :ivar version: version of the table.
-    :ivar bounds: what callers may send.
+    :ivar bounds: limits for callers' requests.
     """
 
     def __init__(self, table: route_table.RouteTable) -> None:
@@ -64,29 +64,29 @@
         return list(self._services.values())
 
     def get_service(self, name: str) -> route_table.Service | None:
-        """Return a service, or None if the table has none of the name."""
+        """Return a service, or None if the table has no service of that name."""
         return self._services.get(name)
 
     def find_route(self, host: str, path: str) -> route_table.Route | None:
-        """Return the route of a host whose prefix of the path is longest.
+        """Return the route of a host with the longest matching path prefix.
 
-        :param host: Host header; a port in it does not count.
+        :param host: Host header; a port in it is ignored.
         :param path: path without the query.
         """
         routes = self._hosts.get(host.partition(":")[0].lower())
         return routes.find(path) if routes is not None else None
 
     def needs_key(self, route: route_table.Route) -> bool:
-        """Tell whether a route's requests need an API key."""
+        """Return whether a route's requests need an API key."""
         return self._needs_key and not route.is_public
 
     def get_owner(self, api_key: str) -> route_table.Workspace | None:
-        """Return the workspace that holds an API key."""
+        """Return the workspace that owns an API key."""
         return self._owners.get(api_key)
 
 
 def choose_service(route: route_table.Route, rng: random.Random) -> str:
-    """Return the service that a route's next request goes to, by the weights."""
+    """Return the service for a route's next request, chosen at random by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
--- a/src/spoolhead/_internal/routing/table_checks.py
+++ b/src/spoolhead/_internal/routing/table_checks.py
@@ -1,4 +1,4 @@
-"""Whether a route table makes sense; no I/O."""
+"""Validates a route table. Performs no I/O."""
 
 import collections
 
@@ -6,7 +6,7 @@
 
 
 def check(table: route_table.RouteTable) -> list[fault.Fault]:
-    """Return everything that is wrong with a table; nothing if it may be put in force."""
+    """Return all faults of a table; an empty list if it may be put in force."""
     faults: list[fault.Fault] = []
     services = {service.name for service in table.services}
     if table.version < 1:
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -17,8 +17,8 @@
 
 def _hold(made, content_id=DEADLY, at_s=NOW_S):
     """Have a content end two instances, one after the other."""
-    made.record_end(content_id, 1, at_s - 3.0, at_s - 2.0)
-    made.record_end(content_id, 2, at_s - 1.0, at_s)
+    made.record_crash(content_id, 1, at_s - 3.0, at_s - 2.0)
+    made.record_crash(content_id, 2, at_s - 1.0, at_s)
 
 
 def _tell(source, target, now_s):
@@ -34,7 +34,7 @@
 
 def test_one_end_makes_a_suspect_that_still_runs():
     made = _make()
-    made.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    made.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
     assert made.evaluate(DEADLY, NOW_S) is Verdict.RUN_APART
 
 
@@ -47,32 +47,32 @@
 
 def test_two_instances_that_end_at_once_show_no_more_than_one():
     made = _make()
-    made.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    made.record_end(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
+    made.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    made.record_crash(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
     assert made.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
 
 
 def test_three_instances_have_it_held_in_any_case():
     made = _make()
     for key in (1, 2, 3):
-        made.record_end(DEADLY, key, NOW_S - 1.0, NOW_S)
+        made.record_crash(DEADLY, key, NOW_S - 1.0, NOW_S)
     assert made.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
 
 
 def test_one_instance_counts_once_however_often_it_is_told():
     made = _make()
     for number in range(5):
-        made.record_end(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
+        made.record_crash(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
     assert made.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
 
 
 def test_an_end_that_another_entry_told_makes_the_next_one_a_second():
     one, other = _make("entry-1"), _make("entry-2")
-    one.record_end(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    one.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
     _tell(one, other, NOW_S + 0.1)
-    other.record_end(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
+    other.record_crash(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
     assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART, "sent before that was known"
-    other.record_end(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
+    other.record_crash(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
     assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.REFUSE
 
 
@@ -123,7 +123,7 @@
     later_s = NOW_S + quarantine.TRIAL_DELAY_S
     made.claim_trial(DEADLY, later_s)
     assert made.may_run_trial(DEADLY)
-    made.record_end(DEADLY, 3, later_s + 0.5, later_s + 1.0)
+    made.record_crash(DEADLY, 3, later_s + 0.5, later_s + 1.0)
     assert made.evaluate(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
 
 
@@ -133,7 +133,7 @@
     made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
     assert made.may_run_trial(DEADLY)
     _order(made, is_held=False)
-    made.record_end(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
+    made.record_crash(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
     assert made.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
 
 
@@ -167,7 +167,7 @@
     made = _make()
     _hold(made)
     for number in range(3 * content_registry.MAX_RECORDS):
-        made.record_end(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
+        made.record_crash(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
     assert len(made.registry) == content_registry.MAX_RECORDS
     assert made.is_held(DEADLY)
     assert len(made._crash_recorded_s) <= 2 * content_registry.MAX_RECORDS + 1
@@ -180,7 +180,7 @@
     late_s = NOW_S + content_registry.RETENTION_S - content_registry.EXPIRY_MARGIN_S / 2
     third = _make("entry-3")
     assert _tell(one, third, late_s) == []
-    one.record_end(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
+    one.record_crash(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
     assert one.registry.get(DEADLY) is None
     assert _tell(other, one, late_s + 61.0) == []
 
@@ -232,7 +232,7 @@
 def test_what_differs_is_told_in_turn_until_it_no_longer_does():
     made = _make()
     for number in range(20):
-        made.record_end(b"%016d" % number, 7, NOW_S, NOW_S)
+        made.record_crash(b"%016d" % number, 7, NOW_S, NOW_S)
     telling = content_registry.ContentBroadcast(made.registry)
     telling.record_digest("hub", 1, NOW_S)
     assert not telling.has_pending, "it may be on its way"
