--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -69,9 +69,7 @@
 
     def claim_trial(self, content_id: bytes) -> None:
         """Claim the next trial of a held content."""
-        self._publish(
-            self._quarantine.claim_trial(content_id, self._clock()), "trial claimed by this entry"
-        )
+        self._publish(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
 
     def may_run_trial(self, content_id: bytes) -> bool:
         """Return whether this entry's claim stands; True only once."""
@@ -81,13 +79,13 @@
         """Record a request that an instance received and lost."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_lost(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "request lost after the crash")
+            self._record_crash(incarnation_id, run, "lost after that")
 
     def record_abandoned(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
         """Record a request that an instance received and this entry has abandoned."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_abandoned(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "request abandoned after the crash")
+            self._record_crash(incarnation_id, run, "abandoned after that")
 
     def has_abandoned(self, incarnation_id: str) -> bool:
         """Return whether this entry recently abandoned a request at an instance."""
@@ -106,7 +104,7 @@
         """Record that a request was answered, which shows that its content is harmless."""
         record = self._quarantine.record_harmless(content_id, self._clock())
         if record is not None:
-            self._publish(record, "answered at this entry")
+            self._publish(record, "it ended well here")
 
     def handle_update(self, hub: str, update: shared_load.ContentUpdate) -> None:
         """Handle the content records and digest sent by a hub."""
@@ -127,7 +125,7 @@
     def merge_records(self, peer: str, items: list[content_record.AgedRecord]) -> None:
         """Merge records reported by another process."""
         for record in self._quarantine.merge_records(items, self._clock()):
-            self._log(record, f"reported by {peer}")
+            self._log(record, f"told by {peer}")
             self._report_if_held(record)
 
     def make_content_update(self) -> shared_load.ContentUpdate:
@@ -146,7 +144,7 @@
         key = shared_load.get_key(incarnation_id)
         record = self._quarantine.record_crash(run.content_id, key, run.sent_s, run.lost_s)
         if record is not None:
-            self._publish(record, f"{incarnation_id} crashed: {evidence}")
+            self._publish(record, f"{incarnation_id} ended: {evidence}")
 
     def _publish(self, record: content_record.ContentRecord, reason: str) -> None:
         """Broadcast a record that this entry has changed itself."""
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -46,12 +46,12 @@
 class _Query:
     """One query in flight."""
 
-    __slots__ = ("target", "call", "instance_id", "number", "owner", "timer")
+    __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
 
     def __init__(self, owner: "EndWatch", target: EndQuery, number: int) -> None:
         self.number = number
         self.owner = owner
-        self.target = target
+        self.asked = target
         self.call: upstream_calls.UpstreamCall | None = None
         self.timer: scheduler.Timer | None = None
         self.instance_id = ""
@@ -116,14 +116,14 @@
     def handle_answer(self, query: _Query) -> None:
         """Handle an answer: the instance is alive, or another one answers at its address."""
         self._remove(query)
-        target = query.target
+        target = query.asked
         if query.instance_id and query.instance_id != target.instance_id:
-            self._handle_end(query, f"{query.instance_id} answers at its address")
+            self._handle_end(query, f"{query.instance_id} answers")
         elif query.instance_id or not target.instance_id:
-            self._log(query, "the instance answers")
+            self._log(query, "it answers")
             self._contents.record_alive(target.incarnation_id)
         else:
-            self._log(query, "the answer states no instance id")
+            self._log(query, "it does not say which instance answers")
 
     def handle_loss(self, query: _Query, reason: str) -> None:
         """Handle a lost query; if its connection was refused, the instance has crashed."""
@@ -133,7 +133,7 @@
             return
         self._log(query, reason)
         if query.number < MAX_QUERIES:
-            target, number = query.target, query.number + 1
+            target, number = query.asked, query.number + 1
             self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(target, number))
 
     def handle_timeout(self, query: _Query) -> None:
@@ -143,18 +143,18 @@
 
     def _handle_end(self, query: _Query, evidence: str) -> None:
         self._log(query, evidence, has_ended=True)
-        incarnation_id = query.target.incarnation_id
+        incarnation_id = query.asked.incarnation_id
         self._on_ended(incarnation_id)
         self._contents.record_ended(incarnation_id, evidence)
 
     def _remove(self, query: _Query) -> None:
-        self._queries.pop(query.target.incarnation_id, None)
+        self._queries.pop(query.asked.incarnation_id, None)
         if query.timer is not None:
             query.timer.cancel()
 
     def _log(self, query: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": query.target.incarnation_id,
+            "upstream": query.asked.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -18,11 +18,11 @@
 class _PendingAlarm:
     """An alarm and how often it is still to be sent."""
 
-    __slots__ = ("alarm", "sends_left")
+    __slots__ = ("alarm", "left")
 
     def __init__(self, alarm: shared_load.Alarm) -> None:
         self.alarm = alarm
-        self.sends_left = SEND_COUNT
+        self.left = SEND_COUNT
 
 
 class AlarmBroadcast:
@@ -41,7 +41,7 @@
     @property
     def has_new(self) -> bool:
         """Whether an alarm has not been sent at all."""
-        return any(item.sends_left == SEND_COUNT for item in self._pending)
+        return any(item.left == SEND_COUNT for item in self._pending)
 
     @property
     def has_pending(self) -> bool:
@@ -62,8 +62,8 @@
         """Return the alarms to send next, and count them as sent."""
         alarms = [item.alarm for item in self._pending]
         for item in self._pending:
-            item.sends_left -= 1
-        self._pending = [item for item in self._pending if item.sends_left]
+            item.left -= 1
+        self._pending = [item for item in self._pending if item.left]
         names = self._repeats.pop_due(MAX_REPEATS_PER_DATAGRAM, now_s)
         return alarms + self._standing.get(names, now_s)
 
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -56,10 +56,10 @@
 class _Row:
     """A row received from another hub, and the sequence of its datagram."""
 
-    __slots__ = ("load", "sequence")
+    __slots__ = ("held", "sequence")
 
     def __init__(self, load: shared_load.InstanceLoad, sequence: int) -> None:
-        self.load = load
+        self.held = load
         self.sequence = sequence
 
 
@@ -338,7 +338,7 @@
         row = hub.rows.get(key)
         if row is not None and sequence <= row.sequence:
             return
-        self._fleet_totals.replace(key, row.load if row is not None else None, load)
+        self._fleet_totals.replace(key, row.held if row is not None else None, load)
         if load:
             hub.rows[key] = _Row(load, sequence)
         else:
@@ -353,7 +353,7 @@
 
     def _remove_rows(self, hub: _PeerHub) -> None:
         for key, row in hub.rows.items():
-            self._fleet_totals.add(key, row.load, -1)
+            self._fleet_totals.add(key, row.held, -1)
         hub.rows.clear()
 
     def _remove_reporter(self, name: str) -> None:
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -76,7 +76,7 @@
         "requesters_s",
         "bucket",
         "primary_requested_s",
-        "recent_grants",
+        "granted",
         "replies",
         "retry_at_s",
         "waiting",
@@ -86,7 +86,7 @@
         # Spreads the tokens of instances that state limits at the same moment.
         self.bucket = token_bucket.TokenBucket(now_s, (key % PHASE_COUNT) / PHASE_COUNT)
         self.waiting: list[_WaitingRequest] = []
-        self.recent_grants: collections.deque[tuple[int, str]] = collections.deque(
+        self.granted: collections.deque[tuple[int, str]] = collections.deque(
             maxlen=MAX_RECENT_GRANTS
         )
         self.replies: collections.OrderedDict[tuple[str, int], permits.Verdict] = (
@@ -176,7 +176,7 @@
         state.waiting.sort(key=lambda item: _get_sort_key(state, item))
         while state.waiting and state.bucket.try_acquire():
             item = state.waiting.pop(0)
-            state.recent_grants.append((item.request.workspace, item.request.hall))
+            state.granted.append((item.request.workspace, item.request.hall))
             _store_verdict(state, item.request, permits.Verdict.GRANTED)
             replies.append(self._reply(item.request, permits.Verdict.GRANTED, now_s))
             state.waiting.sort(key=lambda each: _get_sort_key(state, each))
@@ -246,8 +246,8 @@
 ) -> tuple[int, bool, int, int, float]:
     """Return the sort key of a request: rank, first attempts, workspaces and halls in turn."""
     request = item.request
-    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.recent_grants)
-    hall_grants = sum(hall == request.hall for _, hall in state.recent_grants)
+    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.granted)
+    hall_grants = sum(hall == request.hall for _, hall in state.granted)
     return request.rank, request.is_retry, workspace_grants, hall_grants, item.arrived_s
 
 
