--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -1,10 +1,10 @@
-"""Pattern: a flood of requests waits in every entry when one instance comes back cold.
+"""Pattern: requests wait in every entry when one instance restarts cold.
 
-A hall whose instances were all down comes back, and one of them is up first. Every entry sees it
-empty and has requests waiting. The instance bears 25 requests a second, as engines of the users'
-do, and falls over well above; half as much again and 5 more is what they allow at most. Sizes of
-fleet: a few dozen entries, those of deployments in use (67, 195) and the largest that is planned
-(350 in 15 halls).
+A hall whose instances were all down recovers, and one of them is up first. Every entry sees it
+empty and has requests waiting. The instance can take 25 requests a second, as the users' engines
+can, and crashes well above that; the users allow half as much again and 5 more at most. Fleet
+sizes: a few dozen entries, deployments in use (67, 195) and the largest planned one (350 in 15
+halls).
 """
 
 import pytest
@@ -15,8 +15,8 @@
 
 COLD_PER_S = 25.0
 ALLOWED = COLD_PER_S * 1.5 + 5
-WANTED_PART = 0.8
-"""Part of what the instance bears that the entries together should use where all want it."""
+MIN_USED_FRACTION = 0.8
+"""Fraction of the instance's rate that the entries together should use if all need it."""
 SIZES = [(8, 3), (24, 3), (67, 3), (195, 5), (350, 15)]
 
 
@@ -25,13 +25,13 @@
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S)
     sent_s = fleet.play(seconds=3.0)
     assert cold_fleet.get_most_in_a_second(sent_s) <= COLD_PER_S
-    assert len(sent_s) >= WANTED_PART * COLD_PER_S * 3.0
+    assert len(sent_s) >= MIN_USED_FRACTION * COLD_PER_S * 3.0
 
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
 @pytest.mark.parametrize("is_own_hall", [True, False])
 def test_entries_started_behind_a_cut_do_not_break_the_bound(entries, halls, is_own_hall):
-    """They take themselves for the whole fleet, and the cut is over before they know better."""
+    """They consider themselves the whole fleet until the cut ends and they learn of the others."""
     lost = ["hall-0"] if is_own_hall else ["hall-1"]
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S, lost=lost)
     assert cold_fleet.get_most_in_a_second(fleet.play(seconds=3.0)) <= ALLOWED
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("kind", [route_table.RequestKind.STREAM, route_table.RequestKind.ONCE])
 def test_one_entry_counts_what_it_sends(kind):
-    """The only entry there is may send 2 a second here: the third is refused or waits."""
+    """A single entry may send 2 requests a second here: the third is refused or waits."""
     setting = gateway_setting.Setting(kind, names=("i-1",), cold_per_s=2.0, cold_ms=10_000)
     (upstream,) = setting.registry.get_all()
     assert len(setting.calls.attempts) == 1
@@ -69,7 +69,7 @@
 
 
 def test_copies_that_are_on_their_way_to_a_cold_instance_count_too():
-    """Else all runs of engines that leave would go on at the one that has just come."""
+    """Otherwise all runs of leaving engines would move to the instance that has just started."""
     setting = gateway_setting.Setting(
         route_table.RequestKind.STREAM, names=("i-1",), cold_per_s=3.0, cold_ms=10_000
     )
--- a/tests/patterns/test_deadly_content.py
+++ b/tests/patterns/test_deadly_content.py
@@ -1,9 +1,9 @@
-"""A series of one deadly request beside ordinary load: what each way to hold it costs the others.
+"""A series of one deadly request under normal load: the cost of each way to hold it.
 
-The pattern: a request that ends each engine which runs it comes every 1.5 s for 15 s, at any of
-eight entries. Nine engines run four generations each on the mean, of some four seconds; those that
-are cut off come once more half a second later, with the same content. Seen like that: eight engines
-ended within 15 s, and with each of them up to four long answers.
+The pattern: a request that crashes each engine which runs it is sent every 1.5 s for 15 s, to any
+of eight entries. Nine engines run four generations each on average, of some four seconds; those
+that are cut off are sent once more half a second later, with the same content. In such an incident
+eight engines crashed within 15 s, each with up to four long answers.
 """
 
 import pytest
@@ -17,11 +17,11 @@
 
 
 class Outcome:
-    """What came of a series.
+    """Result of a series.
 
-    :ivar ends: engines that ended.
-    :ivar cut: answers beside it that were cut off.
-    :ivar refused: sound requests that were refused.
+    :ivar ends: engines that crashed.
+    :ivar cut: other answers that were cut off.
+    :ivar refused: harmless requests that were refused.
     """
 
     def __init__(self, fleet):
--- a/tests/patterns/test_hall_cut.py
+++ b/tests/patterns/test_hall_cut.py
@@ -1,12 +1,12 @@
 """Pattern: a hall is cut off while long answers run.
 
-Whatever runs in another hall than its entry is lost or late when either hall is cut off; a hall is
-cut once or twice a year at the target and once on most of the days that the system is tried on. So
-before a cut few runs should stand across halls, as long as staying at home costs no first token.
+A run in another hall than its entry is lost or late when either hall is cut off; a hall is cut off
+once or twice a year in the target deployment, and once on most days of the trials. So before a cut
+few runs should be in another hall, as far as that does not delay first tokens.
 
-Figures of the load: long answers of 3,079 + 950 tokens and short ones of 2,550 + 12, 10 ms a token
-made; 11.9 and 16.9 a second on 32 engines in five halls as in the large fleet, 1.7 and 2.4 on
-five engines in three halls as in the small ones. 60 s are some six lives of a long answer.
+The load: long answers of 3,079 + 950 tokens and short ones of 2,550 + 12, 10 ms per generated
+token; 11.9 and 16.9 a second on 32 engines in five halls as in the large fleet, 1.7 and 2.4 on five
+engines in three halls as in the small ones. 60 s are some six durations of a long answer.
 """
 
 import pytest
--- a/tests/patterns/test_lifted_limit.py
+++ b/tests/patterns/test_lifted_limit.py
@@ -1,6 +1,6 @@
 """Pattern: an instance lifts the rate limit that it stated, or states a tiny or a huge one.
 
-See test_limited_instance.py for where sizes and figures come from.
+test_limited_instance.py explains the sizes and figures.
 """
 
 import pytest
@@ -9,8 +9,8 @@
 
 SIZES = [(8, 3), (24, 3), (65, 4), (350, 15)]
 PLAY_S = 8.0
-LIFTED_S = 3.0
-"""Time after which an instance that lifts its limit has its usual share again."""
+RECOVERY_S = 3.0
+"""Time after which an instance that lifts its limit gets its usual share again."""
 
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
@@ -20,7 +20,7 @@
     fleet.set_limit(2.0, name)
     fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
     fleet.set_limit(None, name)
-    fleet.run(LIFTED_S)
+    fleet.run(RECOVERY_S)
     assert fleet.get_limited(name) == []
 
 
@@ -32,13 +32,13 @@
     fleet.set_limit(2.0, name)
     fleet.play(requests_per_s=350, for_s=PLAY_S)
     fleet.set_limit(None, name)
-    fleet.run(LIFTED_S)
+    fleet.run(RECOVERY_S)
     assert fleet.get_limited(name) == []
 
 
 @pytest.mark.parametrize("limit_per_s", [0.0, 0.01])
 def test_a_limit_near_nothing_is_kept_and_its_end_is_noticed(limit_per_s):
-    """Guards against an instance left alone for good, as no answer can say it has recovered."""
+    """Guards against an instance that is never used again, as no answer can report its recovery."""
     fleet = limit_fleet.LimitFleet(entries=24)
     name = fleet.instances[0]
     fleet.set_limit(limit_per_s, name)
--- a/tests/patterns/test_scarce_permits.py
+++ b/tests/patterns/test_scarce_permits.py
@@ -1,8 +1,8 @@
-"""Pattern: all instances of a service state a rate limit, and far more is wanted.
+"""Pattern: all instances of a service state a rate limit, and the load is far higher.
 
-Three instances state 2 requests a second each, of 100 and more that come; see
-test_limited_instance.py for where the figures come from. Urgent requests come first, no workspace
-and no hall takes all, and what is said about it stays small beside other news.
+Three instances state 2 requests a second each, for a load of 100 and more; test_limited_instance.py
+explains the figures. Urgent requests come first, no workspace and no hall takes all permits, and
+the permit traffic stays small beside other control traffic.
 """
 
 import pytest
@@ -10,8 +10,9 @@
 from lib import limit_fleet
 
 SIZES = [(8, 3), (24, 3), (65, 4), (350, 15)]
-BYTES_PER_S = 1_000
-"""Most that an entry may send for one limited instance besides its other news."""
+MAX_BYTES_PER_S = 1_000
+"""Maximum traffic of an entry for one limited instance, in addition to its other control
+traffic."""
 
 
 def _count(fleet, bound_s, *, workspace=None, hall=None, rank=None):
@@ -25,7 +26,7 @@
 
 
 def test_a_busy_workspace_does_not_take_all_of_a_trickle():
-    """Guards against a trickle that goes to whoever asks most."""
+    """Guards against permits that all go to the workspace with the most requests."""
     fleet = limit_fleet.LimitFleet(entries=24)
     fleet.set_limit(2.0)
     fleet.begin_traffic(5, workspace="small")
@@ -48,7 +49,7 @@
 
 
 def test_urgent_requests_are_served_before_others():
-    """The longest wait is half of the time between two tokens, which may all come at one moment."""
+    """Permits wait at most half of the time between two tokens, which may all come at once."""
     fleet = limit_fleet.LimitFleet(entries=24)
     fleet.set_limit(2.0)
     fleet.begin_traffic(3, rank=0)
@@ -71,7 +72,7 @@
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
 def test_permits_cost_an_entry_little(entries, halls):
-    """Bytes with limits against bytes without; the granter of three instances included."""
+    """Compares the traffic with and without limits; includes the granter of three instances."""
     means = []
     for limit_per_s in (None, 2.0):
         fleet = limit_fleet.LimitFleet(entries=entries, halls=halls)
@@ -81,4 +82,4 @@
         fleet.forget_traffic()
         fleet.run(4.0)
         means.append(fleet.get_traffic(fleet.entry_processes, 4.0)[0])
-    assert means[1] - means[0] <= BYTES_PER_S * 3
+    assert means[1] - means[0] <= MAX_BYTES_PER_S * 3
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -1,4 +1,4 @@
-"""What a hub passes on of alarms, how often, and that an entry takes each once."""
+"""Which alarms a hub sends and how often, and that an entry handles each alarm once."""
 
 import logging
 
@@ -31,7 +31,7 @@
 
 
 def _get_later(broadcast, until_s):
-    """Return what is repeated up to a time, as (time, time that is left)."""
+    """Return the repeated alarms up to a time, as (time, remaining time of the alarm)."""
     for _ in range(alarm_broadcast.SEND_COUNT):
         assert broadcast.pop_batch(0.0)
     assert not broadcast.has_pending
@@ -41,7 +41,7 @@
 
 
 def test_an_alarm_that_holds_is_repeated_with_what_is_left_of_it():
-    """Guards against an entry that lost the first datagrams and never hears of it."""
+    """Guards against an entry that loses the first datagrams and never receives the alarm."""
     broadcast = _make(_make_alarm(KINDS.RESTING, for_ms=1_200))
     assert _get_later(broadcast, 8.0) == [(0.5, 700), (1.0, 200)]
 
@@ -89,7 +89,7 @@
     ],
 )
 def test_reports_carry_an_alarm_while_it_holds_and_no_longer(kind, for_ms, carried):
-    """Guards against an instance taken for warm, or for cold anew, by a late report."""
+    """Guards against a late report that ends or extends the cold state of an instance."""
     exchange = alarm_exchange.AlarmExchange(
         "e1", 1, upstream_registry.UpstreamRegistry(), on_alarm=None, on_ended=None
     )
@@ -100,8 +100,10 @@
 
 
 def test_an_entry_takes_a_repeated_alarm_once(caplog):
-    """Guards against a log line for each datagram, and a cold instance that is taken for cold
-    again after it said that it is not."""
+    """Guards against a log line for each repetition of an alarm.
+
+    A repetition must not mark an instance cold again after it reported that it is not.
+    """
     caplog.set_level(logging.INFO)
     fleet = load_fleet.LoadFleet(entries=6, halls=3, keepers=3, instances=2)
     fleet.run(1.0)
--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -1,4 +1,4 @@
-"""Requests that end what runs them, in a fleet: real news over a lossy network, simulated runs."""
+"""Requests that crash instances, in a fleet: real broadcasts, lossy network, simulated runs."""
 
 import functools
 
@@ -11,11 +11,11 @@
 from spoolhead._internal.policy import quarantine
 
 DEADLY = content_fleet.make_id("deadly")
-LOOK_S = 0.002
-RUNS_ALLOWED = 3
-"""Runs later than three seconds after the third end that are still borne."""
-SOUND_AGAIN_S = quarantine.TRIAL_DELAY_S + quarantine.CLAIM_S + content_fleet.CONTACT_S
-"""Time after which a sound request that was held by mistake, and comes again, is served."""
+POLL_STEP_S = 0.002
+MAX_LATE_RUNS = 3
+"""Maximum number of runs later than three seconds after the third crash."""
+MISTAKE_CLEARED_S = quarantine.TRIAL_DELAY_S + quarantine.CLAIM_S + content_fleet.CONTACT_S
+"""Time after which a harmless request that was held by mistake, and is sent again, is served."""
 
 
 def _make(**options):
@@ -53,7 +53,7 @@
     fleet.run(content_fleet.CONTACT_S)
     fleet.repeat(DEADLY, pause_s=0.2, for_s=10.0)
     fleet.run(12.0)
-    assert fleet.count_late_runs(DEADLY) <= RUNS_ALLOWED
+    assert fleet.count_late_runs(DEADLY) <= MAX_LATE_RUNS
 
 
 def test_it_is_run_by_itself_once_and_then_no_more():
@@ -73,7 +73,7 @@
 
 
 def test_entries_that_start_one_soon_after_the_other_are_each_told_at_once():
-    """An entry has a table some 50 ms after its start, and should know of it by then."""
+    """An entry has a route table some 50 ms after its start, and must know held contents then."""
     fleet = _make(loss=0.0)
     fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
@@ -84,7 +84,7 @@
 
 
 def test_an_entry_knows_whether_it_was_told_all():
-    """More than one datagram holds."""
+    """The records do not fit into one datagram."""
     fleet = _make(places=60, loss=0.0)
     contents = [content_fleet.make_id(f"deadly-{number}") for number in range(12)]
     for number, content_id in enumerate(contents):
@@ -94,9 +94,9 @@
     fleet.restart_entry(3)
     started = fleet.entries[3].contents
     assert not started.is_in_sync
-    for _ in range(int(content_fleet.CONTACT_S / LOOK_S)):
+    for _ in range(int(content_fleet.CONTACT_S / POLL_STEP_S)):
         if not started.is_in_sync:
-            fleet.run(LOOK_S)
+            fleet.run(POLL_STEP_S)
     assert started.is_in_sync
     told = {item.record.content_id for item in started.get_all()}
     assert told == set(contents)
@@ -146,10 +146,10 @@
 
 
 class DeadlyRequests(stateful.RuleBasedStateMachine):
-    """Deadly and sound requests, instances that end otherwise, cuts, restarts, lost news."""
+    """Deadly and harmless requests, other crashes, cuts, restarts and loss in any order."""
 
     CONTENTS = [content_fleet.make_id(name) for name in ("deadly", "other", "read", "note")]
-    SOUND = CONTENTS[2:]
+    HARMLESS = CONTENTS[2:]
 
     @stateful.initialize(seed=strategies.integers(0, 9_999), loss=strategies.sampled_from([0, 0.1]))
     def begin(self, seed, loss):
@@ -206,16 +206,16 @@
         self.fleet.net.cut_off_halls = set()
         self.fleet.run(content_fleet.CONTACT_S + 1.0)
         self._check_agreement()
-        for content in self.SOUND:
-            self._check_sound(content)
+        for content in self.HARMLESS:
+            self._check_harmless(content)
 
     def _check_agreement(self):
-        """All entries know the same once they are in touch."""
+        """All entries hold the same records once they are connected."""
         digests = {entry.contents._quarantine.registry.digest for entry in self.fleet.entries}
         assert len(digests) == 1
 
-    def _check_sound(self, content):
-        """A sound request that comes again is served, unless its trials were disturbed."""
+    def _check_harmless(self, content):
+        """A harmless request that is sent again is served, unless its trials were disturbed."""
         record = self.fleet.entries[0].contents._quarantine.registry.get(content)
         if record is not None and record.trials:
             return
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("lost_disks", [(), (0, 1)], ids=["none", "two"])
 def test_what_is_known_outlasts_the_loss_of_all_power(lost_disks):
-    """Entries have no disk; one keeper that knew is enough."""
+    """Entries have no disk; one keeper that had the records is enough."""
     fleet = _make()
     fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
--- a/tests/unit/test_hall_reach.py
+++ b/tests/unit/test_hall_reach.py
@@ -1,4 +1,4 @@
-"""Halls behind a cut: what tells them from one dark instance, and what a request does then."""
+"""Cut-off halls: the difference to a single unreachable instance, and the request handling."""
 
 import pytest
 
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -1,4 +1,4 @@
-"""What becomes of one request whose content may end instances, and how their ends are found out."""
+"""Handling of a single request whose content may crash instances, and detection of crashes."""
 
 import pytest
 
@@ -29,8 +29,8 @@
     return gateway_setting.make_contents(clock=clock)
 
 
-def _end(contents, clock, content_id, *numbers):
-    """Have instances end under a content, one after the other."""
+def _crash(contents, clock, content_id, *numbers):
+    """Crash instances under a content, one after the other."""
     for number in numbers:
         clock.now_s += 1.0
         contents.record_lost(f"former-{number}", content_id, clock.now_s - 0.1)
@@ -49,7 +49,7 @@
 
 def _start_held(kind, clock, *ends):
     contents = _make_contents(clock)
-    _end(contents, clock, _get_content_id(), *ends)
+    _crash(contents, clock, _get_content_id(), *ends)
     return gateway_setting.Setting(kind, contents=contents, names=("i-1", "i-2", "i-3"))
 
 
@@ -67,7 +67,7 @@
 @KINDS
 def test_a_suspect_runs_where_the_fewest_others_do(kind, clock):
     contents = _make_contents(clock)
-    _end(contents, clock, _get_content_id(), 1)
+    _crash(contents, clock, _get_content_id(), 1)
     setting = gateway_setting.Setting(
         kind, contents=contents, names=("i-1", "i-2", "i-3"), busy={"i-1": 3, "i-2": 1, "i-3": 2}
     )
@@ -83,11 +83,11 @@
 
 
 def test_another_caller_of_it_is_told_what_was_found_meanwhile(clock):
-    """What runs, or waits, of a content that is held from now on ends; nothing was passed on."""
+    """Requests of a content that becomes held are cancelled if nothing was passed on yet."""
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents)
     setting.last.send()
-    _end(contents, clock, setting.exchange.job.content_id, 1, 2)
+    _crash(contents, clock, setting.exchange.job.content_id, 1, 2)
     setting.exchange.reject_held()
     assert setting.last.is_over
     assert setting.caller.status == 502
@@ -99,7 +99,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents)
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 2), whole=False)
     content_id = setting.exchange.job.content_id
-    _end(contents, clock, content_id, 1, 2)
+    _crash(contents, clock, content_id, 1, 2)
     setting.exchange.reject_held()
     assert not setting.last.is_over
     setting.last.end()
@@ -117,7 +117,7 @@
 @KINDS
 @pytest.mark.parametrize("status", [400, 413, 500, 504])
 def test_a_failure_of_the_instances_own_does_not_clear_it(kind, status, clock):
-    """It may have come before the request began to run: from one that fails some, or is late."""
+    """The failure may precede the run, at an instance that rejects some requests or is late."""
     setting = _start_held(kind, clock, 1)
     setting.last.answer(status, SIGNED, b"failed")
     assert setting.caller.status == status
@@ -127,9 +127,9 @@
 @KINDS
 @pytest.mark.parametrize(("status", "is_cleared"), [(200, True), (404, True), (500, False)])
 def test_a_trial_clears_what_the_instance_answers(kind, status, is_cleared, clock):
-    """Alone there, what is always answered so is let go; a failure may have come before the run."""
+    """A trial releases content that is always rejected; a server error may precede the run."""
     contents = _make_contents(clock)
-    _end(contents, clock, _get_content_id(), 1, 2)
+    _crash(contents, clock, _get_content_id(), 1, 2)
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
     setting.timers.run_due(quarantine.CLAIM_S)
@@ -145,7 +145,7 @@
 
 def test_a_held_request_that_still_comes_after_a_minute_runs_once_by_itself(clock):
     contents = _make_contents(clock)
-    _end(contents, clock, _get_content_id(), 1, 2)
+    _crash(contents, clock, _get_content_id(), 1, 2)
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
     assert not setting.calls.attempts
@@ -161,7 +161,7 @@
 
 def test_a_caller_that_leaves_before_its_trial_has_it_not_run(clock):
     contents = _make_contents(clock)
-    _end(contents, clock, _get_content_id(), 1, 2)
+    _crash(contents, clock, _get_content_id(), 1, 2)
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
     setting.caller.on_gone()
@@ -200,8 +200,8 @@
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
-class ContentSource:
-    """An entry that asks an instance which has lost a request."""
+class QueryingEntry:
+    """An entry that queries an instance which has lost a request."""
 
     def __init__(self, clock):
         self.contents = _make_contents(clock)
@@ -234,66 +234,68 @@
 
 
 def test_an_instance_that_refuses_connections_has_ended(clock):
-    asking = ContentSource(clock)
-    (question,) = asking.calls.made
-    assert question.fresh and question.target == "/healthz"
-    question.lose(links.REFUSED)
-    assert asking.is_suspect
-    assert asking.told == ["i-1"]
+    entry = QueryingEntry(clock)
+    (query,) = entry.calls.made
+    assert query.fresh and query.target == "/healthz"
+    query.lose(links.REFUSED)
+    assert entry.is_suspect
+    assert entry.told == ["i-1"]
 
 
 def test_an_instance_at_whose_address_another_answers_has_ended(clock):
-    asking = ContentSource(clock)
-    asking.calls.made[0].answer(200, [("x-replica-id", "i-9")])
-    assert asking.is_suspect
+    entry = QueryingEntry(clock)
+    entry.calls.made[0].answer(200, [("x-replica-id", "i-9")])
+    assert entry.is_suspect
 
 
 def test_an_instance_that_answers_lost_the_request_by_something_else(clock):
-    asking = ContentSource(clock)
-    asking.calls.made[0].answer(503, [("x-replica-id", "i-1")])
-    asking.contents.record_ended("i-1", "no longer listed")
-    assert not asking.is_suspect
-    assert not asking.told
+    entry = QueryingEntry(clock)
+    entry.calls.made[0].answer(503, [("x-replica-id", "i-1")])
+    entry.contents.record_ended("i-1", "no longer listed")
+    assert not entry.is_suspect
+    assert not entry.told
 
 
 @pytest.mark.parametrize("reason", ["Connection reset by peer", links.CONNECT_TIMEOUT])
 def test_what_a_link_may_have_done_leaves_it_open(clock, reason):
-    asking = ContentSource(clock)
-    asking.calls.made[0].lose(reason)
-    assert not asking.is_suspect
-    asking.contents.record_ended("i-1", "no longer listed")
-    assert asking.is_suspect
+    entry = QueryingEntry(clock)
+    entry.calls.made[0].lose(reason)
+    assert not entry.is_suspect
+    entry.contents.record_ended("i-1", "no longer listed")
+    assert entry.is_suspect
 
 
 def test_a_process_that_is_just_ending_is_asked_again(clock):
-    """Seen: its listener took the question's connection and was closed a moment later."""
-    asking = ContentSource(clock)
-    asking.calls.made[0].lose("Connection reset by peer")
-    assert not asking.is_suspect
-    asking.timers.run_due(end_watch.RETRY_INTERVAL_S)
-    asking.calls.made[1].lose(links.REFUSED)
-    assert asking.is_suspect
+    """Guards against a crash that is missed: the listener of a crashing process accepted the
+    query's connection and closed it a moment later.
+    """
+    entry = QueryingEntry(clock)
+    entry.calls.made[0].lose("Connection reset by peer")
+    assert not entry.is_suspect
+    entry.timers.run_due(end_watch.RETRY_INTERVAL_S)
+    entry.calls.made[1].lose(links.REFUSED)
+    assert entry.is_suspect
 
 
 def test_an_instance_that_resets_all_questions_is_not_asked_for_ever(clock):
-    asking = ContentSource(clock)
+    entry = QueryingEntry(clock)
     for number in range(20):
-        if len(asking.calls.made) == number:
+        if len(entry.calls.made) == number:
             break
-        asking.calls.made[number].lose("Connection reset by peer")
-        asking.timers.run_due(end_watch.RETRY_INTERVAL_S)
-    assert len(asking.calls.made) == end_watch.MAX_QUERIES
-    assert not asking.is_suspect
+        entry.calls.made[number].lose("Connection reset by peer")
+        entry.timers.run_due(end_watch.RETRY_INTERVAL_S)
+    assert len(entry.calls.made) == end_watch.MAX_QUERIES
+    assert not entry.is_suspect
 
 
 def test_silence_leaves_it_open_and_it_may_be_asked_again(clock):
-    asking = ContentSource(clock)
-    asking.timers.run_due(end_watch.ANSWER_TIMEOUT_S)
-    assert asking.calls.made[0].is_over
-    assert not asking.is_suspect
-    asking.ask()
-    asking.ask()
-    assert len(asking.calls.made) == 2
+    entry = QueryingEntry(clock)
+    entry.timers.run_due(end_watch.ANSWER_TIMEOUT_S)
+    assert entry.calls.made[0].is_over
+    assert not entry.is_suspect
+    entry.ask()
+    entry.ask()
+    assert len(entry.calls.made) == 2
 
 
 @pytest.mark.parametrize(
@@ -329,18 +331,18 @@
     assert isinstance(setting.exchange, stream_exchange.StreamExchange)
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 3), whole=False)
     setting.leave(setting.last.address.removesuffix(":80"))
-    _end(contents, clock, setting.exchange.job.content_id, 1, 2)
+    _crash(contents, clock, setting.exchange.job.content_id, 1, 2)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     assert len(setting.calls.attempts) == 1
 
 
 @KINDS
 def test_a_loss_by_which_it_is_held_ends_it_once(kind, clock):
-    """Its instance was known to have ended before its connection told."""
+    """The crash of its instance was known before its connection was lost."""
     contents = gateway_setting.make_contents(
         clock=clock, on_held=lambda content_id: setting.exchange.reject_held()
     )
-    _end(contents, clock, _get_content_id(), 1)
+    _crash(contents, clock, _get_content_id(), 1)
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1", "i-2"))
     clock.now_s += 1.0
     setting.exchange._attempt.sent_s = clock.now_s
@@ -354,7 +356,7 @@
 
 
 def test_what_runs_may_show_that_several_ends_at_once_were_not_its_doing(clock):
-    """As with a request that many send, when a rack fails."""
+    """Several instances crash at once, as with a rack, while a popular request runs on all."""
     contents = gateway_setting.make_contents(
         clock=clock, on_held=lambda content_id: setting.exchange.reject_held()
     )
@@ -373,7 +375,7 @@
 @KINDS
 @pytest.mark.parametrize("abandon", ["caller left", "deadline"])
 def test_a_request_abandoned_counts_if_its_instance_ends_right_after(kind, abandon, clock):
-    """The instance may have begun to run it; nobody was left to see the connection lost."""
+    """The instance may have started to run it, with no connection left that shows the crash."""
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
     setting.last.send()
@@ -442,7 +444,7 @@
     return setting
 
 
-def _make_news(setting):
+def _make_events(setting):
     return upstream_events.UpstreamEvents(setting.context, None, set(), get_table=lambda: None)
 
 
@@ -455,25 +457,25 @@
 
 
 def test_an_instance_with_an_alarm_is_asked_where_a_request_was_abandoned(clock):
-    """Nobody else may have lost anything there, and its health alone shows no end."""
+    """No other request may have been lost there, and the health check alone shows no crash."""
     setting = _abandon(_make_contents(clock))
     upstream = setting.registry.get("i-1")
-    _make_news(setting).drain(upstream)
+    _make_events(setting).drain(upstream)
     assert setting.asked == [upstream]
 
 
 def test_an_instance_is_not_asked_long_after_or_when_it_leaves(clock):
     leaving = _abandon(_make_contents(clock), leave=["i-1"])
-    _make_news(leaving).drain(leaving.registry.get("i-1"))
+    _make_events(leaving).drain(leaving.registry.get("i-1"))
     assert not leaving.asked
     former = _abandon(_make_contents(clock))
     clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
-    _make_news(former).drain(former.registry.get("i-1"))
+    _make_events(former).drain(former.registry.get("i-1"))
     assert not former.asked
 
 
 def test_what_is_abandoned_is_known_to_have_gone_when_the_end_is_known(clock):
-    """A run that was sent before anybody knew of the end is no second wave."""
+    """A run that was sent before the crash was known does not count as a second wave."""
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     content_id = setting.exchange.job.content_id
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -1,4 +1,4 @@
-"""Rest that an instance asks of an entry, and its word that it leaves."""
+"""Rest that an instance requests of an entry, and its announcement that it leaves."""
 
 import pytest
 
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_where_all_rest_a_request_is_refused_with_when_the_first_is_over(kind):
-    """Guards against a last resort that overrides what the instances asked for."""
+    """Guards against a last resort that overrides the rest that instances asked for."""
     setting = gateway_setting.Setting(kind, names=("i-1", "i-2"), attempts=2)
     for _ in range(2):
         setting.last.answer(503, TURNED_AWAY)
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_an_instance_that_says_that_it_leaves_is_barred_whatever_the_list_shows(kind):
-    """Guards against an entry that waits for a list that is late or can't be read."""
+    """Guards against an entry that waits for a list that is late or unreadable."""
     setting = gateway_setting.Setting(kind, names=("i-1",))
     (upstream,) = setting.registry.get_all()
     setting.last.user.on_answer_head(200, LEAVING)
@@ -205,16 +205,16 @@
     return fleet, fleet.instances[0]
 
 
-def _say(fleet, number, name, status, **headers):
+def _handle_answer(fleet, number, name, status, **headers):
     entry = fleet.entries[number]
     entry.news.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
 @pytest.mark.parametrize("said_to", [0, 1])
 def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(said_to):
-    """Guards against words that reach only who was there when they were said."""
+    """Guards against announcements that reach only entries that were running at the time."""
     fleet, name = _make_fleet()
-    _say(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
     fleet.run(5.0)
     started = fleet.restart_entry(0)
     fleet.run(0.5)
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("said_to", [0, 1])
 def test_so_it_is_where_the_list_comes_after_the_word(said_to):
     fleet, name = _make_fleet()
-    _say(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
     fleet.run(1.0)
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
@@ -235,7 +235,7 @@
 
 def test_an_entry_that_starts_anew_keeps_the_rest_that_it_was_asked_for():
     fleet, name = _make_fleet()
-    _say(fleet, 0, name, 503, **REST)
+    _handle_answer(fleet, 0, name, 503, **REST)
     until_s = fleet.clock() + 3.0
     fleet.run(1.0)
     upstream = fleet.restart_entry(0).registry.get(name)
@@ -250,7 +250,7 @@
 def test_an_entry_that_starts_later_holds_back_where_two_others_were_asked():
     fleet, name = _make_fleet()
     for number in (1, 2):
-        _say(fleet, number, name, 503, **REST)
+        _handle_answer(fleet, number, name, 503, **REST)
     fleet.run(1.0)
     upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
@@ -261,9 +261,9 @@
 
 
 def test_an_entrys_own_word_that_comes_back_is_no_news():
-    """Guards against an echo that lengthens the rest or counts as another entry's."""
+    """Guards against an entry's own report that lengthens the rest or counts as another entry's."""
     fleet, name = _make_fleet()
-    _say(fleet, 0, name, 503, **REST)
+    _handle_answer(fleet, 0, name, 503, **REST)
     upstream = fleet.entries[0].registry.get(name)
     left_ms = upstream.rest.get_remaining_ms(fleet.clock())
     fleet.run(0.5)
@@ -276,7 +276,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_an_instance_that_turns_a_request_away_is_left_to_the_last_for_a_moment(kind):
-    """Guards against an instance that looks emptiest since it turns away all that comes."""
+    """Guards against an instance that looks emptiest because it rejects all requests."""
     setting = gateway_setting.Setting(kind, names=("i-1",), attempts=1)
     (upstream,) = setting.registry.get_all()
     setting.last.answer(503, NOT_RUN)
--- a/tests/unit/test_limit_broadcast.py
+++ b/tests/unit/test_limit_broadcast.py
@@ -1,4 +1,4 @@
-"""What a hub passes on of the limits that instances state, and how often."""
+"""Which stated limits a hub sends, and how often."""
 
 from spoolhead._internal.policy import limit_broadcast, limit_registry, repeats
 
@@ -15,7 +15,7 @@
 
 
 def _get_sent(broadcast, since_s, until_s):
-    """Return when datagrams that go each tenth of a second carried any limit, and which."""
+    """Return when a datagram every tenth of a second carried limits, and which limits."""
     sent = {}
     steps = round((until_s - since_s) / STEP_S)
     for number in range(steps):
@@ -27,7 +27,7 @@
 
 
 def test_a_statement_is_sent_at_once_and_again_for_some_seconds():
-    """Guards against a receiver that never hears of it as it lost the first datagrams."""
+    """Guards against a receiver that loses the first datagrams and never receives the limit."""
     _, broadcast = _make()
     sent_s = sorted(_get_sent(broadcast, 0.0, 8.0))
     assert sent_s[: limit_broadcast.SEND_COUNT] == [0.0, 0.1]
--- a/tests/unit/test_limit_fleet.py
+++ b/tests/unit/test_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Limits while entries start and die, hubs die, datagrams are lost and halls are cut off."""
+"""Rate limits while entries and hubs start and crash, datagrams are lost and halls are cut off."""
 
 import hypothesis
 import pytest
@@ -34,10 +34,10 @@
 
 
 def test_another_entry_stands_in_for_a_granter_that_dies():
-    """Guards against a limit that is not used, or forgotten, with the entry that shares it out.
+    """Guards against a limit that is unused, or ignored, after its granter crashed.
 
-    Until the keepers tell that it is gone the stand-in grants 0.4 of the limit; half of that is to
-    be used while entries find out.
+    Until the keepers report the crash the backup grants 0.4 of the limit; half of that must be used
+    while entries detect the crash.
     """
     fleet = _make()
     began_s = fleet.clock()
@@ -57,14 +57,14 @@
 
 
 def test_an_entry_that_starts_knows_the_limits_with_its_first_update():
-    """Guards against a burst at an instance in need whenever entries start."""
+    """Guards against a burst at a rate-limited instance whenever entries start."""
     fleet = _make()
     for number in range(0, 24, 2):
         fleet.restart_entry(number)
     fleet.run(0.1)
     limited = fleet.get_limited(fleet.instances[0])
     told = [number for number in range(24) if fleet.entries[number].sharing.has_snapshot]
-    # One in a hundred datagrams is lost, first ones among them.
+    # One in a hundred datagrams is lost, including first ones.
     assert len(told) > 20
     assert set(told) <= set(limited)
     fleet.run(0.3)
@@ -81,7 +81,7 @@
 
 
 def test_entries_that_see_different_fleets_keep_within_what_is_allowed():
-    """Each half takes another entry for the first granter, as while news of a start spreads."""
+    """Each half uses another entry as primary granter, as while the start of an entry spreads."""
     fleet = _make()
     first = fleet.entries[fleet.find_granter(fleet.instances[0])].process.name
     entries = tuple(item for item in fleet.known.entries if item.name != first)
@@ -101,12 +101,12 @@
     fleet.net.cut_off_halls = {fleet.halls[0]}
     began_s = fleet.clock()
     fleet.run(8.0)
-    # The instance stands in the first hall, where a third of the requests come.
+    # The instance is in the first hall, where a third of the requests arrive.
     _check(fleet, began_s, used_part=0.6)
 
 
 def test_hubs_that_were_cut_from_each_other_make_good_what_was_said_meanwhile():
-    """Guards against entries of one hub that keep to what an instance took back during a cut."""
+    """Guards against entries of one hub that keep a limit which was removed during a cut."""
     fleet = limit_fleet.LimitFleet(entries=24)
     first, second = fleet.instances[:2]
     fleet.set_limit(LIMIT_PER_S, first)
@@ -129,7 +129,7 @@
 
 
 def test_a_statement_is_not_lost_with_the_first_reports_that_carry_it():
-    """Guards against a limit that only the one entry keeps to which the instance stated it."""
+    """Guards against a limit that is known only to the entry that read it."""
     fleet = limit_fleet.LimitFleet(entries=24)
     name = fleet.instances[0]
     fleet.set_limit(LIMIT_PER_S, name)
@@ -170,7 +170,7 @@
 
 
 class LimitMachine(stateful.RuleBasedStateMachine):
-    """Instances change their limits while processes fail; what is stated binds, nothing else."""
+    """Instances change their limits while processes fail; each stated limit holds, and no other."""
 
     @stateful.initialize(seed=strategies.integers(0, 2**16))
     def begin(self, seed):
@@ -226,12 +226,12 @@
             assert limit_fleet.get_most(instance.get_times_s(since_s)) <= allowed
 
     def teardown(self):
-        """Once all is calm, each limit is used and what has none is free."""
+        """Without disturbances each limit is used, and instances without one are not limited."""
         fleet = self.fleet
         fleet.net.loss = 0.0
         fleet.net.cut_off_halls = set()
         fleet.net.cut_keepers = set()
-        # The simulated entries send all to limited instances, so others may not be heard.
+        # The simulated entries send all requests to limited instances, so others may not be used.
         for name in fleet.instances:
             fleet.send_one_to(name)
         fleet.run(6.0)
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -1,4 +1,4 @@
-"""The newest rate limit of each instance: what wins, what is passed on, what is forgotten."""
+"""The newest rate limit of each instance: which statement wins, is broadcast, and expires."""
 
 import hypothesis
 from hypothesis import strategies
@@ -77,7 +77,7 @@
     strategies.floats(0, 1000), strategies.floats(0.001, 100), strategies.floats(0, 1000)
 )
 def test_a_lifted_limit_never_comes_back_from_a_process_that_missed_its_end(age_s, later_s, gap_s):
-    """Guards against a limit in force again for all after a cut, though nobody stated it."""
+    """Guards against a removed limit that is in force again after a cut without a statement."""
     registry, other = limit_registry.LimitRegistry(), limit_registry.LimitRegistry()
     other.record(KEY, 2.0, 0.0)
     registry.record(KEY, 2.0, 0.0)
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -1,8 +1,8 @@
-"""What a whole fleet knows of its load: the real classes under loss, delay, deaths and cuts.
+"""What a whole fleet knows of its load: the real classes under loss, delay, crashes and cuts.
 
-The load pattern: some hundred entries that see 0.4 requests a second each, so that nearly all they
-must know was begun by others. Its figures are those of a fleet of 195 entries in five halls with 37
-instances and 80 requests a second.
+The load pattern: some hundred entries that receive 0.4 requests a second each, so that nearly all
+load they must know was started by others. The numbers are those of a fleet of 195 entries in five
+halls with 37 instances and 80 requests a second.
 """
 
 import logging
@@ -15,14 +15,14 @@
 from spoolhead._internal.models import shared_load
 from spoolhead._internal.policy import hub_choice, load_view
 
-MBIT_BYTES_MS = 125
-LINK_BYTES_MS = 5 * MBIT_BYTES_MS
+BYTES_PER_MS_PER_MBIT = 125
+LINK_BYTES_PER_MS = 5 * BYTES_PER_MS_PER_MBIT
 """An entry's link of 5 Mbit/s."""
-CONTROL_BYTES_S = 19_000
-AGE_P99_MS = 500
-BURST_MS = 2.0
-FORGOTTEN_S = 4.0
-"""Time after which what a dead process told is forgotten and every row has been told again."""
+MAX_CONTROL_BYTES_PER_S = 19_000
+MAX_AGE_P99_MS = 500
+MAX_BURST_MS = 2.0
+EXPIRED_S = 4.0
+"""Time after which reports of a crashed process have expired and every row was sent again."""
 
 
 def _make(entries=24, halls=3, keepers=3, instances=9, **changes):
@@ -45,10 +45,10 @@
     made.begin_load(requests_per_s, lasting_s=3.0)
     made.run(6.0)
     mean_bytes_s, burst_bytes = made.get_traffic(made.entry_processes, 6.0)
-    assert mean_bytes_s < CONTROL_BYTES_S
-    assert burst_bytes / LINK_BYTES_MS < BURST_MS
+    assert mean_bytes_s < MAX_CONTROL_BYTES_PER_S
+    assert burst_bytes / LINK_BYTES_PER_MS < MAX_BURST_MS
     ages_ms = statistics.quantiles(made.ages_ms, n=100)
-    assert ages_ms[98] < AGE_P99_MS
+    assert ages_ms[98] < MAX_AGE_P99_MS
     assert statistics.median(made.ages_ms) < 100
 
 
@@ -79,16 +79,16 @@
     made.run(1.0)
     made.kill("keeper-000")
     made.entries[0].hold(made.instances[5], "late", 7)
-    made.run(FORGOTTEN_S)
+    made.run(EXPIRED_S)
     assert made.is_agreed()
 
 
 def test_a_hub_that_falls_silent_without_a_reset_is_left_for_another():
-    """Its datagrams just stop; nothing tells the entries of it."""
+    """Its datagrams just stop; no connection is reset."""
     made = _make()
     made.hubs[0].is_up = False
     made.entries[0].hold(made.instances[5], "late", 7)
-    made.run(FORGOTTEN_S)
+    made.run(EXPIRED_S)
     assert made.is_agreed()
     made.hubs[0].is_up = True
     made.run(hub_choice.MAX_BACKOFF_S + 3.0)
@@ -101,7 +101,7 @@
     made = _make()
     made.kill("keeper-000", "keeper-001")
     made.entries[0].hold(made.instances[5], "late", 7)
-    made.run(FORGOTTEN_S)
+    made.run(EXPIRED_S)
     assert made.is_agreed()
 
 
@@ -122,7 +122,7 @@
     made.run(1.0)
     assert made.entries[7].registry.get(made.instances[5]).others.tokens == 700
     made.kill("entry-000")
-    made.run(FORGOTTEN_S)
+    made.run(EXPIRED_S)
     assert made.is_agreed()
 
 
@@ -178,7 +178,7 @@
 
 
 def test_an_entry_that_lost_the_datagrams_of_an_alarm_hears_it_all_the_same():
-    """Guards against new work at an instance that leaves, from an entry nobody told again."""
+    """Guards against new requests at a leaving instance, from an entry that lost the alarm."""
     made = _make(entries=48)
     name = made.instances[0]
     made.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.LEAVING)
@@ -191,7 +191,7 @@
 
 
 def test_an_alarm_is_not_lost_with_the_first_reports_that_carry_it():
-    """Guards against new work at an instance that told one entry that it leaves."""
+    """Guards against new requests at an instance that announced its leaving to a single entry."""
     made = _make()
     leaving, resting = made.instances[:2]
     made.net.loss = 1.0
@@ -225,7 +225,7 @@
 
 
 def test_ages_stand_still_while_no_hub_is_heard():
-    """Without updates an entry cannot tell a cut from the end of a hub."""
+    """Without updates an entry cannot distinguish a cut from a crashed hub."""
     made = _make()
     for hub in made.hubs:
         hub.is_up = False
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -1,4 +1,4 @@
-"""What a hub adds up and tells, and what an entry makes of it, step by step."""
+"""What a hub adds up and sends, and how an entry applies it, step by step."""
 
 import hypothesis
 from hypothesis import strategies
@@ -41,28 +41,28 @@
     )
 
 
-def _take(hub, now_s=0.0, **changes):
+def _handle_report(hub, now_s=0.0, **changes):
     return hub.handle_report(_make_report(**changes), ADDRESS, now_s)
 
 
-def _tokens(hub):
+def _get_tokens(hub):
     return hub.make_snapshot(0.0).rows.get(KEY, shared_load.InstanceLoad()).tokens
 
 
 def test_a_new_report_replaces_the_one_before_and_a_late_one_does_not():
     hub = load_hub.LoadHub("k1", 1)
-    assert _take(hub, sequence=2, tokens=100)
-    assert not _take(hub, sequence=3, tokens=40)
-    assert not _take(hub, sequence=2, tokens=100)
-    assert _tokens(hub) == 40
+    assert _handle_report(hub, sequence=2, tokens=100)
+    assert not _handle_report(hub, sequence=3, tokens=40)
+    assert not _handle_report(hub, sequence=2, tokens=100)
+    assert _get_tokens(hub) == 40
 
 
 def test_an_entry_that_has_started_anew_is_told_all_though_it_was_not_missed():
     hub = load_hub.LoadHub("k1", 1)
-    assert _take(hub, sequence=1_000)
-    assert not _take(hub, now_s=1.4, sequence=1_400)
-    assert _take(hub, now_s=1.5, sequence=2_700)
-    assert not _take(hub, now_s=1.6, sequence=2_701)
+    assert _handle_report(hub, sequence=1_000)
+    assert not _handle_report(hub, now_s=1.4, sequence=1_400)
+    assert _handle_report(hub, now_s=1.5, sequence=2_700)
+    assert not _handle_report(hub, now_s=1.6, sequence=2_701)
 
 
 def test_a_new_reporter_is_told_all_until_it_says_that_it_knows():
@@ -72,75 +72,75 @@
     report.limits = [rate_limit.AgedLimit(KEY, 2.0, 0)]
     hub.handle_report(report, ADDRESS, 0.0)
     for sequence in range(1, 4):
-        _take(hub, now_s=sequence / 10, sequence=sequence, wants_snapshot=True)
+        _handle_report(hub, now_s=sequence / 10, sequence=sequence, wants_snapshot=True)
         update = hub.make_due_snapshot("e1", sequence / 10)
         assert update.is_snapshot
         assert update.counted == sequence
         assert [(item.key, item.limit_per_s) for item in update.limits] == [(KEY, 2.0)]
-    _take(hub, now_s=0.4, sequence=4)
+    _handle_report(hub, now_s=0.4, sequence=4)
     assert hub.make_due_snapshot("e1", 0.4) is None
 
 
 def test_it_is_not_told_all_again_while_that_may_be_under_way():
     hub = load_hub.LoadHub("k1", 1)
-    _take(hub, wants_snapshot=True)
+    _handle_report(hub, wants_snapshot=True)
     assert hub.make_due_snapshot("e1", 0.0).is_snapshot
-    _take(hub, now_s=0.01, sequence=2, wants_snapshot=True)
+    _handle_report(hub, now_s=0.01, sequence=2, wants_snapshot=True)
     assert hub.make_due_snapshot("e1", 0.01) is None
-    _take(hub, now_s=0.06, sequence=3, wants_snapshot=True)
+    _handle_report(hub, now_s=0.06, sequence=3, wants_snapshot=True)
     assert hub.make_due_snapshot("e1", 0.06).is_snapshot
 
 
 def test_so_is_one_whose_time_of_day_was_set_back_meanwhile():
     hub = load_hub.LoadHub("k1", 1)
-    assert _take(hub, sequence=90_000)
-    assert _take(hub, now_s=1.5, sequence=2_700)
+    assert _handle_report(hub, sequence=90_000)
+    assert _handle_report(hub, now_s=1.5, sequence=2_700)
 
 
 def test_who_leaves_or_falls_silent_is_not_counted():
     hub = load_hub.LoadHub("k1", 1)
-    _take(hub, sender="e1", tokens=100)
-    _take(hub, sender="e2", tokens=20)
-    _take(hub, sender="e1", sequence=2, is_reporter=False)
-    assert _tokens(hub) == 20
+    _handle_report(hub, sender="e1", tokens=100)
+    _handle_report(hub, sender="e2", tokens=20)
+    _handle_report(hub, sender="e1", sequence=2, is_reporter=False)
+    assert _get_tokens(hub) == 20
     hub.expire_silent(load_hub.REPORTER_EXPIRY_S + 0.1)
-    assert _tokens(hub) == 0
+    assert _get_tokens(hub) == 0
     assert hub.is_idle
 
 
 def test_another_hubs_rows_count_by_their_newest_datagram():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
-    _take(there, tokens=100)
+    _handle_report(there, tokens=100)
     old = there.make_totals(0.0)
-    _take(there, sequence=2, tokens=30)
+    _handle_report(there, sequence=2, tokens=30)
     new = there.make_totals(0.0)
     here.handle_totals(new, ADDRESS, 0.0)
     here.handle_totals(old, ADDRESS, 0.0)
-    assert _tokens(here) == 30
+    assert _get_tokens(here) == 30
     here.expire_silent(load_hub.HUB_EXPIRY_S + 0.1)
-    assert _tokens(here) == 0
+    assert _get_tokens(here) == 0
 
 
 def test_a_hub_passes_on_only_what_its_own_reporters_hold():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
-    _take(there, sender="e2", tokens=100)
+    _handle_report(there, sender="e2", tokens=100)
     here.handle_totals(there.make_totals(0.0), ADDRESS, 0.0)
-    _take(here, sender="e1", tokens=7)
+    _handle_report(here, sender="e1", tokens=7)
     assert here.make_totals(0.0).rows[KEY].tokens == 7
-    assert _tokens(here) == 107
+    assert _get_tokens(here) == 107
 
 
 def test_the_age_of_a_hall_is_that_of_whoever_heard_it_last():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
-    _take(there, now_s=9.0, hall="b")
+    _handle_report(there, now_s=9.0, hall="b")
     here.handle_totals(there.make_totals(10.0), ADDRESS, 10.0)
     assert [(age.hall, age.age_ms) for age in here.make_update(10.0).ages] == [("b", 1_000)]
-    _take(here, now_s=10.5, hall="b", sender="e9", is_reporter=False)
+    _handle_report(here, now_s=10.5, hall="b", sender="e9", is_reporter=False)
     assert [(age.hall, age.age_ms) for age in here.make_update(10.5).ages] == [("b", 0)]
 
 
 def test_a_hub_without_reporters_keeps_nothing_of_what_is_over():
-    """A keeper may go without reporters for days while instances come and go elsewhere."""
+    """A keeper may have no reporters for days while instances start and stop elsewhere."""
     sent = []
     here = load_hub.LoadHub("k1", 1)
     port = hub_port.HubPort(
@@ -170,8 +170,8 @@
 def test_an_alarm_is_told_some_times_and_taken_once():
     hub = load_hub.LoadHub("k1", 1)
     alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5)
-    _take(hub, alarms=[alarm])
-    _take(hub, sequence=2, alarms=[alarm])
+    _handle_report(hub, alarms=[alarm])
+    _handle_report(hub, sequence=2, alarms=[alarm])
     told = [len(hub.make_update(0.0).alarms) for _ in range(5)]
     assert told == [1] * alarm_broadcast.SEND_COUNT + [0] * (5 - alarm_broadcast.SEND_COUNT)
 
@@ -180,7 +180,7 @@
     return shared_load.Alarm(incarnation_id, kind, reporter="e1", sequence=sequence, for_ms=for_ms)
 
 
-def _get_told(hub, now_s):
+def _get_snapshot_alarms(hub, now_s):
     return [(alarm.kind, alarm.for_ms) for alarm in hub.make_snapshot(now_s).alarms]
 
 
@@ -189,31 +189,31 @@
     resting = _make_alarm(shared_load.AlarmKind.RESTING, for_ms=2_000)
     leaving = _make_alarm(shared_load.AlarmKind.LEAVING, sequence=2)
     once = _make_alarm(shared_load.AlarmKind.LOST_REQUEST, sequence=3)
-    _take(hub, alarms=[resting, leaving, once])
+    _handle_report(hub, alarms=[resting, leaving, once])
     left = (shared_load.AlarmKind.LEAVING, 0)
-    assert _get_told(hub, 0.5) == [(shared_load.AlarmKind.RESTING, 1_500), left]
-    assert _get_told(hub, 2.0) == [left]
-    assert _get_told(hub, standing_alarms.LEAVING_TTL_S) == []
+    assert _get_snapshot_alarms(hub, 0.5) == [(shared_load.AlarmKind.RESTING, 1_500), left]
+    assert _get_snapshot_alarms(hub, 2.0) == [left]
+    assert _get_snapshot_alarms(hub, standing_alarms.LEAVING_TTL_S) == []
 
 
 def test_it_gets_them_from_a_hub_that_was_told_by_another_one():
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     resting = shared_load.AlarmKind.RESTING
-    _take(there, alarms=[_make_alarm(resting, for_ms=2_000)])
+    _handle_report(there, alarms=[_make_alarm(resting, for_ms=2_000)])
     here.handle_totals(there.make_totals(0.0), ADDRESS, 0.0)
     here.discard_pending(0.5)
-    assert _get_told(here, 0.5) == [(resting, 1_500)]
+    assert _get_snapshot_alarms(here, 0.5) == [(resting, 1_500)]
 
 
 def test_a_hub_that_is_heard_anew_is_told_what_holds():
-    """Guards against entries of a hub that started, or was cut off, that know none of it."""
+    """Guards against a hub that started, or was cut off, whose entries lack the standing alarms."""
     here, there = load_hub.LoadHub("k1", 1), load_hub.LoadHub("k2", 1)
     report = _make_report(alarms=[_make_alarm(shared_load.AlarmKind.LEAVING)])
     report.limits = [rate_limit.AgedLimit(KEY, 2.0, 0)]
     there.handle_report(report, ADDRESS, 0.0)
     for step in range(100):
         there.make_totals(step / 10)
-    _take(here, now_s=10.0)
+    _handle_report(here, now_s=10.0)
     there.handle_totals(here.make_totals(10.0), ADDRESS, 10.0)
     here.handle_totals(there.make_totals(10.1), ADDRESS, 10.1)
     told = here.make_snapshot(10.1)
@@ -223,7 +223,7 @@
 
 def test_so_is_one_that_started_anew_before_it_was_missed():
     there = load_hub.LoadHub("k2", 1)
-    _take(there, alarms=[_make_alarm(shared_load.AlarmKind.LEAVING)])
+    _handle_report(there, alarms=[_make_alarm(shared_load.AlarmKind.LEAVING)])
     there.handle_totals(load_hub.LoadHub("k1", 1).make_totals(0.0), ADDRESS, 0.0)
     for step in range(100):
         there.make_totals(step / 10)
@@ -235,24 +235,26 @@
 def test_a_hub_takes_no_alarm_again_that_it_still_keeps():
     hub = load_hub.LoadHub("k1", 1)
     leaving = _make_alarm(shared_load.AlarmKind.LEAVING)
-    _take(hub, alarms=[leaving])
+    _handle_report(hub, alarms=[leaving])
     later_s = load_hub.SEEN_ALARM_TTL_S + 1.0
     for step in range(round(later_s * 10)):
         hub.expire_silent(step / 10)
         hub.make_update(step / 10)
     hub.expire_silent(later_s)
-    _take(hub, now_s=later_s, sequence=2, alarms=[leaving])
+    _handle_report(hub, now_s=later_s, sequence=2, alarms=[leaving])
     assert not hub.make_update(later_s).alarms
 
 
 def test_a_repeated_word_does_not_hold_longer_and_a_newer_one_replaces_it():
     hub = load_hub.LoadHub("k1", 1)
     resting = shared_load.AlarmKind.RESTING
-    _take(hub, alarms=[_make_alarm(resting, for_ms=2_000)])
-    _take(hub, now_s=0.4, sequence=2, alarms=[_make_alarm(resting, for_ms=2_000)])
-    assert _get_told(hub, 0.5) == [(resting, 1_500)]
-    _take(hub, now_s=1.0, sequence=3, alarms=[_make_alarm(resting, sequence=2, for_ms=3_000)])
-    assert _get_told(hub, 1.0) == [(resting, 3_000)]
+    _handle_report(hub, alarms=[_make_alarm(resting, for_ms=2_000)])
+    _handle_report(hub, now_s=0.4, sequence=2, alarms=[_make_alarm(resting, for_ms=2_000)])
+    assert _get_snapshot_alarms(hub, 0.5) == [(resting, 1_500)]
+    _handle_report(
+        hub, now_s=1.0, sequence=3, alarms=[_make_alarm(resting, sequence=2, for_ms=3_000)]
+    )
+    assert _get_snapshot_alarms(hub, 1.0) == [(resting, 3_000)]
 
 
 def test_only_so_many_alarms_are_kept_the_newest():
@@ -261,7 +263,7 @@
         alarm = _make_alarm(
             shared_load.AlarmKind.LEAVING, incarnation_id=f"i-{number}", sequence=number
         )
-        _take(hub, sequence=number, alarms=[alarm])
+        _handle_report(hub, sequence=number, alarms=[alarm])
     told = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
     assert told == [f"i-{number}" for number in range(200 - standing_alarms.MAX_ALARMS, 200)]
 
@@ -274,21 +276,21 @@
     new = shared_load.Alarm(
         "i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5_000_001
     )
-    _take(hub, sequence=9_000_000, tokens=100, alarms=[old])
+    _handle_report(hub, sequence=9_000_000, tokens=100, alarms=[old])
     assert len(hub.make_update(0.0).alarms) == 1
-    _take(hub, sequence=5_000_000, tokens=7, alarms=[new])
-    assert _tokens(hub) == 7
+    _handle_report(hub, sequence=5_000_000, tokens=7, alarms=[new])
+    assert _get_tokens(hub) == 7
     assert new.sequence in [alarm.sequence for alarm in hub.make_update(0.0).alarms]
 
 
 def test_a_hub_restarted_with_its_clock_set_back_is_taken_at_once():
     here = load_hub.LoadHub("k1", 1)
     former, restarted = load_hub.LoadHub("k2", 9_000_000), load_hub.LoadHub("k2", 5_000_000)
-    _take(former, sender="e1", tokens=100)
-    _take(restarted, sender="e2", tokens=7)
+    _handle_report(former, sender="e1", tokens=100)
+    _handle_report(restarted, sender="e2", tokens=7)
     here.handle_totals(former.make_totals(0.0), ADDRESS, 0.0)
     here.handle_totals(restarted.make_totals(0.1), ADDRESS, 0.1)
-    assert _tokens(here) == 7
+    assert _get_tokens(here) == 7
 
 
 def test_a_part_is_bounded_and_all_rows_are_told_in_turn():
@@ -358,13 +360,13 @@
 
 def test_what_an_entry_itself_holds_is_not_counted_twice_whatever_the_order():
     side = _EntrySide()
-    _take(side.hub, sender="other", tokens=100)
+    _handle_report(side.hub, sender="other", tokens=100)
     side.hold(11)
     side.report()
     first = side.update()
     side.hold(70)
     side.report()
-    # The first update arrives after the second report has left.
+    # The first update arrives after the second report was sent.
     assert side.view.handle_update(first, 0.0)
     assert side.upstream.tokens == 170
     assert side.view.handle_update(side.update(), 0.0)
@@ -373,7 +375,7 @@
 
 def test_an_update_that_counts_an_unknown_report_is_of_no_use():
     side = _EntrySide()
-    _take(side.hub, sender="other", tokens=100)
+    _handle_report(side.hub, sender="other", tokens=100)
     assert not side.view.handle_update(side.update(counted=99), 0.0)
     assert side.upstream.others == shared_load.InstanceLoad()
 
@@ -394,7 +396,7 @@
 def test_what_was_told_expires_without_updates():
     side = _EntrySide()
     side.report()
-    _take(side.hub, sender="other", tokens=100)
+    _handle_report(side.hub, sender="other", tokens=100)
     side.view.handle_update(side.update(), 0.0)
     side.view.rebuild(load_view.UPDATE_TTL_S - 0.1)
     assert side.upstream.tokens == 100
@@ -419,7 +421,7 @@
     for report in reports:
         hub.handle_report(report, ADDRESS, 0.0)
     expected = sum(held.tokens for report in newest.values() for held in report.rows.values())
-    assert _tokens(hub) == expected
+    assert _get_tokens(hub) == expected
 
 
 NEAR, FAR = ("10.0.0.1", 7), ("10.0.1.1", 7)
@@ -451,7 +453,7 @@
     later_s = silent_s + hub_choice.INITIAL_BACKOFF_S
     choice.record_update(FAR, later_s)
     assert choice.choose(later_s)
-    # The present one stays until the other answers.
+    # The current hub stays until the other one answers.
     assert (choice.current, choice.probing) == (FAR, NEAR)
     choice.record_update(FAR, later_s + hub_choice.PROBE_TIMEOUT_S)
     assert not choice.choose(later_s + hub_choice.PROBE_TIMEOUT_S + 0.01)
--- a/tests/unit/test_matcher.py
+++ b/tests/unit/test_matcher.py
@@ -1,4 +1,4 @@
-"""Routes by host and longest prefix, against a naive search."""
+"""Routes by host and longest prefix, compared with a naive search."""
 
 import hypothesis
 from hypothesis import strategies
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits at one entry: who is granted what, and what a request does meanwhile."""
+"""Permits at one entry: which requests get one, and how requests wait for it."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 ONCE = route_table.RequestKind.ONCE
 STREAM = route_table.RequestKind.STREAM
 KEY = 1_000
-"""Starts with an empty bucket."""
+"""Key of an instance whose bucket starts empty."""
 V = permits.Verdict
 
 
@@ -42,7 +42,7 @@
     return registry, permit_granter.PermitGranter(registry)
 
 
-def _list(replies):
+def _get_verdicts(replies):
     return [(item.reply.permit_id, item.reply.verdict) for item in replies]
 
 
@@ -57,16 +57,18 @@
 
 def test_an_ask_that_may_wait_is_granted_when_its_token_comes():
     _, granter = _make_granter()
-    assert _list(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [
+    assert _get_verdicts(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [
         (1, V.QUEUED)
     ]
     assert granter.get_due_s(0.0) == pytest.approx(0.5)
-    assert _list(granter.poll(0.51)) == [(1, V.GRANTED)]
+    assert _get_verdicts(granter.poll(0.51)) == [(1, V.GRANTED)]
 
 
 def test_an_ask_that_can_not_be_granted_in_time_is_rejected_at_once():
     _, granter = _make_granter()
-    ((_, verdict),) = _list(granter.handle_request(_make_permit_request(1, wait_ms=400), 0.0))
+    ((_, verdict),) = _get_verdicts(
+        granter.handle_request(_make_permit_request(1, wait_ms=400), 0.0)
+    )
     assert verdict is V.REJECTED
 
 
@@ -74,24 +76,24 @@
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
     replies = granter.handle_request(_make_permit_request(2, rank=0, wait_ms=600), 0.1)
-    assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
+    assert sorted(_get_verdicts(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_a_first_attempt_goes_before_a_second_one():
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600, is_retry=True), 0.0)
     replies = granter.handle_request(_make_permit_request(2, wait_ms=600), 0.1)
-    assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
+    assert sorted(_get_verdicts(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_an_ask_that_comes_again_takes_no_second_token():
-    """Guards against a lost reply that costs the instance's limit a request."""
+    """Guards against a lost reply that uses up a second token."""
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(0), 0.0)
     first = granter.handle_request(_make_permit_request(1), 1.0)
     again = granter.handle_request(_make_permit_request(1), 1.1)
-    assert _list(first) == _list(again) == [(1, V.GRANTED)]
-    assert _list(granter.handle_request(_make_permit_request(2), 1.6)) == [(2, V.GRANTED)]
+    assert _get_verdicts(first) == _get_verdicts(again) == [(1, V.GRANTED)]
+    assert _get_verdicts(granter.handle_request(_make_permit_request(2), 1.6)) == [(2, V.GRANTED)]
 
 
 def test_callers_that_are_refused_come_back_one_after_the_other():
@@ -130,7 +132,7 @@
     registry, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
     registry.record(KEY, None, 0.1)
-    assert _list(granter.poll(0.2)) == [(1, V.UNLIMITED)]
+    assert _get_verdicts(granter.poll(0.2)) == [(1, V.UNLIMITED)]
 
 
 def test_idle_buckets_are_forgotten():
@@ -212,7 +214,7 @@
 def test_a_request_waits_no_longer_than_a_sixth_of_its_time_and_its_objective(
     kind, wait_ms, objective_ms
 ):
-    """Guards against callers that wait for what they would rather be told to come back for."""
+    """Guards against callers that wait instead of being told early when to retry."""
     setting = gateway_setting.Setting(
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
@@ -239,7 +241,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_a_granted_request_goes_though_others_were_rejected_meanwhile(kind):
-    """Guards against permits that come to nothing: the entry backs off for all but this request."""
+    """Guards against unusable permits: the entry backs off for all requests but the granted one."""
     setting = _make(kind)
     (ask,) = setting.permits._pending_requests.values()
     request_priority = setting.exchange.job.request_priority
@@ -282,7 +284,7 @@
 
 
 def test_a_run_goes_on_at_a_limited_instance_only_with_a_permit():
-    """Guards against runs of a leaving engine that all go on at one in need."""
+    """Guards against runs of a leaving engine that all move to one rate-limited instance."""
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     other = {"i-1", "i-2"} - {setting.last.address.removesuffix(":80")}
     setting.last.send()
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which contents are suspected and held, and how records of them merge."""
+"""Which contents are suspect or held, and how their records merge."""
 
 import hypothesis
 from hypothesis import strategies
@@ -16,13 +16,13 @@
 
 
 def _hold(made, content_id=DEADLY, at_s=NOW_S):
-    """Have a content end two instances, one after the other."""
+    """Crash two instances under a content, one after the other."""
     made.record_crash(content_id, 1, at_s - 3.0, at_s - 2.0)
     made.record_crash(content_id, 2, at_s - 1.0, at_s)
 
 
-def _tell(source, target, now_s):
-    """Tell one process's records to another."""
+def _send_records(source, target, now_s):
+    """Send one process's records to another."""
     registry = source.registry
     items = [registry.get_aged(content_id, now_s) for content_id in registry.get_ids()]
     return target.merge_records(items, now_s)
@@ -69,7 +69,7 @@
 def test_an_end_that_another_entry_told_makes_the_next_one_a_second():
     one, other = _make("entry-1"), _make("entry-2")
     one.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    _tell(one, other, NOW_S + 0.1)
+    _send_records(one, other, NOW_S + 0.1)
     other.record_crash(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
     assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART, "sent before that was known"
     other.record_crash(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
@@ -79,12 +79,12 @@
 def test_a_good_end_clears_it_everywhere_whatever_comes_late():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
-    _tell(one, other, NOW_S)
+    _send_records(one, other, NOW_S)
     assert other.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
     assert other.record_harmless(DEADLY, NOW_S + 1.0) is not None
-    _tell(one, other, NOW_S + 2.0)
+    _send_records(one, other, NOW_S + 2.0)
     assert other.evaluate(DEADLY, NOW_S + 2.0) is Verdict.RUN
-    _tell(other, one, NOW_S + 2.0)
+    _send_records(other, one, NOW_S + 2.0)
     assert one.evaluate(DEADLY, NOW_S + 2.0) is Verdict.RUN
 
 
@@ -108,12 +108,12 @@
 def test_of_two_entries_that_claim_the_run_one_gets_it():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
-    _tell(one, other, NOW_S)
+    _send_records(one, other, NOW_S)
     later_s = NOW_S + quarantine.TRIAL_DELAY_S + 1.0
     one.claim_trial(DEADLY, later_s)
     other.claim_trial(DEADLY, later_s)
-    _tell(one, other, later_s + 0.1)
-    _tell(other, one, later_s + 0.1)
+    _send_records(one, other, later_s + 0.1)
+    _send_records(other, one, later_s + 0.1)
     assert [one.may_run_trial(DEADLY), other.may_run_trial(DEADLY)] == [True, False]
 
 
@@ -149,7 +149,7 @@
 
 
 def _order(made, *, is_held):
-    """Have an operator's order told to an entry, as a keeper passes it on."""
+    """Apply an operator's order to an entry, as a keeper passes it on."""
     record = content_record.begin_epoch(DEADLY, made.registry.get(DEADLY), is_by_hand=is_held)
     made.merge_records([content_record.AgedRecord(record, 0)], NOW_S)
 
@@ -176,13 +176,13 @@
 def test_what_is_old_is_forgotten_and_not_given_back():
     one, other = _make("entry-1"), _make("entry-2")
     _hold(one)
-    _tell(one, other, NOW_S)
+    _send_records(one, other, NOW_S)
     late_s = NOW_S + content_registry.RETENTION_S - content_registry.EXPIRY_MARGIN_S / 2
     third = _make("entry-3")
-    assert _tell(one, third, late_s) == []
+    assert _send_records(one, third, late_s) == []
     one.record_crash(b"x" * 16, 9, late_s + 60.0, late_s + 61.0)
     assert one.registry.get(DEADLY) is None
-    assert _tell(other, one, late_s + 61.0) == []
+    assert _send_records(other, one, late_s + 61.0) == []
 
 
 _records = strategies.builds(
@@ -233,19 +233,19 @@
     made = _make()
     for number in range(20):
         made.record_crash(b"%016d" % number, 7, NOW_S, NOW_S)
-    telling = content_registry.ContentBroadcast(made.registry)
-    telling.record_digest("hub", 1, NOW_S)
-    assert not telling.has_pending, "it may be on its way"
-    telling.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S)
-    told = set()
-    while telling.has_pending:
-        told |= {item.record.content_id for item in telling.pop_batch(NOW_S)}
-    assert len(told) == 20
-    telling.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S + 0.1)
-    assert not telling.has_pending, "not again at once"
-    telling.record_digest("hub", 0, NOW_S + 8.0)
-    assert telling.has_pending, "it has just started"
-    telling.clear()
-    telling.record_digest("hub", made.registry.digest, NOW_S + 9.0)
-    telling.record_digest("hub", 1, NOW_S + 9.1)
-    assert not telling.has_pending
+    broadcast = content_registry.ContentBroadcast(made.registry)
+    broadcast.record_digest("hub", 1, NOW_S)
+    assert not broadcast.has_pending, "it may be on its way"
+    broadcast.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S)
+    sent = set()
+    while broadcast.has_pending:
+        sent |= {item.record.content_id for item in broadcast.pop_batch(NOW_S)}
+    assert len(sent) == 20
+    broadcast.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S + 0.1)
+    assert not broadcast.has_pending, "not again at once"
+    broadcast.record_digest("hub", 0, NOW_S + 8.0)
+    assert broadcast.has_pending, "it has just started"
+    broadcast.clear()
+    broadcast.record_digest("hub", made.registry.digest, NOW_S + 9.0)
+    broadcast.record_digest("hub", 1, NOW_S + 9.1)
+    assert not broadcast.has_pending
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -1,4 +1,4 @@
-"""An instance that starts again under its id: nothing of the former run counts for it."""
+"""An instance that restarts under its id: no state of the previous incarnation applies to it."""
 
 import random
 
@@ -19,19 +19,19 @@
     return gateway_setting.make_instance(name, started_ms=started_ms, **fields)
 
 
-def _take(registry, *listed):
+def _update_list(registry, *listed):
     return registry.update_instances(list(listed), 100.0)
 
 
 def test_a_later_start_is_another_run_and_the_former_is_over():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(1_000))
+    _update_list(registry, _make(1_000))
     (former,) = registry.get_all()
     former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
     former.others = shared_load.InstanceLoad(9_000, 3, 0)
     former.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
     former.record_sent(100.0)
-    assert _take(registry, _make(2_000)) == [former]
+    assert _update_list(registry, _make(2_000)) == [former]
     (present,) = registry.get_all()
     assert former.has_restarted and former.is_gone
     assert present is not former
@@ -42,42 +42,42 @@
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(2_000))
+    _update_list(registry, _make(2_000))
     (present,) = registry.get_all()
-    assert _take(registry, _make(1_000, is_leaving=True)) == []
+    assert _update_list(registry, _make(1_000, is_leaving=True)) == []
     assert registry.get_all() == [present]
     assert not present.is_leaving and not present.is_gone
-    _take(registry)
-    assert _take(registry, _make(1_000)) == []
+    _update_list(registry)
+    assert _update_list(registry, _make(1_000)) == []
     assert registry.get_all() == [], "a former run came back"
 
 
 def test_a_start_that_is_not_told_any_more_names_no_run():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(2_000))
+    _update_list(registry, _make(2_000))
     (present,) = registry.get_all()
-    _take(registry, _make(0))
+    _update_list(registry, _make(0))
     assert registry.get_all() == [present]
 
 
 def test_without_starts_another_address_under_an_id_is_another_run():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(0, address="10.0.0.1:80"))
+    _update_list(registry, _make(0, address="10.0.0.1:80"))
     (former,) = registry.get_all()
     former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    assert _take(registry, _make(0, address="10.0.0.2:80")) == [former]
+    assert _update_list(registry, _make(0, address="10.0.0.2:80")) == [former]
     assert former.has_restarted
     assert registry.get_all()[0].tokens == 0
 
 
 def _restart(setting, name):
-    """List an instance as started again and tell the request."""
+    """List an instance as restarted and notify the request."""
     setting.registry.update_instances([_make(2_000, name)], 100.0)
     setting.exchange.on_upstream_ended()
 
 
 def test_a_stream_at_the_former_run_is_ended_at_once():
-    """Behind a cut its connection never tells."""
+    """Behind a cut its connection is never reset."""
     setting = gateway_setting.Setting(STREAM, names=("i-1",), started_ms=1_000)
     setting.last.send()
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
@@ -122,8 +122,8 @@
     assert not any("/kv-handle/" in call.target for call in setting.calls.made)
 
 
-class RebornMachine(stateful.RuleBasedStateMachine):
-    """Lists that come late, doubled and out of order, of instances that start again and again."""
+class RestartMachine(stateful.RuleBasedStateMachine):
+    """Late, duplicate and reordered lists of instances that restart repeatedly."""
 
     NAMES = ("i-1", "i-2", "i-3")
 
@@ -173,7 +173,7 @@
             assert self.registry.get_by_key(upstream.key) is upstream
 
 
-TestReborn = RebornMachine.TestCase
+TestReborn = RestartMachine.TestCase
 
 
 def _make_fleet(started_ms):
@@ -191,7 +191,7 @@
 
 
 def test_work_that_entries_tell_of_the_former_run_does_not_count_for_the_present_one():
-    """Some entries hear of the start later than others, and datagrams are lost and late."""
+    """Some entries learn of the restart later than others, and datagrams are lost and late."""
     rng = random.Random(4)
     made = _make_fleet(1_000)
     name = made.instances[0]
@@ -254,12 +254,12 @@
     registry = upstream_registry.UpstreamRegistry()
     many = latest_starts.MAX_DELISTED + 600
     for started_ms in (2_000, 2_000):
-        _take(registry, *(_make(started_ms, f"i-{number}") for number in range(many)))
-    _take(registry, *(_make(1_000, f"i-{number}") for number in range(many)))
+        _update_list(registry, *(_make(started_ms, f"i-{number}") for number in range(many)))
+    _update_list(registry, *(_make(1_000, f"i-{number}") for number in range(many)))
     assert len(registry.get_all()) == many
     assert all(upstream.instance.started_ms == 2_000 for upstream in registry.get_all())
     for number in range(3 * latest_starts.MAX_DELISTED):
-        _take(registry, _make(2_000, f"once-{number}"))
+        _update_list(registry, _make(2_000, f"once-{number}"))
     assert len(registry._starts._started_ms) <= latest_starts.MAX_DELISTED + 1
 
 
@@ -268,7 +268,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM, REPEATABLE])
 def test_what_another_instance_turns_away_goes_on_at_once_and_is_no_attempt(kind):
-    """Instances that crashed are listed for seconds, and their addresses answer for others."""
+    """Crashed instances stay listed for seconds while others answer at their addresses."""
     setting = gateway_setting.Setting(kind, attempts=1, names=("i-1", "i-2", "i-3"))
     first = setting.last.address
     setting.last.answer(421, MISDIRECTED)
@@ -281,7 +281,7 @@
 
 def test_an_instance_whose_address_answers_for_another_gets_nothing_for_a_while():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(0))
+    _update_list(registry, _make(0))
     (upstream,) = registry.get_all()
     assert upstream.record_replaced(100.0)
     assert not upstream.record_replaced(100.5), "no news"
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -18,11 +18,11 @@
     return run_admission.Request(**{**fields, **changes}, arrived_s=100.0)
 
 
-def _make_upstream(tokens, reading=0):
+def _make_upstream(tokens, prefill_tokens=0):
     upstream = upstream_registry.Upstream(gateway_setting.make_instance("i"))
     if tokens:
         upstream.in_flight["r"] = upstream_registry.InFlightRequest(
-            "r", tokens, prefill_tokens=reading
+            "r", tokens, prefill_tokens=prefill_tokens
         )
     return upstream
 
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -1,4 +1,4 @@
-"""Records of contents on a keeper's disk: kept through any stop, never in the way of a start."""
+"""Content records on a keeper's disk: they survive any stop and never prevent a start."""
 
 import threading
 
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """One run of a keeper on a folder that outlasts it."""
+    """One run of a keeper on a folder that persists."""
 
     def __init__(self, folder, *, wall_s=1_000.0, now_s=50.0):
         self.clock = simulated_clock.Clock()
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -1,4 +1,4 @@
-"""What bars a request from an instance: the strictest wins, also over a permit."""
+"""Reasons that block an instance: the strictest one applies, even to a request with a permit."""
 
 import random
 
@@ -38,7 +38,7 @@
     upstream.rest.record(2_000, NOW_S)
 
 
-def _be_cold(upstream):
+def _make_cold(upstream):
     upstream.record_cold(5_000, NOW_S)
     upstream.record_sent(NOW_S)
 
@@ -47,12 +47,12 @@
     upstream.record_failure(NOW_S, is_unreachable=True)
 
 
-HARMS = {
+BLOCKERS = {
     BlockReason.LEAVING: _leave,
     BlockReason.REPLACED: _replace,
     BlockReason.EVACUATED: _evacuate,
     BlockReason.RESTING: _rest,
-    BlockReason.COLD: _be_cold,
+    BlockReason.COLD: _make_cold,
     BlockReason.SUSPECTED: _eject,
 }
 
@@ -74,19 +74,21 @@
     )
 
 
-@pytest.mark.parametrize("bar", list(HARMS))
-def test_a_permit_brings_no_request_past_any_other_bar(bar):
-    """Guards against a limited instance that gets what its rest, start or leaving forbids."""
+@pytest.mark.parametrize("reason", list(BLOCKERS))
+def test_a_permit_brings_no_request_past_any_other_bar(reason):
+    """Guards against a permit that overrides an instance's rest, cold start or leaving."""
     upstream, gate = _make()
     assert _get_block_reason(gate, upstream, has_permit=True) is None
-    HARMS[bar](upstream)
-    assert _get_block_reason(gate, upstream, has_permit=True) is bar
+    BLOCKERS[reason](upstream)
+    assert _get_block_reason(gate, upstream, has_permit=True) is reason
 
 
-@pytest.mark.parametrize("bar", [bar for bar in HARMS if bar is not BlockReason.SUSPECTED])
-def test_no_last_resort_overrides_what_binds(bar):
+@pytest.mark.parametrize(
+    "reason", [reason for reason in BLOCKERS if reason is not BlockReason.SUSPECTED]
+)
+def test_no_last_resort_overrides_what_binds(reason):
     upstream, gate = _make(limit_per_s=None)
-    HARMS[bar](upstream)
+    BLOCKERS[reason](upstream)
     view = upstream_choice.View(
         hall="hall-a",
         silent_halls=(),
@@ -98,7 +100,7 @@
     )
     choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
     assert choice.upstream is None
-    assert choice.blocked == {bar: 1}
+    assert choice.blocked == {reason: 1}
 
 
 def test_an_ejected_instance_is_the_last_resort():
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -1,4 +1,4 @@
-"""What an entry knows of instances, and which it chooses, watches, copies to."""
+"""State of instances at an entry, and the choice of instances, watchers and copy targets."""
 
 import random
 
@@ -18,12 +18,12 @@
 MODEL = route_table.Service(
     name="s", health_path="/h", max_connections=9, engine=gateway_setting.ENGINE
 )
-SAID = shared_load.AlarmKind.UNHEALTHY
+UNHEALTHY = shared_load.AlarmKind.UNHEALTHY
 UNREACHABLE = shared_load.AlarmKind.UNREACHABLE
 PLAIN = route_table.Service(name="s", health_path="/h", max_connections=9, engine=None)
 
 
-def _make_book(*items):
+def _make_registry(*items):
     registry = upstream_registry.UpstreamRegistry()
     registry.update_instances(items, 0.0)
     return registry
@@ -48,47 +48,47 @@
     return choice.upstream.instance.instance_id if choice.upstream is not None else None
 
 
-def _work(upstream, tokens, reading=0):
+def _add_request(upstream, tokens, prefill=0):
     name = f"r{len(upstream.in_flight)}"
     upstream.in_flight[name] = upstream_registry.InFlightRequest(
-        name, tokens, prefill_tokens=reading
+        name, tokens, prefill_tokens=prefill
     )
 
 
 def test_the_own_hall_is_preferred_until_it_is_busier():
-    registry = _make_book(
+    registry = _make_registry(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
     assert _name(_choose(registry)) == "near"
     for _ in range(3):
-        _work(registry.get("near"), 0)
+        _add_request(registry.get("near"), 0)
     assert _name(_choose(registry)) == "far"
 
 
 def test_memory_and_reading_decide_at_engines():
-    registry = _make_book(
+    registry = _make_registry(
         gateway_setting.make_instance("full"), gateway_setting.make_instance("reading")
     )
-    _work(registry.get("full"), 20_000)
+    _add_request(registry.get("full"), 20_000)
     assert _name(_choose(registry, MODEL)) == "reading"
-    _work(registry.get("reading"), 9_000, reading=9_000)
+    _add_request(registry.get("reading"), 9_000, prefill=9_000)
     assert _name(_choose(registry, MODEL)) == "full"
 
 
 def test_a_silent_hall_comes_last_but_is_better_than_nothing():
-    registry = _make_book(
+    registry = _make_registry(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
     for _ in range(6):
-        _work(registry.get("near"), 0)
+        _add_request(registry.get("near"), 0)
     assert _name(_choose(registry, silent={"hall-b"})) == "near"
     assert _name(_choose(registry, silent={"hall-b"}, excluded={"near"})) == "far"
 
 
 def test_a_hall_that_cannot_be_reached_is_not_even_the_last_resort():
-    registry = _make_book(
+    registry = _make_registry(
         gateway_setting.make_instance("near"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
@@ -97,7 +97,9 @@
 
 
 def test_an_instance_that_fails_rests_and_is_used_if_there_is_no_other():
-    registry = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
+    registry = _make_registry(
+        gateway_setting.make_instance("a"), gateway_setting.make_instance("b")
+    )
     for _ in range(upstream_registry.FAILURES_TO_EJECT):
         registry.get("a").record_failure(100.0)
     assert not registry.get("a").is_usable(100.1)
@@ -106,31 +108,33 @@
 
 
 def test_an_unreachable_instance_rests_at_once():
-    registry = _make_book(gateway_setting.make_instance("a"))
+    registry = _make_registry(gateway_setting.make_instance("a"))
     assert registry.get("a").record_failure(100.0, is_unreachable=True)
 
 
 def test_a_leaving_instance_is_never_chosen():
-    registry = _make_book(gateway_setting.make_instance("a", is_leaving=True))
+    registry = _make_registry(gateway_setting.make_instance("a", is_leaving=True))
     assert _choose(registry).upstream is None
 
 
 def test_an_alarm_passes_and_a_false_one_costs_its_sender_belief():
     upstream = upstream_registry.Upstream(gateway_setting.make_instance("a"))
-    assert upstream.raise_alarm(100.0, SAID)
+    assert upstream.raise_alarm(100.0, UNHEALTHY)
     assert upstream.may_be_leaving(100.1)
-    assert not upstream.raise_alarm(100.5, SAID)
+    assert not upstream.raise_alarm(100.5, UNHEALTHY)
     assert not upstream.may_be_leaving(100.0 + upstream_registry.ALARM_TTL_S)
-    assert not upstream.raise_alarm(100.0 + upstream_registry.ALARM_TTL_S + 1.0, SAID)
+    assert not upstream.raise_alarm(100.0 + upstream_registry.ALARM_TTL_S + 1.0, UNHEALTHY)
     assert upstream.raise_alarm(
-        100.0 + upstream_registry.ALARM_TTL_S + upstream_registry.ALARM_COOLDOWN_S, SAID
+        100.0 + upstream_registry.ALARM_TTL_S + upstream_registry.ALARM_COOLDOWN_S, UNHEALTHY
     )
 
 
 def test_the_list_tells_what_leaves_and_what_is_gone_with_work():
-    registry = _make_book(gateway_setting.make_instance("a"), gateway_setting.make_instance("b"))
+    registry = _make_registry(
+        gateway_setting.make_instance("a"), gateway_setting.make_instance("b")
+    )
     b = registry.get("b")
-    _work(b, 10)
+    _add_request(b, 10)
     leaving = registry.update_instances([gateway_setting.make_instance("a", is_leaving=True)], 0.0)
     assert [item.instance.instance_id for item in leaving] == ["a", "b"]
     assert b.is_gone
@@ -165,7 +169,7 @@
 
 
 def test_duties_are_worked_out_again_only_where_something_changed(monkeypatch):
-    """Guards against a cost that grows with instances times entries at each look."""
+    """Guards against a cost of instances times entries at each check."""
     asked = []
     decide = watch_duty.is_watcher
 
@@ -212,17 +216,17 @@
 
 
 def test_an_instance_that_could_not_be_reached_is_still_believed_when_it_speaks():
-    upstream = _make_book(gateway_setting.make_instance("i")).get("i")
+    upstream = _make_registry(gateway_setting.make_instance("i")).get("i")
     assert upstream.raise_alarm(100.0, UNREACHABLE)
     later_s = 100.0 + upstream_registry.ALARM_TTL_S + 1.0
     assert not upstream.is_alarmed(later_s)
     assert not upstream.raise_alarm(later_s, UNREACHABLE)
-    assert upstream.raise_alarm(later_s, SAID)
+    assert upstream.raise_alarm(later_s, UNHEALTHY)
     assert upstream.is_alarmed(later_s)
 
 
 def test_two_entries_that_lost_a_request_there_are_enough_one_is_not():
-    upstream = _make_book(gateway_setting.make_instance("i")).get("i")
+    upstream = _make_registry(gateway_setting.make_instance("i")).get("i")
     for _ in range(5):
         assert not upstream.record_peer_failure("e1", 100.0)
     assert upstream.is_usable(100.0)
@@ -231,26 +235,26 @@
 
 
 def test_the_own_loss_counts_with_another_entrys():
-    upstream = _make_book(gateway_setting.make_instance("i")).get("i")
+    upstream = _make_registry(gateway_setting.make_instance("i")).get("i")
     assert not upstream.record_peer_failure("e1", 100.0)
     assert upstream.record_failure(100.2)
 
 
 def test_losses_far_apart_are_two_accidents():
-    upstream = _make_book(gateway_setting.make_instance("i")).get("i")
+    upstream = _make_registry(gateway_setting.make_instance("i")).get("i")
     assert not upstream.record_peer_failure("e1", 100.0)
     assert not upstream.record_peer_failure("e2", 100.0 + upstream_registry.REPORTER_TTL_S + 0.1)
 
 
 def test_a_copy_goes_to_the_same_hall_where_there_is_room_and_is_tried_where_there_is_none():
-    registry = _make_book(
+    registry = _make_registry(
         gateway_setting.make_instance("here"),
         gateway_setting.make_instance("mate"),
         gateway_setting.make_instance("far", hall="hall-b"),
     )
-    _work(registry.get("mate"), 10_000)
+    _add_request(registry.get("mate"), 10_000)
 
-    def _choose_holder():
+    def _choose_target():
         return run_migration_policy.choose_copy_target(
             MODEL,
             registry.get_service("s"),
@@ -261,11 +265,11 @@
             request_priority=gateway_setting.CLAIM,
         )
 
-    assert _choose_holder().instance.instance_id == "mate"
-    _work(registry.get("mate"), 30_500)
-    assert _choose_holder().instance.instance_id == "far"
-    _work(registry.get("far"), 40_000)
-    assert _choose_holder().instance.instance_id == "mate"
+    assert _choose_target().instance.instance_id == "mate"
+    _add_request(registry.get("mate"), 30_500)
+    assert _choose_target().instance.instance_id == "far"
+    _add_request(registry.get("far"), 40_000)
+    assert _choose_target().instance.instance_id == "mate"
 
 
 def test_second_attempts_of_all_entries_stay_within_what_is_allowed():
