--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -46,7 +46,7 @@
 class UpdateSource(enum.Enum):
     """Sender of an update, relative to the current hub."""
 
-    PRESENT = "present"
+    CURRENT = "present"
     """The current hub."""
     NEW = "new"
     """A probed hub, which is the current hub from now on."""
@@ -89,7 +89,7 @@
             self.probing = None
         self._heard_s = now_s
         self._get_state(address).backoff_s = INITIAL_BACKOFF_S
-        return UpdateSource.NEW if is_new else UpdateSource.PRESENT
+        return UpdateSource.NEW if is_new else UpdateSource.CURRENT
 
     def record_lost(self, address: endpoints.Endpoint, now_s: float) -> None:
         """Record that a process is known to be unreachable."""
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -95,8 +95,8 @@
     )
     exchange.raise_alarm("i-1", kind, 0.0, for_ms=for_ms)
     times_s = [float(number) for number in range(8)]
-    told = [(now_s, item.for_ms) for now_s in times_s for item in exchange.get_raised(now_s)]
-    assert told == carried
+    repeated = [(now_s, item.for_ms) for now_s in times_s for item in exchange.get_raised(now_s)]
+    assert repeated == carried
 
 
 def test_an_entry_takes_a_repeated_alarm_once(caplog):
@@ -117,5 +117,5 @@
     now_s = fleet.clock()
     others = fleet.entries[1:]
     assert not any(entry.registry.get(fleet.instances[1]).is_cold(now_s) for entry in others)
-    words = [item.getMessage() for item in caplog.records]
-    assert words.count("upstream asked for rest") == len(others)
+    messages = [item.getMessage() for item in caplog.records]
+    assert messages.count("upstream asked for rest") == len(others)
--- a/tests/unit/test_cold_start.py
+++ b/tests/unit/test_cold_start.py
@@ -41,12 +41,12 @@
 
 
 def test_a_cold_start_that_one_entry_finds_is_known_to_all_at_once():
-    made = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
-    made.run(1.0)
-    name = made.instances[0]
-    reporter = made.entries[0]
+    fleet = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
+    fleet.run(1.0)
+    name = fleet.instances[0]
+    reporter = fleet.entries[0]
     reporter.sharing.broadcast_alarm(name, shared_load.AlarmKind.COLD, for_ms=5_000)
-    made.run(0.1)
-    others = [entry for entry in made.entries if entry is not reporter]
-    assert all(entry.registry.get(name).is_cold(made.clock()) for entry in others)
+    fleet.run(0.1)
+    others = [entry for entry in fleet.entries if entry is not reporter]
+    assert all(entry.registry.get(name).is_cold(fleet.clock()) for entry in others)
     assert all(entry.alarms == [] for entry in others), "a cold start empties nothing"
--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -98,8 +98,8 @@
         if not started.is_in_sync:
             fleet.run(POLL_STEP_S)
     assert started.is_in_sync
-    told = {item.record.content_id for item in started.get_all()}
-    assert told == set(contents)
+    known = {item.record.content_id for item in started.get_all()}
+    assert known == set(contents)
 
 
 def test_all_hubs_may_start_anew_at_once():
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -468,10 +468,10 @@
     leaving = _abandon(_make_contents(clock), leave=["i-1"])
     _make_events(leaving).drain(leaving.registry.get("i-1"))
     assert not leaving.asked
-    former = _abandon(_make_contents(clock))
+    abandoned = _abandon(_make_contents(clock))
     clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
-    _make_events(former).drain(former.registry.get("i-1"))
-    assert not former.asked
+    _make_events(abandoned).drain(abandoned.registry.get("i-1"))
+    assert not abandoned.asked
 
 
 def test_what_is_abandoned_is_known_to_have_gone_when_the_end_is_known(clock):
--- a/tests/unit/test_limit_fleet.py
+++ b/tests/unit/test_limit_fleet.py
@@ -50,9 +50,9 @@
     for entry in fleet.entries:
         entry.set_fleet(known)
     fleet.run(1.0)
-    told_s = fleet.clock()
+    notified_s = fleet.clock()
     fleet.run(6.0)
-    _check(fleet, told_s, used_part=0.8)
+    _check(fleet, notified_s, used_part=0.8)
     _check(fleet, began_s)
 
 
@@ -63,10 +63,10 @@
         fleet.restart_entry(number)
     fleet.run(0.1)
     limited = fleet.get_limited(fleet.instances[0])
-    told = [number for number in range(24) if fleet.entries[number].sharing.has_snapshot]
+    updated = [number for number in range(24) if fleet.entries[number].sharing.has_snapshot]
     # One in a hundred datagrams is lost, including first ones.
-    assert len(told) > 20
-    assert set(told) <= set(limited)
+    assert len(updated) > 20
+    assert set(updated) <= set(limited)
     fleet.run(0.3)
     assert len(fleet.get_limited(fleet.instances[0])) == 24
 
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -172,8 +172,8 @@
     alarm = shared_load.Alarm("i-1", shared_load.AlarmKind.UNHEALTHY, reporter="e1", sequence=5)
     _handle_report(hub, alarms=[alarm])
     _handle_report(hub, sequence=2, alarms=[alarm])
-    told = [len(hub.make_update(0.0).alarms) for _ in range(5)]
-    assert told == [1] * alarm_broadcast.SEND_COUNT + [0] * (5 - alarm_broadcast.SEND_COUNT)
+    sent = [len(hub.make_update(0.0).alarms) for _ in range(5)]
+    assert sent == [1] * alarm_broadcast.SEND_COUNT + [0] * (5 - alarm_broadcast.SEND_COUNT)
 
 
 def _make_alarm(kind, *, incarnation_id="i-1", sequence=1, for_ms=0):
@@ -216,9 +216,9 @@
     _handle_report(here, now_s=10.0)
     there.handle_totals(here.make_totals(10.0), ADDRESS, 10.0)
     here.handle_totals(there.make_totals(10.1), ADDRESS, 10.1)
-    told = here.make_snapshot(10.1)
-    assert [alarm.kind for alarm in told.alarms] == [shared_load.AlarmKind.LEAVING]
-    assert [limit.limit_per_s for limit in told.limits] == [2.0]
+    sent = here.make_snapshot(10.1)
+    assert [alarm.kind for alarm in sent.alarms] == [shared_load.AlarmKind.LEAVING]
+    assert [limit.limit_per_s for limit in sent.limits] == [2.0]
 
 
 def test_so_is_one_that_started_anew_before_it_was_missed():
@@ -264,8 +264,8 @@
             shared_load.AlarmKind.LEAVING, incarnation_id=f"i-{number}", sequence=number
         )
         _handle_report(hub, sequence=number, alarms=[alarm])
-    told = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
-    assert told == [f"i-{number}" for number in range(200 - standing_alarms.MAX_ALARMS, 200)]
+    sent = [alarm.incarnation_id for alarm in hub.make_snapshot(0.0).alarms]
+    assert sent == [f"i-{number}" for number in range(200 - standing_alarms.MAX_ALARMS, 200)]
 
 
 def test_a_reporter_restarted_with_its_clock_set_back_is_taken_at_once():
@@ -285,10 +285,10 @@
 
 def test_a_hub_restarted_with_its_clock_set_back_is_taken_at_once():
     here = load_hub.LoadHub("k1", 1)
-    former, restarted = load_hub.LoadHub("k2", 9_000_000), load_hub.LoadHub("k2", 5_000_000)
-    _handle_report(former, sender="e1", tokens=100)
+    previous, restarted = load_hub.LoadHub("k2", 9_000_000), load_hub.LoadHub("k2", 5_000_000)
+    _handle_report(previous, sender="e1", tokens=100)
     _handle_report(restarted, sender="e2", tokens=7)
-    here.handle_totals(former.make_totals(0.0), ADDRESS, 0.0)
+    here.handle_totals(previous.make_totals(0.0), ADDRESS, 0.0)
     here.handle_totals(restarted.make_totals(0.1), ADDRESS, 0.1)
     assert _get_tokens(here) == 7
 
@@ -297,7 +297,7 @@
     rows = changed_rows.ChangedRows()
     for key in range(100):
         rows.add(key, shared_load.InstanceLoad(key + 1, 1, 0))
-    told = []
+    sent = []
     while rows.has_changes:
         part = rows.pop_batch()
         assert (
@@ -305,8 +305,8 @@
             <= changed_rows.MAX_CHANGED_ROWS_PER_DATAGRAM
             + changed_rows.MAX_REPEATED_ROWS_PER_DATAGRAM
         )
-        told += part
-    assert set(told) == set(range(100))
+        sent += part
+    assert set(sent) == set(range(100))
     again = set()
     for _ in range(40):
         again |= set(rows.pop_batch())
@@ -319,9 +319,9 @@
     rows.add(1, held)
     rows.pop_batch()
     rows.add(1, held, -1)
-    told = [rows.pop_batch() for _ in range(6)]
-    assert told[0] == {1: shared_load.InstanceLoad()}
-    assert not any(told[changed_rows.EMPTY_ROW_SEND_COUNT + 1 :])
+    sent = [rows.pop_batch() for _ in range(6)]
+    assert sent[0] == {1: shared_load.InstanceLoad()}
+    assert not any(sent[changed_rows.EMPTY_ROW_SEND_COUNT + 1 :])
     assert not rows.get_all()
 
 
@@ -439,7 +439,7 @@
     choice = _make_choice()
     for step in range(20):
         assert not choice.choose(step / 10)
-        assert choice.record_update(NEAR, step / 10) is hub_choice.UpdateSource.PRESENT
+        assert choice.record_update(NEAR, step / 10) is hub_choice.UpdateSource.CURRENT
     assert choice.record_update(FAR, 2.0) is hub_choice.UpdateSource.OTHER
 
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -170,8 +170,8 @@
         ONCE, names=("i-1",), limits_per_s={"i-1": 100.0}, knows_fleet=False
     )
     setting.timers.run_due(0.0)
-    (ask,) = setting.permits._granter._instances[setting.registry.get("i-1").key].waiting
-    assert ask.request.sender == "entry-1"
+    (pending,) = setting.permits._granter._instances[setting.registry.get("i-1").key].waiting
+    assert pending.request.sender == "entry-1"
 
 
 def _make(kind, *, names=("i-1",)):
@@ -218,8 +218,8 @@
     setting = gateway_setting.Setting(
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
-    (ask,) = setting.permits._pending_requests.values()
-    assert min(wait_ms, objective_ms) - 20 <= ask.request.wait_ms <= min(wait_ms, objective_ms)
+    (pending,) = setting.permits._pending_requests.values()
+    assert min(wait_ms, objective_ms) - 20 <= pending.request.wait_ms <= min(wait_ms, objective_ms)
 
 
 def test_a_request_that_is_rejected_at_one_instance_asks_for_another():
@@ -233,8 +233,8 @@
     setting = gateway_setting.Setting(
         ONCE, names=("i-1", "i-2"), limits_per_s={"i-1": 2.0}, busy={"i-2": 3}
     )
-    (ask,) = setting.permits._pending_requests.values()
-    assert ask.request.wait_ms == 0
+    (pending,) = setting.permits._pending_requests.values()
+    assert pending.request.wait_ms == 0
     _reply(setting, V.REJECTED, backoff_ms=200)
     assert [call.address for call in setting.calls.attempts] == ["i-2:80"]
 
@@ -243,10 +243,10 @@
 def test_a_granted_request_goes_though_others_were_rejected_meanwhile(kind):
     """Guards against unusable permits: the entry backs off for all requests but the granted one."""
     setting = _make(kind)
-    (ask,) = setting.permits._pending_requests.values()
+    (pending,) = setting.permits._pending_requests.values()
     request_priority = setting.exchange.job.request_priority
     setting.permits.backoff.record(
-        ask.upstream.key,
+        pending.upstream.key,
         request_priority.rank,
         request_priority.workspace,
         retry_after_ms=900,
@@ -266,8 +266,8 @@
 
 def test_a_permit_does_not_bring_a_request_to_an_instance_that_leaves_meanwhile():
     setting = _make(ONCE, names=("i-1", "i-2"))
-    (ask,) = setting.permits._pending_requests.values()
-    name = ask.upstream.instance.instance_id
+    (pending,) = setting.permits._pending_requests.values()
+    name = pending.upstream.instance.instance_id
     setting.list(leaving=[name])
     _reply(setting, V.GRANTED)
     assert f"{name}:80" not in [call.address for call in setting.calls.attempts]
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -15,10 +15,10 @@
     return quarantine.Quarantine(name)
 
 
-def _hold(made, content_id=DEADLY, at_s=NOW_S):
+def _hold(entry, content_id=DEADLY, at_s=NOW_S):
     """Crash two instances under a content, one after the other."""
-    made.record_crash(content_id, 1, at_s - 3.0, at_s - 2.0)
-    made.record_crash(content_id, 2, at_s - 1.0, at_s)
+    entry.record_crash(content_id, 1, at_s - 3.0, at_s - 2.0)
+    entry.record_crash(content_id, 2, at_s - 1.0, at_s)
 
 
 def _send_records(source, target, now_s):
@@ -33,37 +33,37 @@
 
 
 def test_one_end_makes_a_suspect_that_still_runs():
-    made = _make()
-    made.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    assert made.evaluate(DEADLY, NOW_S) is Verdict.RUN_APART
+    entry = _make()
+    entry.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    assert entry.evaluate(DEADLY, NOW_S) is Verdict.RUN_APART
 
 
 def test_a_second_end_of_a_run_that_was_sent_later_has_it_held():
-    made = _make()
-    _hold(made)
-    assert made.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
-    assert made.held_count == 1
+    entry = _make()
+    _hold(entry)
+    assert entry.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
+    assert entry.held_count == 1
 
 
 def test_two_instances_that_end_at_once_show_no_more_than_one():
-    made = _make()
-    made.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    made.record_crash(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
-    assert made.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
+    entry = _make()
+    entry.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
+    entry.record_crash(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
+    assert entry.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
 
 
 def test_three_instances_have_it_held_in_any_case():
-    made = _make()
+    entry = _make()
     for key in (1, 2, 3):
-        made.record_crash(DEADLY, key, NOW_S - 1.0, NOW_S)
-    assert made.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
+        entry.record_crash(DEADLY, key, NOW_S - 1.0, NOW_S)
+    assert entry.evaluate(DEADLY, NOW_S) is Verdict.REFUSE
 
 
 def test_one_instance_counts_once_however_often_it_is_told():
-    made = _make()
+    entry = _make()
     for number in range(5):
-        made.record_crash(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
-    assert made.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
+        entry.record_crash(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
+    assert entry.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
 
 
 def test_an_end_that_another_entry_told_makes_the_next_one_a_second():
@@ -89,20 +89,20 @@
 
 
 def test_a_good_end_of_what_is_not_suspected_changes_nothing():
-    made = _make()
-    assert made.record_harmless(DEADLY, NOW_S) is None
-    assert not made.registry.get_ids()
+    entry = _make()
+    assert entry.record_harmless(DEADLY, NOW_S) is None
+    assert not entry.registry.get_ids()
 
 
 def test_a_held_content_is_run_once_more_by_itself():
-    made = _make()
-    _hold(made)
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S - 0.1) is Verdict.REFUSE
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.CLAIM
-    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
-    assert made.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.REFUSE
-    assert made.may_run_trial(DEADLY)
-    assert not made.may_run_trial(DEADLY)
+    entry = _make()
+    _hold(entry)
+    assert entry.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S - 0.1) is Verdict.REFUSE
+    assert entry.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.CLAIM
+    entry.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
+    assert entry.evaluate(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S) is Verdict.REFUSE
+    assert entry.may_run_trial(DEADLY)
+    assert not entry.may_run_trial(DEADLY)
 
 
 def test_of_two_entries_that_claim_the_run_one_gets_it():
@@ -118,59 +118,59 @@
 
 
 def test_a_trial_that_ends_an_instance_is_the_last():
-    made = _make()
-    _hold(made)
+    entry = _make()
+    _hold(entry)
     later_s = NOW_S + quarantine.TRIAL_DELAY_S
-    made.claim_trial(DEADLY, later_s)
-    assert made.may_run_trial(DEADLY)
-    made.record_crash(DEADLY, 3, later_s + 0.5, later_s + 1.0)
-    assert made.evaluate(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
+    entry.claim_trial(DEADLY, later_s)
+    assert entry.may_run_trial(DEADLY)
+    entry.record_crash(DEADLY, 3, later_s + 0.5, later_s + 1.0)
+    assert entry.evaluate(DEADLY, later_s + 80_000.0) is Verdict.REFUSE
 
 
 def test_a_former_trial_says_nothing_of_a_content_that_was_let_go():
-    made = _make()
-    _hold(made)
-    made.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
-    assert made.may_run_trial(DEADLY)
-    _order(made, is_held=False)
-    made.record_crash(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
-    assert made.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
+    entry = _make()
+    _hold(entry)
+    entry.claim_trial(DEADLY, NOW_S + quarantine.TRIAL_DELAY_S)
+    assert entry.may_run_trial(DEADLY)
+    _order(entry, is_held=False)
+    entry.record_crash(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
+    assert entry.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
 
 
 def test_a_trial_that_showed_nothing_is_made_up_for_once():
-    made = _make()
-    _hold(made)
+    entry = _make()
+    _hold(entry)
     at_s = NOW_S
     for _ in range(quarantine.MAX_TRIALS):
         at_s += quarantine.TRIAL_DELAY_S
-        assert made.evaluate(DEADLY, at_s) is Verdict.CLAIM
-        made.claim_trial(DEADLY, at_s)
-    assert made.evaluate(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
+        assert entry.evaluate(DEADLY, at_s) is Verdict.CLAIM
+        entry.claim_trial(DEADLY, at_s)
+    assert entry.evaluate(DEADLY, at_s + 80_000.0) is Verdict.REFUSE
 
 
-def _order(made, *, is_held):
+def _order(entry, *, is_held):
     """Apply an operator's order to an entry, as a keeper passes it on."""
-    record = content_record.begin_epoch(DEADLY, made.registry.get(DEADLY), is_by_hand=is_held)
-    made.merge_records([content_record.AgedRecord(record, 0)], NOW_S)
+    record = content_record.begin_epoch(DEADLY, entry.registry.get(DEADLY), is_by_hand=is_held)
+    entry.merge_records([content_record.AgedRecord(record, 0)], NOW_S)
 
 
 def test_operators_hold_and_release():
-    made = _make()
-    _order(made, is_held=True)
-    assert made.evaluate(DEADLY, NOW_S + 80_000.0) is Verdict.REFUSE
-    assert made.record_harmless(DEADLY, NOW_S) is None
-    _order(made, is_held=False)
-    assert made.evaluate(DEADLY, NOW_S) is Verdict.RUN
+    entry = _make()
+    _order(entry, is_held=True)
+    assert entry.evaluate(DEADLY, NOW_S + 80_000.0) is Verdict.REFUSE
+    assert entry.record_harmless(DEADLY, NOW_S) is None
+    _order(entry, is_held=False)
+    assert entry.evaluate(DEADLY, NOW_S) is Verdict.RUN
 
 
 def test_memory_is_bounded_and_what_is_held_stays():
-    made = _make()
-    _hold(made)
+    entry = _make()
+    _hold(entry)
     for number in range(3 * content_registry.MAX_RECORDS):
-        made.record_crash(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
-    assert len(made.registry) == content_registry.MAX_RECORDS
-    assert made.is_held(DEADLY)
-    assert len(made._crash_recorded_s) <= 2 * content_registry.MAX_RECORDS + 1
+        entry.record_crash(b"%016d" % number, 7, NOW_S, NOW_S + number / 100)
+    assert len(entry.registry) == content_registry.MAX_RECORDS
+    assert entry.is_held(DEADLY)
+    assert len(entry._crash_recorded_s) <= 2 * content_registry.MAX_RECORDS + 1
 
 
 def test_what_is_old_is_forgotten_and_not_given_back():
@@ -209,9 +209,9 @@
 
 
 @hypothesis.given(strategies.lists(strategies.tuples(_records, strategies.integers(0, 3))))
-def test_the_number_for_all_records_is_theirs(told):
+def test_the_number_for_all_records_is_theirs(received):
     registry = content_registry.ContentRegistry()
-    for record, number in told:
+    for record, number in received:
         content_id = bytes([number]) * 16
         item = content_record.ContentRecord(
             content_id=content_id,
@@ -230,10 +230,10 @@
 
 
 def test_what_differs_is_told_in_turn_until_it_no_longer_does():
-    made = _make()
+    entry = _make()
     for number in range(20):
-        made.record_crash(b"%016d" % number, 7, NOW_S, NOW_S)
-    broadcast = content_registry.ContentBroadcast(made.registry)
+        entry.record_crash(b"%016d" % number, 7, NOW_S, NOW_S)
+    broadcast = content_registry.ContentBroadcast(entry.registry)
     broadcast.record_digest("hub", 1, NOW_S)
     assert not broadcast.has_pending, "it may be on its way"
     broadcast.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S)
@@ -246,6 +246,6 @@
     broadcast.record_digest("hub", 0, NOW_S + 8.0)
     assert broadcast.has_pending, "it has just started"
     broadcast.clear()
-    broadcast.record_digest("hub", made.registry.digest, NOW_S + 9.0)
+    broadcast.record_digest("hub", entry.registry.digest, NOW_S + 9.0)
     broadcast.record_digest("hub", 1, NOW_S + 9.1)
     assert not broadcast.has_pending
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -26,18 +26,18 @@
 def test_a_later_start_is_another_run_and_the_former_is_over():
     registry = upstream_registry.UpstreamRegistry()
     _update_list(registry, _make(1_000))
-    (former,) = registry.get_all()
-    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    former.others = shared_load.InstanceLoad(9_000, 3, 0)
-    former.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
-    former.record_sent(100.0)
-    assert _update_list(registry, _make(2_000)) == [former]
+    (previous,) = registry.get_all()
+    previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    previous.others = shared_load.InstanceLoad(9_000, 3, 0)
+    previous.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
+    previous.record_sent(100.0)
+    assert _update_list(registry, _make(2_000)) == [previous]
     (present,) = registry.get_all()
-    assert former.has_restarted and former.is_gone
-    assert present is not former
+    assert previous.has_restarted and previous.is_gone
+    assert present is not previous
     assert (present.tokens, present.count, present.count_sent(0.0)) == (0, 0, 0)
     assert present.is_usable(100.1)
-    assert present.key != former.key, "news of the former would count for it"
+    assert present.key != previous.key, "news of the former would count for it"
 
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
@@ -63,10 +63,10 @@
 def test_without_starts_another_address_under_an_id_is_another_run():
     registry = upstream_registry.UpstreamRegistry()
     _update_list(registry, _make(0, address="10.0.0.1:80"))
-    (former,) = registry.get_all()
-    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    assert _update_list(registry, _make(0, address="10.0.0.2:80")) == [former]
-    assert former.has_restarted
+    (previous,) = registry.get_all()
+    previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    assert _update_list(registry, _make(0, address="10.0.0.2:80")) == [previous]
+    assert previous.has_restarted
     assert registry.get_all()[0].tokens == 0
 
 
@@ -159,8 +159,8 @@
     def send(self):
         for upstream in self.registry.get_all():
             number = len(self.began)
-            work = upstream_registry.InFlightRequest(str(number), 1, prefill_tokens=0)
-            upstream.in_flight[str(number)] = work
+            request = upstream_registry.InFlightRequest(str(number), 1, prefill_tokens=0)
+            upstream.in_flight[str(number)] = request
             self.began[number] = upstream.instance.incarnation_id
 
     @stateful.invariant()
@@ -177,14 +177,14 @@
 
 
 def _make_fleet(started_ms):
-    made = load_fleet.LoadFleet(entries=12, halls=3, keepers=3, instances=3, loss=0.1)
-    made.run(1.0)
-    _list_everywhere(made, made.entries, started_ms)
-    return made
+    fleet = load_fleet.LoadFleet(entries=12, halls=3, keepers=3, instances=3, loss=0.1)
+    fleet.run(1.0)
+    _list_everywhere(fleet, fleet.entries, started_ms)
+    return fleet
 
 
-def _list_everywhere(made, entries, started_ms):
-    listed = [_make(started_ms, name) for name in made.instances]
+def _list_everywhere(fleet, entries, started_ms):
+    listed = [_make(started_ms, name) for name in fleet.instances]
     for entry in entries:
         entry.registry.update_instances(listed, 0.0)
         entry.sharing.refresh()
@@ -193,34 +193,34 @@
 def test_work_that_entries_tell_of_the_former_run_does_not_count_for_the_present_one():
     """Some entries learn of the restart later than others, and datagrams are lost and late."""
     rng = random.Random(4)
-    made = _make_fleet(1_000)
-    name = made.instances[0]
-    for number, entry in enumerate(made.entries):
+    fleet = _make_fleet(1_000)
+    name = fleet.instances[0]
+    for number, entry in enumerate(fleet.entries):
         entry.hold(f"{name}@1000", f"r{number}", 500)
-    made.run(1.0)
-    late = rng.sample(made.entries, 5)
-    early = [entry for entry in made.entries if entry not in late]
-    _list_everywhere(made, early, 2_000)
-    made.run(1.0)
+    fleet.run(1.0)
+    late = rng.sample(fleet.entries, 5)
+    early = [entry for entry in fleet.entries if entry not in late]
+    _list_everywhere(fleet, early, 2_000)
+    fleet.run(1.0)
     for entry in early:
         assert entry.registry.get(f"{name}@2000").others.tokens == 0
     for entry in late:
         assert entry.registry.get(f"{name}@1000").others.tokens <= 500 * 11
-    _list_everywhere(made, late, 2_000)
-    made.run(4.0)
-    for entry in made.entries:
+    _list_everywhere(fleet, late, 2_000)
+    fleet.run(4.0)
+    for entry in fleet.entries:
         assert entry.registry.get(f"{name}@2000").tokens == 0
 
 
 def test_an_alarm_about_the_former_run_does_not_empty_the_present_one():
-    made = _make_fleet(1_000)
-    name = made.instances[0]
-    _list_everywhere(made, made.entries, 2_000)
-    made.entries[0].sharing.broadcast_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
-    made.run(1.0)
-    for entry in made.entries:
+    fleet = _make_fleet(1_000)
+    name = fleet.instances[0]
+    _list_everywhere(fleet, fleet.entries, 2_000)
+    fleet.entries[0].sharing.broadcast_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
+    fleet.run(1.0)
+    for entry in fleet.entries:
         assert entry.alarms == []
-        assert not entry.registry.get(f"{name}@2000").is_alarmed(made.clock())
+        assert not entry.registry.get(f"{name}@2000").is_alarmed(fleet.clock())
 
 
 @hypothesis.given(
@@ -290,11 +290,11 @@
 
 
 def test_one_entry_finds_out_for_all_that_an_instance_is_replaced():
-    made = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
-    made.run(1.0)
-    name = made.instances[0]
-    made.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.REPLACED)
-    made.run(0.1)
-    for entry in made.entries[1:]:
-        assert entry.registry.get(name).is_replaced(made.clock())
+    fleet = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
+    fleet.run(1.0)
+    name = fleet.instances[0]
+    fleet.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.REPLACED)
+    fleet.run(0.1)
+    for entry in fleet.entries[1:]:
+        assert entry.registry.get(name).is_replaced(fleet.clock())
         assert entry.alarms == [], "its runs are not moved: there are none any more"
