--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -92,7 +92,7 @@
         return self._lost_runs.has_abandoned(incarnation_id, self._clock())
 
     def record_ended(self, incarnation_id: str, evidence: str) -> None:
-        """Record that an incarnation of an instance has crashed, and the evidence for it."""
+        """Record that an incarnation of an instance crashed or is gone, and the evidence for it."""
         for run in self._lost_runs.record_crashed(incarnation_id, self._clock()):
             self._record_crash(incarnation_id, run, evidence)
 
