--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -34,9 +34,9 @@
 REQUESTER_TTL_S = 12.0
 """Time after its last permit request for which an entry counts as a requester."""
 MAX_RECENT_GRANTS = 32
-"""Recent grants of an instance by which workspaces and halls take turns."""
+"""Number of an instance's recent grants by which workspaces and halls take turns."""
 MAX_REPLIES = 256
-"""Recent replies of an instance that are repeated for a duplicate request."""
+"""Number of an instance's recent verdicts that are stored to answer duplicate requests."""
 MAX_WAITING = 64
 """Maximum number of requests that wait for one instance."""
 IDLE_TTL_S = 60.0
