--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -1,7 +1,7 @@
-"""Finds out whether an instance that lost a request has ended, or only its connection has.
+"""Checks whether an instance that lost a request has crashed, or only its connection was lost.
 
-The question goes out at once, on a new connection: a process that has ended refuses it, and is back
-after some seconds.
+The query is sent at once, on a new connection: a crashed process refuses connections, and restarts
+within some seconds.
 """
 
 import logging
@@ -12,25 +12,26 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_S = 0.5
-"""Longest wait for an answer: many times the usual few milliseconds. Without one the list of
-instances, or another entry, has to tell."""
+ANSWER_TIMEOUT_S = 0.5
+"""Maximum wait for an answer, many times the usual few milliseconds. Without an answer, the
+instance list or another entry has to report the crash."""
 
 RETRY_INTERVAL_S = 0.1
-"""Pause before a question is put again whose connection was made and lost: a process that is just
-ending still takes connections for a moment, and by then refuses them."""
+"""Interval before a query is repeated whose connection was made and then lost: a process that is
+just crashing still accepts connections for a moment, and refuses them by then."""
 MAX_QUERIES = 4
-"""Questions about one loss, within 0.3 s. A connection was seen to be taken 3 ms after a loss,
-beside six busy processes; where an end stays unseen, its requests are not suspected."""
+"""Maximum number of queries about one loss, within 0.3 s. A connection was accepted as late as 3 ms
+after a loss, beside six busy processes; if a crash stays undetected, its requests do not become
+suspects."""
 
 
 class EndQuery:
-    """An instance to be asked.
+    """An instance to be queried.
 
-    :ivar incarnation_id: which run of which instance lost the request.
-    :ivar instance_id: id by which the instance names itself; empty if it does not.
+    :ivar incarnation_id: incarnation of the instance that lost the request.
+    :ivar instance_id: id that the instance states in its answers; empty if it states none.
     :ivar address: ``IP:PORT``.
-    :ivar path: what to ask for.
+    :ivar path: path to request.
     """
 
     __slots__ = ("address", "instance_id", "incarnation_id", "path")
@@ -43,14 +44,14 @@
 
 
 class _Query:
-    """One question."""
+    """One query in flight."""
 
     __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
 
-    def __init__(self, owner: "EndWatch", asked: EndQuery, number: int) -> None:
+    def __init__(self, owner: "EndWatch", target: EndQuery, number: int) -> None:
         self.number = number
         self.owner = owner
-        self.asked = asked
+        self.asked = target
         self.call: upstream_calls.UpstreamCall | None = None
         self.timer: scheduler.Timer | None = None
         self.instance_id = ""
@@ -67,20 +68,20 @@
     def on_call_lost(self, reason: str) -> None:
         self.owner.handle_loss(self, reason)
 
-    def give_up(self) -> None:
+    def on_timeout(self) -> None:
         if self.call is not None:
             self.call.cancel()
-        self.owner.handle_silence(self)
+        self.owner.handle_timeout(self)
 
 
 class EndWatch:
-    """Asks instances that lost a request.
+    """Queries instances that lost a request.
 
     :param calls: makes HTTP requests.
-    :param timers: calls back.
-    :param contents: is told what is found.
-    :param read_instance_id: returns the id by which an answer names its instance, or nothing.
-    :param on_ended: called with the run of an instance that was found to have ended.
+    :param timers: schedules callbacks.
+    :param contents: receives the results.
+    :param read_instance_id: returns the instance id that an answer states, or an empty string.
+    :param on_ended: called with the incarnation id of an instance that has crashed.
     """
 
     def __init__(
@@ -97,64 +98,64 @@
         self._timers = timers
         self._contents = contents
         self._on_ended = on_ended
-        self._pending_operations: dict[str, _Query] = {}
+        self._queries: dict[str, _Query] = {}
 
-    def query(self, asked: EndQuery) -> None:
-        """Ask an instance that has just lost a request, unless it is being asked."""
-        if asked.path:
-            self._ask(asked, 1)
+    def query(self, target: EndQuery) -> None:
+        """Query an instance that has just lost a request, unless a query is in flight."""
+        if target.path:
+            self._ask(target, 1)
 
-    def _ask(self, asked: EndQuery, number: int) -> None:
-        if asked.incarnation_id in self._pending_operations:
+    def _ask(self, target: EndQuery, number: int) -> None:
+        if target.incarnation_id in self._queries:
             return
-        question = self._pending_operations[asked.incarnation_id] = _Query(self, asked, number)
-        question.timer = self._timers.call_later(ANSWER_S, question.give_up)
-        request = upstream_calls.make_request("GET", asked.path, asked.address, (), b"")
-        question.call = self._calls.open(asked.address, request, question, fresh=True)
-
-    def handle_answer(self, question: _Query) -> None:
-        """Take an answer: the instance lives, or another one stands in its place."""
-        self._drop(question)
-        asked = question.asked
-        if question.instance_id and question.instance_id != asked.instance_id:
-            self._handle_end(question, f"{question.instance_id} answers")
-        elif question.instance_id or not asked.instance_id:
-            self._log(question, "it answers")
-            self._contents.record_alive(asked.incarnation_id)
+        query = self._queries[target.incarnation_id] = _Query(self, target, number)
+        query.timer = self._timers.call_later(ANSWER_TIMEOUT_S, query.on_timeout)
+        request = upstream_calls.make_request("GET", target.path, target.address, (), b"")
+        query.call = self._calls.open(target.address, request, query, fresh=True)
+
+    def handle_answer(self, query: _Query) -> None:
+        """Handle an answer: the instance is alive, or another one answers at its address."""
+        self._remove(query)
+        target = query.asked
+        if query.instance_id and query.instance_id != target.instance_id:
+            self._handle_end(query, f"{query.instance_id} answers")
+        elif query.instance_id or not target.instance_id:
+            self._log(query, "it answers")
+            self._contents.record_alive(target.incarnation_id)
         else:
-            self._log(question, "it does not say which instance answers")
+            self._log(query, "it does not say which instance answers")
 
-    def handle_loss(self, question: _Query, reason: str) -> None:
-        """Take the loss of a question; refused, the instance has ended."""
-        self._drop(question)
+    def handle_loss(self, query: _Query, reason: str) -> None:
+        """Handle a lost query; if its connection was refused, the instance has crashed."""
+        self._remove(query)
         if reason == links.REFUSED:
-            self._handle_end(question, reason)
+            self._handle_end(query, reason)
             return
-        self._log(question, reason)
-        if question.number < MAX_QUERIES:
-            asked, number = question.asked, question.number + 1
-            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(asked, number))
-
-    def handle_silence(self, question: _Query) -> None:
-        """Take the want of an answer, which another question would not change."""
-        self._drop(question)
-        self._log(question, "no answer")
-
-    def _handle_end(self, question: _Query, evidence: str) -> None:
-        self._log(question, evidence, has_ended=True)
-        incarnation_id = question.asked.incarnation_id
+        self._log(query, reason)
+        if query.number < MAX_QUERIES:
+            target, number = query.asked, query.number + 1
+            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(target, number))
+
+    def handle_timeout(self, query: _Query) -> None:
+        """Handle a missing answer, which another query would not change."""
+        self._remove(query)
+        self._log(query, "no answer")
+
+    def _handle_end(self, query: _Query, evidence: str) -> None:
+        self._log(query, evidence, has_ended=True)
+        incarnation_id = query.asked.incarnation_id
         self._on_ended(incarnation_id)
         self._contents.record_ended(incarnation_id, evidence)
 
-    def _drop(self, question: _Query) -> None:
-        self._pending_operations.pop(question.asked.incarnation_id, None)
-        if question.timer is not None:
-            question.timer.cancel()
+    def _remove(self, query: _Query) -> None:
+        self._queries.pop(query.asked.incarnation_id, None)
+        if query.timer is not None:
+            query.timer.cancel()
 
-    def _log(self, question: _Query, outcome: str, *, has_ended: bool = False) -> None:
+    def _log(self, query: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": question.asked.incarnation_id,
+            "upstream": query.asked.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
-        logger.info("upstream that lost a request was asked", extra={"fields": fields})
+        logger.info("queried an upstream that lost a request", extra={"fields": fields})
