--- a/src/spoolhead/_internal/commands/edit.py
+++ b/src/spoolhead/_internal/commands/edit.py
@@ -1,4 +1,4 @@
-"""``spoolhead edit``: change, add or remove one row."""
+"""``spoolhead edit``: changes, adds or removes one row."""
 
 import json
 from collections.abc import Sequence
@@ -10,16 +10,16 @@
 
 
 class RowChange:
-    """What is to become of a row.
+    """The requested change of a row.
 
-    :ivar sheet: its sheet.
-    :ivar name: its name.
-    :ivar assignments: ``COLUMN=VALUE`` each; a value is JSON, or else text.
-    :ivar removes: the row is to be removed.
-    :ivar expected_version: version that the row must have; None for the present one.
+    :ivar sheet: sheet of the row.
+    :ivar name: name of the row.
+    :ivar assignments: list of ``COLUMN=VALUE``; a value is JSON, or else taken as text.
+    :ivar is_removal: whether the row is to be removed.
+    :ivar expected_version: version that the row must have; None for its current version.
     """
 
-    __slots__ = ("assignments", "expected_version", "name", "removes", "sheet")
+    __slots__ = ("assignments", "expected_version", "name", "is_removal", "sheet")
 
     def __init__(
         self,
@@ -27,47 +27,47 @@
         sheet: rows.Sheet,
         name: str,
         assignments: Sequence[str],
-        removes: bool,
+        is_removal: bool,
         expected_version: int | None,
     ) -> None:
         self.sheet = sheet
         self.name = name
         self.assignments = assignments
-        self.removes = removes
+        self.is_removal = is_removal
         self.expected_version = expected_version
 
 
 def run(
     config: settings.OperatorSettings, change: RowChange, options: keepers.EditOptions
 ) -> exit_codes.ExitCode:
-    """Send a change of one row; columns that are not named stay as they are."""
-    if change.removes == bool(change.assignments):
+    """Send a change of one row; columns that are not named stay unchanged."""
+    if change.is_removal == bool(change.assignments):
         output.print_error("name columns as COLUMN=VALUE, or give --remove, not both")
         return exit_codes.ExitCode.BAD_INPUT
-    wrong = [item for item in change.assignments if "=" not in item]
-    if wrong:
-        output.print_error(f"not COLUMN=VALUE: {', '.join(wrong)}")
+    malformed = [assignment for assignment in change.assignments if "=" not in assignment]
+    if malformed:
+        output.print_error(f"not COLUMN=VALUE: {', '.join(malformed)}")
         return exit_codes.ExitCode.BAD_INPUT
     table_rows = keepers.unpack_rows(keepers.get_table(config))
     key = versioned_table.RowKey(change.sheet, change.name)
-    known = table_rows.get(key)
-    if change.removes and known is None:
+    row = table_rows.get(key)
+    if change.is_removal and row is None:
         output.print_error(f"there is no row {key}")
         return exit_codes.ExitCode.NOT_FOUND
-    version = known.version if known is not None else versioned_table.ABSENT_VERSION
+    version = row.version if row is not None else versioned_table.ABSENT_VERSION
     if change.expected_version is not None:
         version = change.expected_version
-    value = None if change.removes else _assign(known, change.assignments)
+    value = None if change.is_removal else _assign(row, change.assignments)
     edit = versioned_table.RowEdit(key, version, value)
     return keepers.send_edit(config, [edit], options)
 
 
 def _assign(
-    known: versioned_table.VersionedRow | None, assignments: Sequence[str]
+    row: versioned_table.VersionedRow | None, assignments: Sequence[str]
 ) -> dict[str, object]:
-    value = dict(known.value) if known is not None else {}
-    for item in assignments:
-        column, _, text = item.partition("=")
+    value = dict(row.value) if row is not None else {}
+    for assignment in assignments:
+        column, _, text = assignment.partition("=")
         value[column] = _parse_value(text)
     return value
 
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -1,4 +1,4 @@
-"""``spoolhead history``: who changed what, and when."""
+"""``spoolhead history``: prints who made which changes, and when."""
 
 import datetime
 
@@ -9,18 +9,18 @@
 
 
 def run(config: settings.OperatorSettings, *, limit: int, as_json: bool) -> exit_codes.ExitCode:
-    """Print the last changes, newest first."""
+    """Print the latest changes, newest first."""
     with peer_call.open_to_any(config.keepers, config) as call:
         question = messages.GetHistory(request=1, limit=limit)
         answer = call.ask(question, messages.HistoryAnswer)
     changes = [versioned_table.Change.unpack(packed) for packed in answer.changes]
     if as_json:
-        output.print_json([_make_item(change) for change in changes])
+        output.print_json([_as_dict(change) for change in changes])
         return exit_codes.ExitCode.OK
     lines = [
         [
             str(change.version),
-            _get_time(change.proposal.time_ms),
+            _format_time(change.proposal.time_ms),
             change.proposal.author,
             change.proposal.edit_id,
             ", ".join(_describe(edit) for edit in change.proposal.edits),
@@ -31,14 +31,14 @@
     return exit_codes.ExitCode.OK
 
 
-def _make_item(change: versioned_table.Change) -> dict[str, object]:
-    item = change.proposal
+def _as_dict(change: versioned_table.Change) -> dict[str, object]:
+    proposal = change.proposal
     return {
         "version": change.version,
-        "time_ms": item.time_ms,
-        "author": item.author,
-        "edit_id": item.edit_id,
-        "rows": [{"row": str(edit.key), "value": edit.value} for edit in item.edits],
+        "time_ms": proposal.time_ms,
+        "author": proposal.author,
+        "edit_id": proposal.edit_id,
+        "rows": [{"row": str(edit.key), "value": edit.value} for edit in proposal.edits],
     }
 
 
@@ -46,6 +46,6 @@
     return f"-{edit.key}" if edit.value is None else str(edit.key)
 
 
-def _get_time(time_ms: int) -> str:
+def _format_time(time_ms: int) -> str:
     moment = datetime.datetime.fromtimestamp(time_ms / 1000, tz=datetime.UTC)
     return moment.isoformat(timespec="milliseconds")
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -1,4 +1,4 @@
-"""The entry program for traffic that is routed by host and path."""
+"""The entry program: accepts requests, routes them to instances and follows the keepers."""
 
 import logging
 import random
@@ -48,27 +48,28 @@
 
 logger = logging.getLogger(__name__)
 
-STOP_LISTEN_S = 3.0
-"""Time from the order to stop for which new connections are still served: the balancer asks
-each second and leaves an entry out after two bad answers."""
-STOP_CHECK_S = 0.05
+STOP_LISTEN_DURATION_S = 3.0
+"""Time after the stop signal during which new connections are still served: the load balancer
+probes each second and removes an entry after two bad answers."""
+STOP_CHECK_INTERVAL_S = 0.05
 STOP_MARGIN_S = 0.5
-"""Time before the end of a planned stop at which what still runs is cut."""
-EARLY_WAIT_S = 1.5
-"""Age up to which an entry without a table keeps requests for it; a start with an election takes
-less than a second."""
-READY_CHECK_S = 0.05
-REACH_CHECK_S = 0.2
-"""Pause between looks at which services can be reached; a fifth of the balancer's pause between
-two questions."""
+"""Time before the end of the stop period at which remaining requests are aborted."""
+EARLY_REQUEST_WAIT_S = 1.5
+"""Age up to which an entry that is not ready queues requests. A start that includes an election
+takes less than a second."""
+READY_CHECK_INTERVAL_S = 0.05
+REACH_CHECK_INTERVAL_S = 0.2
+"""Interval between checks of which services are reachable; a fifth of the load balancer's probe
+interval."""
 
 
 class Gateway:
-    """One entry's program.
+    """The components of one entry and the connections between them.
 
-    :param config: its settings.
-    :param dialect: how callers, instances and the platform's list speak.
-    :ivar loop: root of the program.
+    :param config: the entry's settings.
+    :param dialect: adapter for the wire formats of callers, instances and the platform's instance
+        list.
+    :ivar loop: event loop of the program.
     """
 
     def __init__(self, config: settings.GatewaySettings, dialect: dialects.EntryDialect) -> None:
@@ -79,29 +80,29 @@
         self._has_instances = False
         self._is_stopping = False
         self._unreachable = ""
-        self._began_s = clocks.get_s()
-        self._stop_s = 0.0
+        self._started_s = clocks.get_s()
+        self._stop_started_s = 0.0
         self._exchanges: set[exchange.Exchange] = set()
-        self._early: list[caller_front.Caller] = []
+        self._early_callers: list[caller_front.Caller] = []
         self.loop = loop.Loop(self._begin_stop)
         outgoing = links.Links(self.loop, channel="links").register(self.loop)
         calls = upstream_calls.UpstreamCalls(self.loop, outgoing, config.upstreams)
-        made = prometheus_metrics.PrometheusMetrics()
-        self._metrics = entry_metrics.EntryMetrics(made)
+        metrics = prometheus_metrics.PrometheusMetrics()
+        self._metrics = entry_metrics.EntryMetrics(metrics)
         self._metrics.in_flight.set_function(lambda: len(self._exchanges))
         self._registry = upstream_registry.UpstreamRegistry()
         self._contents = content_watch.ContentWatch(
             config.name,
             clock=clocks.get_s,
-            request_broadcast=lambda: self._sharing.broadcast_contents(),
+            request_broadcast=lambda: self._load_sharing.broadcast_contents(),
             on_held=self._reject_held,
         )
         self._metrics.held_contents.set_function(lambda: self._contents.held_count)
         address = (config.host, config.peer_port)
-        sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
+        load_sock = load_socket.LoadSocket(self.loop, address, self._handle_datagram)
         self._limits = upstream_limits.UpstreamLimits(
             self._registry.get_by_key,
-            request_broadcast=lambda: self._sharing.broadcast_limits(),
+            request_broadcast=lambda: self._load_sharing.broadcast_limits(),
             on_change=self._on_limit_change,
         )
         self._metrics.limited_upstreams.set_function(lambda: self._limits.registry.limited_count)
@@ -109,26 +110,26 @@
             self.loop.scheduler,
             config,
             self._limits,
-            send=sock.send,
+            send=load_sock.send,
             first_id=int(time.time() * 1000),
         )
-        self._sharing = load_sharing.LoadSharing(
+        self._load_sharing = load_sharing.LoadSharing(
             self.loop.scheduler,
             config,
             self._registry,
             self._contents,
             self._limits,
-            send=sock.send,
+            send=load_sock.send,
             on_alarm=lambda upstream: self._upstream_events.drain(upstream),
-            on_news=self._on_news,
+            on_load_update=self._on_load_update,
         )
-        self._metrics.news_age_ms.set_function(self._sharing.get_news_age_ms)
+        self._metrics.news_age_ms.set_function(self._load_sharing.get_load_age_ms)
         self._end_watch = end_watch.EndWatch(
             calls,
             self.loop.scheduler,
             self._contents,
             read_instance_id=lambda status, head: dialect.read_answer(status, head).instance_id,
-            on_ended=lambda incarnation_id: self._sharing.broadcast_alarm(
+            on_ended=lambda incarnation_id: self._load_sharing.broadcast_alarm(
                 incarnation_id, shared_load.AlarmKind.ENDED
             ),
         )
@@ -140,26 +141,29 @@
             registry=self._registry,
             rng=random.Random(),
             on_change=self._on_own_change,
-            on_lost_request=self._sharing.broadcast_failure,
+            on_lost_request=self._load_sharing.broadcast_failure,
             on_answer=lambda *answer: self._upstream_events.handle_answer(*answer),
             on_replaced=lambda upstream: self._upstream_events.handle_replaced(upstream),
             contents=self._contents,
             limits=self._limits,
             permits=self._permits,
             query_end=self._query_end,
-            get_silent_halls=self._sharing.get_silent_halls,
-            get_news_age_ms=self._sharing.get_news_age_ms,
+            get_silent_halls=self._load_sharing.get_silent_halls,
+            get_load_age_ms=self._load_sharing.get_load_age_ms,
             metrics=self._metrics,
         )
         self._upstream_events = upstream_events.UpstreamEvents(
             self._context,
-            self._sharing,
+            self._load_sharing,
             self._exchanges,
             get_table=lambda: self._matcher,
         )
         self._metrics.waiting.set_function(lambda: len(self._context.queue))
         self._front = caller_front.CallerFront(
-            self.loop, config, on_request=self._take, on_bad_request=self._refuse_bytes
+            self.loop,
+            config,
+            on_request=self._handle_request,
+            on_bad_request=self._refuse_malformed,
         ).register(self.loop)
         small_server.SmallServer(
             (config.ready_host, config.ready_port),
@@ -167,8 +171,8 @@
             limits=config.callers,
             answer=self._answer_probe,
         ).register(self.loop)
-        made.serve(self.loop, config)
-        self._feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
+        metrics.serve(self.loop, config)
+        self._table_feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
         self._health = health_watch.HealthWatch(
             self.loop,
             calls,
@@ -176,19 +180,19 @@
             dialect,
             self._registry,
             get_table=lambda: self._matcher,
-            get_watchers=self._sharing.get_watchers,
-            get_silent_halls=self._sharing.get_silent_halls,
+            get_entries=self._load_sharing.get_entries,
+            get_silent_halls=self._load_sharing.get_silent_halls,
             on_alarm=self._upstream_events.handle_alarm,
             on_cold=self._upstream_events.handle_cold,
             on_replaced=self._upstream_events.handle_replaced,
             on_answer=self._handle_health_answer,
             is_limited=lambda upstream: self._context.gate.is_limited(upstream),
         )
-        self.loop.scheduler.call_every(READY_CHECK_S, self._check_ready)
-        self.loop.scheduler.call_every(REACH_CHECK_S, self._check_reach)
+        self.loop.scheduler.call_every(READY_CHECK_INTERVAL_S, self._check_ready)
+        self.loop.scheduler.call_every(REACH_CHECK_INTERVAL_S, self._check_reach)
 
     def run(self) -> None:
-        """Serve until told to stop and all that is in flight has ended."""
+        """Serve until a stop signal arrives and all requests in flight have ended."""
         fields = {"callers": self._front.address, "hall": self._config.hall}
         logger.info("entry %s starts", self._config.name, extra={"fields": fields})
         self.loop.run()
@@ -196,7 +200,7 @@
     def on_table(self, version: int, document: bytes) -> bool:
         """Put a newer route table in force.
 
-        :returns: whether it is; one that is not usable is not.
+        :returns: whether the table is valid and in force.
         """
         decoded = self._dialect.decode_table(document)
         faults = decoded.error if decoded.is_error() else table_checks.check(decoded.ok)
@@ -213,37 +217,37 @@
         return True
 
     def on_instances(self, listed: list[instances.Instance]) -> None:
-        """Take over a reading of the list of instances."""
-        self._upstream_events.take_list(listed)
+        """Apply a new instance list."""
+        self._upstream_events.apply_list(listed)
         self._has_instances = True
 
     def on_evacuations(self, halls: frozenset[str]) -> None:
-        """Send nothing more to instances of these halls, and to all others again."""
+        """Apply the set of evacuated halls; instances there receive no new requests."""
         self._upstream_events.handle_evacuations(halls)
 
     def on_fleet(self, known: fleet.Fleet) -> None:
-        """Take over which processes there are."""
-        self._sharing.set_fleet(known)
-        entries = self._sharing.get_watchers()
+        """Apply the set of known keepers and entries."""
+        self._load_sharing.set_fleet(known)
+        entries = self._load_sharing.get_entries()
         self._context.cold_starts.set_entries(entries)
         self._permits.set_entries(entries)
         self._context.entry_count = max(self._context.entry_count, len(known.entries))
 
     def on_keeper_lost(self, address: str) -> None:
-        """Take note of a keeper whose stream ended."""
-        self._sharing.record_keeper_lost(address)
+        """Record that the stream to a keeper ended."""
+        self._load_sharing.record_keeper_lost(address)
 
     def apply_settings(self, config: settings.GatewaySettings) -> None:
-        """Take over the keepers that changed settings name."""
-        self._feed.set_seeds(config.keepers)
+        """Apply changed settings; only the keepers' addresses can change."""
+        self._table_feed.set_seeds(config.keepers)
 
     def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
         if isinstance(message, permits.PermitRequest | permits.PermitReply):
             self._permits.handle_datagram(message, sender)
         else:
-            self._sharing.handle_datagram(message, sender)
+            self._load_sharing.handle_datagram(message, sender)
 
-    def _on_news(self) -> None:
+    def _on_load_update(self) -> None:
         self._context.queue.schedule_check()
 
     def _on_limit_change(self, key: int) -> None:
@@ -258,124 +262,131 @@
             self._upstream_events.handle_announced_leaving(upstream)
 
     def _on_own_change(self) -> None:
-        self._sharing.schedule_report()
+        self._load_sharing.schedule_report()
         self._context.queue.schedule_check()
 
     def _answer_probe(self, request: request_reader.WireRequest) -> small_server.SmallAnswer:
         del request
-        status = HTTPStatus.OK if self._get_ready() else HTTPStatus.SERVICE_UNAVAILABLE
+        status = HTTPStatus.OK if self._can_serve() else HTTPStatus.SERVICE_UNAVAILABLE
         return small_server.SmallAnswer(status)
 
-    def _get_ready(self) -> bool:
+    def _can_serve(self) -> bool:
         return self._is_ready and not self._is_stopping and not self._unreachable
 
     def _check_ready(self) -> None:
         if self._is_ready:
             return
-        age_s = clocks.get_s() - self._began_s
-        if age_s > EARLY_WAIT_S:
+        age_s = clocks.get_s() - self._started_s
+        if age_s > EARLY_REQUEST_WAIT_S:
             self._handle_early_requests()
-        known = startup.StartupState(
+        startup_state = startup.StartupState(
             age_s=age_s,
             has_table=self._matcher is not None,
             has_contents=self._contents.is_in_sync,
-            has_limits=self._sharing.has_snapshot,
+            has_limits=self._load_sharing.has_snapshot,
             has_instances=self._has_instances,
-            is_sure=self._feed.is_sure,
-            reaches_most=self._feed.connected_count * 2 > self._feed.keeper_count,
+            is_sure=self._table_feed.is_sure,
+            reaches_majority=self._table_feed.connected_count * 2 > self._table_feed.keeper_count,
         )
-        step = startup.decide(known)
-        self._feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
+        step = startup.decide(startup_state)
+        self._table_feed.accept_unconfirmed(step is startup.Step.TAKE_UNCONFIRMED)
         if step is startup.Step.SERVE:
-            self._begin_serving(known)
+            self._begin_serving(startup_state)
 
-    def _begin_serving(self, known: startup.StartupState) -> None:
+    def _begin_serving(self, startup_state: startup.StartupState) -> None:
         self._is_ready = True
         fields = {
-            "version": self._feed.version,
-            "keepers": self._feed.connected_count,
-            "is_sure": known.is_sure,
-            "has_contents": known.has_contents,
-            "has_limits": known.has_limits,
-            "age_ms": int(known.age_s * 1000),
+            "version": self._table_feed.version,
+            "keepers": self._table_feed.connected_count,
+            "is_sure": startup_state.is_sure,
+            "has_contents": startup_state.has_contents,
+            "has_limits": startup_state.has_limits,
+            "age_ms": int(startup_state.age_s * 1000),
         }
         logger.info("entry is ready", extra={"fields": fields})
         self._handle_early_requests()
 
     def _check_reach(self) -> None:
-        """Send callers elsewhere while this hall is cut off from all instances of a service."""
+        """Report the entry as not ready while it cannot reach any instance of a service.
+
+        The load balancer then sends callers to other halls.
+        """
         unreachable = self._find_unreachable()
         if unreachable == self._unreachable or self._is_stopping:
             return
         self._unreachable = unreachable
         self._front.close_after_answers(bool(unreachable))
         if unreachable:
-            halls = sorted(self._sharing.get_silent_halls())
+            halls = sorted(self._load_sharing.get_silent_halls())
             fields = {"service": unreachable, "silent_halls": halls}
             logger.warning("entry cannot reach a service", extra={"fields": fields})
         else:
             logger.info("entry can reach all services again")
 
     def _find_unreachable(self) -> str:
-        """Return the name of a service whose instances all stand in lost halls; empty for none."""
-        lost = self._context.reach.get_unreachable_halls(
-            self._sharing.get_silent_halls(),
+        """Return the name of a service with instances only in unreachable halls, or ``""``."""
+        unreachable_halls = self._context.reach.get_unreachable_halls(
+            self._load_sharing.get_silent_halls(),
             clocks.get_s(),
-            is_isolated=self._sharing.is_isolated(),
+            is_isolated=self._load_sharing.is_isolated(),
         )
-        if not lost or self._matcher is None:
+        if not unreachable_halls or self._matcher is None:
             return ""
         for service in self._matcher.services:
-            if hall_reach.is_service_unreachable(self._registry.get_service(service.name), lost):
+            if hall_reach.is_service_unreachable(
+                self._registry.get_service(service.name), unreachable_halls
+            ):
                 return service.name
         return ""
 
     def _handle_early_requests(self) -> None:
-        early, self._early = self._early, []
-        for caller in early:
+        queued, self._early_callers = self._early_callers, []
+        for caller in queued:
             if not caller.is_gone:
-                self._take(caller)
+                self._handle_request(caller)
 
-    def _take(self, caller: caller_front.Caller) -> None:
+    def _handle_request(self, caller: caller_front.Caller) -> None:
         if self._dialect.is_ready_probe(caller.request):
-            caller.send_whole(200 if self._get_ready() else 503, [], b"")
+            caller.send_whole(200 if self._can_serve() else 503, [], b"")
             return
-        age_s = clocks.get_s() - self._began_s
-        if not self._is_ready and age_s < EARLY_WAIT_S and not self._is_stopping:
-            self._early.append(caller)
+        age_s = clocks.get_s() - self._started_s
+        if not self._is_ready and age_s < EARLY_REQUEST_WAIT_S and not self._is_stopping:
+            self._early_callers.append(caller)
             return
-        read = self._dialect.read_request(caller.request)
-        if read.is_error():
-            self._refuse(caller, "", read.error)
+        decoded_request = self._dialect.read_request(caller.request)
+        if decoded_request.is_error():
+            self._refuse(caller, "", decoded_request.error)
             return
-        matched = self._match(read.ok, caller)
+        matched = self._match(decoded_request.ok, caller)
         if isinstance(matched, fault.Fault):
-            self._refuse(caller, read.ok.request_id, self._soften_refusal(matched))
+            self._refuse(caller, decoded_request.ok.request_id, self._adjust_refusal(matched))
             return
         allowance = self._context.get_allowance(matched.service.name)
         allowance.record_request(clocks.get_s())
         is_stream = matched.route.kind is route_table.RequestKind.STREAM
-        cls = stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
-        item = cls(matched, caller, self._context, self._exchanges.discard)
-        self._exchanges.add(item)
-        item.begin()
+        exchange_class = (
+            stream_exchange.StreamExchange if is_stream else plain_exchange.PlainExchange
+        )
+        handler = exchange_class(matched, caller, self._context, self._exchanges.discard)
+        self._exchanges.add(handler)
+        handler.begin()
 
     def _query_end(self, upstream: upstream_registry.Upstream) -> None:
-        """Find out whether an instance that lost a request has ended."""
+        """Query whether an instance that lost a request has terminated."""
         service = self._matcher.get_service(upstream.instance.service) if self._matcher else None
-        asked = end_watch.EndQuery(
+        query = end_watch.EndQuery(
             upstream.instance.incarnation_id,
             instance_id=upstream.instance.instance_id,
             address=upstream.instance.address,
             path=service.health_path if service is not None else "",
         )
-        self._end_watch.query(asked)
+        self._end_watch.query(query)
 
     def _reject_held(self, content_id: bytes) -> None:
-        """Refuse what waits of a content that is held from now on, and end what runs of it."""
-        for item in list(self._exchanges):
-            if item.job.content_id == content_id:
-                item.reject_held()
+        """Refuse all current requests with a content that is held from now on."""
+        for handler in list(self._exchanges):
+            if handler.job.content_id == content_id:
+                handler.reject_held()
 
     def _match(
         self, head: dialects.RequestHead, caller: caller_front.Caller
@@ -393,17 +404,18 @@
             return fault.Fault(code, "the API key belongs to no workspace")
         service = table.get_service(matcher.choose_service(route, self._context.rng))
         assert service is not None
-        owner = workspace.name if workspace is not None else ""
-        content_id = request_content.get_content_id(caller.request, head.host, owner)
+        workspace_name = workspace.name if workspace is not None else ""
+        content_id = request_content.get_content_id(caller.request, head.host, workspace_name)
         return routed_job.Job(head, route, service, workspace, table.version, content_id)
 
-    def _soften_refusal(self, item: fault.Fault) -> fault.Fault:
-        """Return what a caller is told whom the table lets nowhere.
+    def _adjust_refusal(self, item: fault.Fault) -> fault.Fault:
+        """Return the fault to send for a request that the table refuses.
 
-        Callers take it as final. An entry that cannot tell whether its table is the newest says
-        that instead, so that they come back or try another hall: the route may be new.
+        Callers treat such a refusal as final. If the entry cannot confirm that its table is the
+        newest, it reports that instead, so that callers retry or use another hall: the route may
+        be new.
         """
-        if item.code is codes.ResultCode.NO_TABLE or self._feed.is_sure:
+        if item.code is codes.ResultCode.NO_TABLE or self._table_feed.is_sure:
             return item
         return fault.make_unconfirmed_fault(item)
 
@@ -422,26 +434,26 @@
             "reason": item.text,
             "status": status,
             "table_version": self._matcher.version if self._matcher is not None else 0,
-            "taken_version": self._feed.version,
+            "taken_version": self._table_feed.version,
         }
         logger.info("refused", extra={"fields": fields})
 
-    def _refuse_bytes(self, caller: caller_front.Caller, item: fault.Fault) -> None:
+    def _refuse_malformed(self, caller: caller_front.Caller, item: fault.Fault) -> None:
         self._refuse(caller, "", item)
 
     def _begin_stop(self) -> None:
         self._is_stopping = True
-        self._stop_s = clocks.get_s()
+        self._stop_started_s = clocks.get_s()
         fields = {"in_flight": len(self._exchanges)}
         logger.info("entry stops", extra={"fields": fields})
         self._front.close_after_answers()
-        self.loop.scheduler.call_later(STOP_LISTEN_S, self._front.close_when_idle)
-        self.loop.scheduler.call_every(STOP_CHECK_S, self._finish_stop)
+        self.loop.scheduler.call_later(STOP_LISTEN_DURATION_S, self._front.close_when_idle)
+        self.loop.scheduler.call_every(STOP_CHECK_INTERVAL_S, self._finish_stop)
 
     def _finish_stop(self) -> None:
-        age_s = clocks.get_s() - self._stop_s
+        age_s = clocks.get_s() - self._stop_started_s
         is_due = age_s > self._config.stop_ms / 1000 - STOP_MARGIN_S
-        is_empty = age_s > STOP_LISTEN_S and not self._front.connection_count
+        is_empty = age_s > STOP_LISTEN_DURATION_S and not self._front.connection_count
         if is_empty or is_due:
             logger.info("entry ends", extra={"fields": {"cut": len(self._exchanges)}})
             self.loop.finish()
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -1,4 +1,4 @@
-"""A request whose answer is a stream of events from one run, which may move on the way."""
+"""Handling of streamed requests, whose run may be migrated to another instance."""
 
 import logging
 from collections.abc import Callable
@@ -18,18 +18,21 @@
     upstream_choice,
     upstream_registry,
 )
-from spoolhead._internal.relay import pace_meter, splice
+from spoolhead._internal.relay import event_splicer, pace_meter
 from spoolhead._internal.utils import clocks
 
 logger = logging.getLogger(__name__)
 
-UNREAD_BYTES = 1_048_576
-"""Bytes kept for a caller that reads slowly: several of the longest answers seen (120 KiB)."""
+MAX_UNREAD_BYTES = 1_048_576
+"""Maximum of bytes buffered for a slow caller; several of the longest answers (120 KiB)."""
 _OK = 200
 
 
 class StreamExchange(exchange.Exchange):
-    """One streamed request."""
+    """One streamed request.
+
+    :ivar admission: properties of the request for admission to engines.
+    """
 
     admission: run_admission.Request
 
@@ -41,23 +44,23 @@
         on_end: Callable[[exchange.Exchange], None],
     ) -> None:
         super().__init__(job, caller, context, on_end)
-        self._splice = splice.Splice(job.head.last_event_id)
+        self._splicer = event_splicer.EventSplicer(job.head.last_event_id)
         self._migration = run_migration.RunMigration(self, job, context)
-        self._pace = pace_meter.PaceMeter(self._arrived_s)
+        self._pace_meter = pace_meter.PaceMeter(self._arrived_s)
 
     @property
     def upstream(self) -> upstream_registry.Upstream | None:
-        """Where the run is."""
+        """Instance of the run; None without one."""
         return self._attempt.upstream if self._attempt is not None else None
 
     @property
     def events(self) -> int:
-        """Events passed on."""
-        return self._splice.events
+        """Number of events that were forwarded to the caller."""
+        return self._splicer.events
 
     @property
     def need_tokens(self) -> int:
-        """Memory that the run will hold, in tokens."""
+        """Memory that the run will need, in tokens."""
         generation = self.job.head.generation
         if generation is None:
             return 0
@@ -65,7 +68,7 @@
 
     @property
     def rank(self) -> float:
-        """How much is saved by copying the run, for the time that it takes."""
+        """Benefit of migrating the run relative to the time that its copy takes."""
         generation = self.job.head.generation
         engine = self.job.service.engine
         if generation is None or engine is None:
@@ -85,11 +88,14 @@
         return min(expected, generation.limit_tokens)
 
     def start(self) -> None:
-        """Begin the run at the best instance."""
-        self._begin_run()
+        """Start the run at the best instance, or queue it."""
+        self._start_run()
+
+    def try_start(self) -> bool:
+        """Start the run at an engine with free capacity, or refuse the request, if due.
 
-    def try_to_begin(self) -> bool:
-        """Begin at an engine with room, or be refused, if that is due."""
+        :returns: False if the request must keep waiting.
+        """
         if self._is_awaiting_permit:
             return False
         engine = self.job.service.engine
@@ -109,80 +115,80 @@
         if choice.upstream is None:
             self.fail_without_upstream(choice)
         else:
-            self._open(choice.upstream, None)
+            self._send_run(choice.upstream, None)
         return True
 
     def on_permit(self) -> None:
-        """Begin the run, here or at another engine, unless it has to wait for room."""
-        if self.try_to_begin():
+        """Start the run, at this or another engine, unless it must wait for capacity."""
+        if self.try_start():
             self._context.queue.remove(self)
 
     def release(self) -> None:
-        """Cancel the run and give up its copy."""
+        """Remove the request from the queue, cancel its run and release its copy."""
         self._context.queue.remove(self)
-        self._migration.drop_copy()
-        self.drop_attempt()
+        self._migration.release_copy()
+        self.cancel_attempt()
 
     def on_instances_changed(self) -> None:
-        """See whether the run or its copy must move."""
+        """Check whether the run or its copy must be migrated."""
         self._migration.check()
 
     def on_copy_ready(self) -> None:
-        """Go on at the copy, before the instance that leaves is gone."""
+        """Resume the run from its copy, before the leaving instance terminates."""
         if self.is_over or self._attempt is None or self._attempt.has_ended:
             return
         if self._context.contents.is_held(self.job.content_id):
-            # It would end the instance that has the copy, too.
+            # The run may crash the target of the copy as well.
             return
         copy = self._migration.pop_copy()
         if copy is not None:
-            self._resume(copy)
+            self._resume_run(copy)
 
     def handle_body(self, attempt: attempts.Attempt, data: bytes) -> None:
-        """Take a part of the answer."""
+        """Forward the complete events in a part of the answer."""
         if attempt is not self._attempt or attempt.head is None:
             return
-        if not self._is_good(attempt.head):
+        if not self._is_event_stream(attempt.head):
             attempt.body.append(data)
             return
         self._record_prefill_end(attempt)
         self._context.reach.record_answer(attempt.upstream.instance.hall, clocks.get_s())
-        events_before = self._splice.events
-        spliced = self._splice.feed(data)
-        if spliced.events:
-            self._pace.record_events(events_before, clocks.get_s())
-        if spliced.data and not self._pass_on(attempt.head, spliced.data):
+        events_before = self._splicer.events
+        result = self._splicer.feed(data)
+        if result.events:
+            self._pace_meter.record_events(events_before, clocks.get_s())
+        if result.data and not self._forward(attempt.head, result.data):
             return
-        if spliced.problem:
-            self._break(spliced.problem)
+        if result.problem:
+            self._fail_lost(result.problem)
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the answer."""
         if attempt is not self._attempt or attempt.head is None or attempt.call is None:
             return
-        if not self._is_good(attempt.head):
-            self._handle_refusal(attempt, attempt.head)
+        if not self._is_event_stream(attempt.head):
+            self._handle_unusable_answer(attempt, attempt.head)
         else:
             attempt.upstream.record_answer()
             self._finish(attempt.head)
 
     def handle_loss(self, attempt: attempts.Attempt, reason: str) -> None:
-        """Take the loss of the connection."""
+        """Handle the loss of the connection; a run that may have begun is not repeated."""
         if attempt is not self._attempt or attempt.call is None:
             return
         self.record_loss(attempt, reason)
         if self.is_over:
-            # The loss was what has its content held.
+            # This loss caused the content to be held, which ended the exchange.
             return
         self._log_attempt_failure(attempt, reason)
         if not attempt.call.may_have_arrived and not attempt.is_resumed:
-            self._migration.drop_copy()
-            self.drop_attempt()
-            self._begin_run()
+            self._migration.release_copy()
+            self.cancel_attempt()
+            self._start_run()
             return
-        self._break(reason)
+        self._fail_lost(reason)
 
-    def _begin_run(self) -> None:
+    def _start_run(self) -> None:
         generation = self.job.head.generation
         self.admission = run_admission.Request(
             rank=self.job.route.priority,
@@ -191,77 +197,80 @@
             objective_ms=self.job.route.objective_ms,
             arrived_s=self._arrived_s,
         )
-        if not self.try_to_begin():
+        if not self.try_start():
             if not self._is_awaiting_permit:
-                logger.info("waits for room", extra={"fields": self.get_fields()})
+                logger.info("waits for room", extra={"fields": self.get_log_fields()})
             self._context.queue.add(self)
 
     def _refuse(self, choice: upstream_choice.Choice) -> None:
-        """Refuse the request, since no engine is likely to have room in time."""
+        """Refuse the request because no engine is expected to have free capacity in time."""
         self.log_choice("no room", choice)
-        come_back_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
+        retry_after_ms = run_admission.compute_retry_after_ms(self.remaining_ms)
         code = codes.ResultCode.DEADLINE_UNREACHABLE
-        self.fail(code, "no engine is expected to have room in time", retry_after_ms=come_back_ms)
+        self.fail(code, "no engine is expected to have room in time", retry_after_ms=retry_after_ms)
 
-    def _is_good(self, head: dialects.AnswerHead) -> bool:
-        own_id = self.job.head.request_id
+    def _is_event_stream(self, head: dialects.AnswerHead) -> bool:
+        """Return whether an answer is the instance's own event stream for this request."""
+        request_id = self.job.head.request_id
         return (
             head.status == _OK
             and head.is_signed
             and not head.is_encoded
-            and head.request_id in ("", own_id)
+            and head.request_id in ("", request_id)
         )
 
-    def _handle_refusal(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
+    def _handle_unusable_answer(self, attempt: attempts.Attempt, head: dialects.AnswerHead) -> None:
         self._log_attempt_failure(attempt, f"status {head.status}")
-        if attempt.is_resumed or self._splice.events:
-            self._break(f"the run could not go on: status {head.status}")
+        if attempt.is_resumed or self._splicer.events:
+            self._fail_lost(f"the run could not go on: status {head.status}")
             return
         if head.has_not_run:
-            self._migration.drop_copy()
-            self.drop_attempt()
+            self._migration.release_copy()
+            self.cancel_attempt()
             allowance = self._context.get_allowance(self.job.service.name)
-            # One that never reached the instance it was meant for is no attempt.
-            self._misdirected += head.is_misdirected
-            may_repeat = len(self._tried) - self._misdirected < self.job.route.attempts
-            if may_repeat and allowance.try_acquire(clocks.get_s()):
-                self._begin_run()
+            # Requests that did not reach their instance do not count as attempts.
+            self._misdirected_count += head.is_misdirected
+            may_retry = len(self._tried_ids) - self._misdirected_count < self.job.route.attempts
+            if may_retry and allowance.try_acquire(clocks.get_s()):
+                self._start_run()
             else:
                 self.fail(codes.ResultCode.UPSTREAM_REFUSED, "the upstream has no room")
             return
         self._ran = codes.Ran.UNKNOWN
         if head.status == _OK or head.request_id not in ("", self.job.head.request_id):
-            self._break("the answer is not the upstream's own")
+            self._fail_lost("the answer is not the upstream's own")
             return
         self._ran = codes.Ran.YES
         self.record_whole_answer(head.status)
         self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
-        fields = {**self.get_fields(), "status": head.status}
+        fields = {**self.get_log_fields(), "status": head.status}
         logger.info("answered", extra={"fields": fields})
         self.end()
 
     def _log_attempt_failure(self, attempt: attempts.Attempt, reason: str) -> None:
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
             "events": self.events,
             "reason": reason,
         }
         logger.info("attempt failed", extra={"fields": fields})
 
-    def _open(
+    def _send_run(
         self, upstream: upstream_registry.Upstream, resume: dialects.ResumePoint | None
     ) -> None:
         attempt = self._attempt = attempts.Attempt(self, upstream, is_resumed=resume is not None)
         request_id = self.job.head.request_id
         generation = self.job.head.generation
-        reading = generation.prompt_tokens if generation is not None and resume is None else 0
-        self._tried.add(upstream.instance.incarnation_id)
+        prefill_tokens = (
+            generation.prompt_tokens if generation is not None and resume is None else 0
+        )
+        self._tried_ids.add(upstream.instance.incarnation_id)
         if resume is None:
             waited_ms = (clocks.get_s() - self._arrived_s) * 1000
             self._context.metrics.room_wait_ms.observe(waited_ms)
         upstream.in_flight[request_id] = upstream_registry.InFlightRequest(
-            request_id, self.need_tokens, prefill_tokens=reading
+            request_id, self.need_tokens, prefill_tokens=prefill_tokens
         )
         self._context.on_change()
         orders = dialects.AttemptOrders(
@@ -279,65 +288,65 @@
         return self.job.urgency
 
     def _record_prefill_end(self, attempt: attempts.Attempt) -> None:
-        """Take note that the prompt has been read."""
-        work = attempt.upstream.in_flight.get(self.job.head.request_id)
-        if work is not None and work.prefill_tokens:
-            work.prefill_tokens = 0
+        """Record that the run's prefill is complete."""
+        request = attempt.upstream.in_flight.get(self.job.head.request_id)
+        if request is not None and request.prefill_tokens:
+            request.prefill_tokens = 0
             self._context.on_change()
 
-    def _resume(self, copy: run_migration.Copy) -> None:
-        point = dialects.ResumePoint(
-            address=copy.address, handle=copy.handle, last_event_id=self._splice.last_event_id
+    def _resume_run(self, copy: run_migration.ReadyCopy) -> None:
+        resume_point = dialects.ResumePoint(
+            address=copy.address, handle=copy.handle, last_event_id=self._splicer.last_event_id
         )
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "upstream": copy.upstream.instance.incarnation_id,
             "copy_of": copy.address,
             "events": self.events,
-            "last_event_id": point.last_event_id,
+            "last_event_id": resume_point.last_event_id,
         }
         logger.info("run goes on elsewhere", extra={"fields": fields})
         self._context.metrics.moves.inc()
-        self.drop_attempt()
-        self._tried.clear()
-        self._splice.begin_connection()
-        self._open(copy.upstream, point)
+        self.cancel_attempt()
+        self._tried_ids.clear()
+        self._splicer.begin_connection()
+        self._send_run(copy.upstream, resume_point)
 
-    def _pass_on(self, head: dialects.AnswerHead, data: bytes) -> bool:
-        """Send bytes to the caller; False where that ended the exchange."""
+    def _forward(self, head: dialects.AnswerHead, data: bytes) -> bool:
+        """Send bytes to the caller; return False if that ended the exchange."""
         self._ran = codes.Ran.YES
         if not self.caller.is_started:
             self.caller.start_stream(head.status, head.headers, data)
             return not self.is_over
         unsent = self.caller.send_part(data)
-        if unsent > UNREAD_BYTES:
+        if unsent > MAX_UNREAD_BYTES:
             self.fail(codes.ResultCode.CALLER_TOO_SLOW, f"the caller left {unsent} bytes unread")
         return not self.is_over
 
     def _finish(self, head: dialects.AnswerHead) -> None:
         self.record_whole_answer(head.status)
-        rest = self._splice.finish()
-        if rest or not self.caller.is_started:
-            self._pass_on(head, rest)
+        remainder = self._splicer.finish()
+        if remainder or not self.caller.is_started:
+            self._forward(head, remainder)
         self.caller.end_stream()
         route = self.job.route
         fields = {
-            **self.get_fields(),
+            **self.get_log_fields(),
             "status": head.status,
             "events": self.events,
-            "first_ms": self._pace.first_ms,
-            "longest_pause_ms": self._pace.longest_pause_ms,
-            "pause_after_events": self._pace.longest_after,
-            "is_late": (self._pace.first_ms or 0) > route.objective_ms,
-            "has_long_pause": self._pace.longest_pause_ms
+            "first_ms": self._pace_meter.first_ms,
+            "longest_pause_ms": self._pace_meter.longest_pause_ms,
+            "pause_after_events": self._pace_meter.events_before_longest_pause,
+            "is_late": (self._pace_meter.first_ms or 0) > route.objective_ms,
+            "has_long_pause": self._pace_meter.longest_pause_ms
             > run_migration_policy.get_max_pause_ms(route),
         }
         logger.info("answered", extra={"fields": fields})
-        self._context.metrics.first_event_ms.observe(self._pace.first_ms or 0)
-        self._context.metrics.longest_pause_ms.observe(self._pace.longest_pause_ms)
+        self._context.metrics.first_event_ms.observe(self._pace_meter.first_ms or 0)
+        self._context.metrics.longest_pause_ms.observe(self._pace_meter.longest_pause_ms)
         self.end()
 
-    def _break(self, reason: str) -> None:
+    def _fail_lost(self, reason: str) -> None:
         if self._ran is codes.Ran.NO:
             self._ran = codes.Ran.UNKNOWN
         self.fail(codes.ResultCode.UPSTREAM_LOST, reason)
--- a/src/spoolhead/_internal/keeper/log_file.py
+++ b/src/spoolhead/_internal/keeper/log_file.py
@@ -1,4 +1,4 @@
-"""The keeper's log on its disk: nothing is acknowledged before it is synced."""
+"""The keeper's log file; a record is acknowledged only after it is synced."""
 
 import logging
 import os
@@ -10,39 +10,44 @@
 
 logger = logging.getLogger(__name__)
 
-LOG_NAME = "table.log"
+FILE_NAME = "table.log"
 
 
 class LogFile:
     """An append-only file of records.
 
-    :ivar payloads: payloads found when it was opened; the owner may drop the list.
+    :param folder: the keeper's data folder.
+    :raises exceptions.DiskError: if the file cannot be opened.
+    :raises exceptions.LogDamagedError: if the file is damaged.
+    :ivar payloads: payloads found when the file was opened; the owner may clear the list.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
-        self._path = folder / LOG_NAME
+        self._path = folder / FILE_NAME
         self._failed = False
         try:
             self._descriptor = os.open(self._path, os.O_RDWR | os.O_CREAT, 0o600)
             data = self._path.read_bytes()
         except OSError as error:
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
-        found = changelog.scan(data)
-        if found.damage is not None:
-            raise exceptions.LogDamagedError(str(self._path), found.good_bytes, found.damage)
-        self.payloads = found.payloads
-        self._length = found.good_bytes
-        if found.torn:
-            cut = len(data) - found.good_bytes
-            logger.warning("%s: %d bytes of a torn last write are cut off", self._path, cut)
+        scan_result = changelog.scan(data)
+        if scan_result.damage is not None:
+            raise exceptions.LogDamagedError(
+                str(self._path), scan_result.good_bytes, scan_result.damage
+            )
+        self.payloads = scan_result.payloads
+        self._length = scan_result.good_bytes
+        if scan_result.torn:
+            cut_bytes = len(data) - scan_result.good_bytes
+            logger.warning("%s: truncated %d bytes of a torn last write", self._path, cut_bytes)
         self._truncate()
         files.sync_folder(folder)
 
     def append(self, payload: bytes) -> None:
         """Append one record and sync it.
 
-        :raises exceptions.DiskError: if the record is not durable; the log is then as before,
-            or takes nothing more until the process starts again.
+        :raises exceptions.DiskError: if the record is not durable. The log is then unchanged, or
+            refuses all further records until the process restarts.
         """
         if self._failed:
             raise exceptions.DiskError(f"{self._path}: an earlier write failed")
@@ -50,13 +55,13 @@
         try:
             self._write(record)
         except OSError as error:
-            self._undo()
+            self._discard_partial_write()
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
         try:
             os.fsync(self._descriptor)
         except OSError as error:
-            # After a failed sync the kernel may drop the pages and report success next time,
-            # so what the file holds is known only after it is read again.
+            # After a failed sync the kernel may discard the dirty pages and report success for the
+            # next sync. The content of the file is therefore unknown until it is read again.
             self._failed = True
             raise exceptions.DiskError(f"{self._path}: {error.strerror}") from error
         self._length += len(record)
@@ -66,7 +71,7 @@
         while written < len(record):
             written += os.pwrite(self._descriptor, record[written:], self._length + written)
 
-    def _undo(self) -> None:
+    def _discard_partial_write(self) -> None:
         try:
             self._truncate()
         except exceptions.DiskError:
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -1,4 +1,4 @@
-"""What a keeper does with the messages of entries and operators."""
+"""Handles the messages that entries and operators send to a keeper."""
 
 import functools
 import logging
@@ -19,18 +19,19 @@
 
 ENTRY_ROLE = "entry"
 OPERATOR_ROLE = "operator"
-OWNER_GONE_AFTER_S = 5.0
+OWNER_GONE_TIMEOUT_S = 5.0
 
 
 class Follower:
     """An entry that follows the table.
 
-    :ivar session: its stream, or None while it is away.
-    :ivar is_following: it has asked for the table on this stream; no change is sent before.
-    :ivar version: version it said is in force there.
-    :ivar seen_s: monotonic time of its last message, in seconds.
-    :ivar hall: hall it stands in; empty until it has said so.
-    :ivar address: ``IP:PORT`` at which its neighbours reach it.
+    :ivar session: stream of the entry; None while it is disconnected.
+    :ivar is_following: whether the entry has requested the table on this stream; no changes are
+        sent before.
+    :ivar version: version that the entry has reported as in force.
+    :ivar seen_s: monotonic time of the entry's last message, in seconds.
+    :ivar hall: hall of the entry; empty until it has introduced itself.
+    :ivar address: ``IP:PORT`` at which other entries reach this one.
     """
 
     __slots__ = ("address", "hall", "is_following", "seen_s", "session", "version")
@@ -48,10 +49,10 @@
     """Handles messages; implements :class:`peer_server.PeerService`.
 
     :param config: the keeper's settings.
-    :param log: the log on the disk, already opened.
-    :param timers: calls back.
-    :raises exceptions.LogDamagedError: if the log's records do not fit each other.
-    :ivar contents: passes on what entries find out of contents that may end upstreams.
+    :param log: the opened log file.
+    :param timers: scheduler for delayed calls.
+    :raises exceptions.LogDamagedError: if the records of the log contradict each other.
+    :ivar contents: relays what entries learn about contents that crash instances.
     """
 
     def __init__(
@@ -76,7 +77,7 @@
         return self._state.table.version
 
     def on_opened(self, session: peer_server.PeerSession) -> None:
-        """Note a peer; an entry counts as present from now on."""
+        """Register a peer; an entry counts as connected from now on."""
         logger.info("%s %s connected", session.role, session.name)
         if session.role == ENTRY_ROLE:
             follower = self._followers.setdefault(session.name, Follower())
@@ -85,36 +86,38 @@
             follower.seen_s = clocks.get_s()
 
     def on_closed(self, session: peer_server.PeerSession) -> None:
-        """Note that a peer is away."""
+        """Record that a peer has disconnected."""
         logger.info("%s %s disconnected", session.role, session.name)
         follower = self._followers.get(session.name)
         if follower is not None and follower.session is session:
             follower.session = None
             follower.seen_s = clocks.get_s()
-            self._send_members()
+            self._broadcast_members()
 
     def on_message(self, session: peer_server.PeerSession, message: messages.Message) -> None:
         """Handle one message."""
-        _handle(message, self, session)
+        _dispatch(message, self, session)
 
-    def introduce(self, session: peer_server.PeerSession, message: messages.Introduce) -> None:
-        """Note where an entry stands, and tell all entries."""
+    def handle_introduce(
+        self, session: peer_server.PeerSession, message: messages.Introduce
+    ) -> None:
+        """Record an entry's hall and address, and send the new list of members to all entries."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
-            raise messages.MessageError("only the present stream of an entry introduces it")
+            raise messages.MessageError("an entry must introduce itself on its current stream")
         follower.hall = message.hall
         follower.address = message.address
-        self._send_members()
-        self.contents.welcome(session)
+        self._broadcast_members()
+        self.contents.send_known(session)
 
-    def follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
-        """Send a follower what it has missed, or the whole table."""
+    def handle_follow(self, session: peer_server.PeerSession, message: messages.Follow) -> None:
+        """Send a follower the changes that it has missed, or the whole table."""
         follower = self._followers.get(session.name)
         if follower is None or follower.session is not session:
-            raise messages.MessageError("only the present stream of an entry follows")
+            raise messages.MessageError("an entry must follow on its current stream")
         follower.is_following = True
-        missed = self._state.get_changes_after(message.log_id, message.version)
-        if missed is None:
+        missed_changes = self._state.get_changes_after(message.log_id, message.version)
+        if missed_changes is None:
             session.send(
                 messages.Snapshot(
                     log_id=self._state.log_id,
@@ -123,19 +126,19 @@
                 )
             )
             return
-        for change in missed:
+        for change in missed_changes:
             session.send_encoded(self._encode_change(change))
         session.send(messages.Current(version=self.version))
 
     def record_in_force(self, session: peer_server.PeerSession, message: messages.InForce) -> None:
-        """Note the version that an entry has in force."""
+        """Record the version that is in force at an entry."""
         follower = self._followers.get(session.name)
         if follower is not None:
             follower.version = message.version
             follower.seen_s = clocks.get_s()
 
-    def propose(self, session: peer_server.PeerSession, message: messages.Propose) -> None:
-        """Accept an edit, or refuse it whole."""
+    def handle_propose(self, session: peer_server.PeerSession, message: messages.Propose) -> None:
+        """Accept an edit, or refuse it as a whole."""
         answer = self._decide(message)
         session.send(answer)
         logger.info(
@@ -152,7 +155,7 @@
         )
 
     def send_table(self, session: peer_server.PeerSession, message: messages.GetTable) -> None:
-        """Send the rows to an operator."""
+        """Send all rows to an operator."""
         session.send(
             messages.TableAnswer(
                 request=message.request,
@@ -163,13 +166,13 @@
         )
 
     def send_history(self, session: peer_server.PeerSession, message: messages.GetHistory) -> None:
-        """Send the last changes to an operator."""
+        """Send the latest changes to an operator."""
         history = self._state.table.get_history()[::-1][: max(0, message.limit)]
         changes = [change.pack() for change in history]
         session.send(messages.HistoryAnswer(request=message.request, changes=changes))
 
     def send_status(self, session: peer_server.PeerSession, message: messages.GetStatus) -> None:
-        """Tell an operator how the keeper and its followers are."""
+        """Send the status of the keeper and its followers to an operator."""
         now_s = clocks.get_s()
         entries = [
             {
@@ -192,37 +195,39 @@
         }
         session.send(messages.StatusAnswer(request=message.request, status=status))
 
-    def claim_once(self, session: peer_server.PeerSession, message: messages.ClaimOnce) -> None:
-        """Grant a claim, or tell what became of the first one."""
+    def handle_claim(self, session: peer_server.PeerSession, message: messages.ClaimOnce) -> None:
+        """Grant a claim, or answer with the state of the first claim of the key."""
         time_ms = _get_time_ms()
         self._state.once.drop_expired(time_ms)
         claim = self._state.once.claims.get(message.key)
-        owner_is_gone = claim is not None and self._is_gone(claim.owner)
-        found = self._state.once.get_state(
+        owner_is_gone = claim is not None and self._is_owner_gone(claim.owner)
+        claim_state = self._state.once.get_state(
             message.key, message.fingerprint, owner_is_gone=owner_is_gone
         )
-        name = found.value
-        if found is once_journal.ClaimState.GRANTED:
-            name = self._grant(session.name, message, time_ms)
-        outcome = claim.outcome if found is once_journal.ClaimState.FINISHED and claim else None
+        state_name = claim_state.value
+        if claim_state is once_journal.ClaimState.GRANTED:
+            state_name = self._grant(session.name, message, time_ms)
+        outcome = (
+            claim.outcome if claim_state is once_journal.ClaimState.FINISHED and claim else None
+        )
         session.send(
             messages.ClaimAnswer(
                 request=message.request,
-                state=name,
+                state=state_name,
                 status=outcome.status if outcome else 0,
                 content_type=outcome.content_type if outcome else "",
                 body=outcome.body if outcome else b"",
             )
         )
 
-    def finish_once(self, session: peer_server.PeerSession, message: messages.FinishOnce) -> None:
-        """Record the end of a claimed request; not confirmed unless it is durable."""
+    def handle_finish(self, session: peer_server.PeerSession, message: messages.FinishOnce) -> None:
+        """Record the end of a claimed request; confirm it only if the record is durable."""
         claim = self._state.once.claims.get(message.key)
         if claim is not None and claim.owner == session.name and not claim.is_finished:
             try:
                 self._record_end(session.name, message)
             except exceptions.DiskError as error:
-                logger.error("the end of a claimed request is not recorded: %s", error)
+                logger.error("cannot record the end of a claimed request: %s", error)
                 return
         session.send(messages.FinishNoted(key=message.key))
 
@@ -258,11 +263,11 @@
             try:
                 self._log.append(records.make_change(change))
             except exceptions.DiskError as error:
-                logger.error("edit %s is not accepted: %s", message.edit_id, error)
+                logger.error("edit %s refused, it cannot be recorded: %s", message.edit_id, error)
                 faults = [["", str(error)]]
                 return self._refuse(message, codes.ResultCode.DISK_FAILED, faults=faults)
             self._state.apply_change(change)
-            self._push(change)
+            self._broadcast_change(change)
         return messages.ProposeAnswer(
             request=message.request,
             code=codes.ResultCode.OK,
@@ -298,7 +303,7 @@
             conflicts=conflicts or [],
         )
 
-    def _push(self, change: versioned_table.Change) -> None:
+    def _broadcast_change(self, change: versioned_table.Change) -> None:
         data = self._encode_change(change)
         for follower in self._followers.values():
             if follower.session is not None and follower.is_following:
@@ -308,16 +313,18 @@
         sessions = [follower.session for follower in self._followers.values()]
         return [session for session in sessions if session is not None]
 
-    def _send_members(self) -> None:
+    def _broadcast_members(self) -> None:
         present = {
-            name: item
-            for name, item in self._followers.items()
-            if item.session is not None and item.address
+            name: follower
+            for name, follower in self._followers.items()
+            if follower.session is not None and follower.address
         }
-        entries = [[name, item.hall, item.address] for name, item in sorted(present.items())]
+        entries = [
+            [name, follower.hall, follower.address] for name, follower in sorted(present.items())
+        ]
         data = messages.encode(messages.Members(entries=entries))
-        for item in present.values():
-            item.session.send_encoded(data)
+        for follower in present.values():
+            follower.session.send_encoded(data)
 
     def _encode_change(self, change: versioned_table.Change) -> bytes:
         return messages.encode(messages.ChangeMade(log_id=self._state.log_id, change=change.pack()))
@@ -326,7 +333,7 @@
         try:
             self._log.append(records.make_claim(message.key, message.fingerprint, owner, time_ms))
         except exceptions.DiskError as error:
-            logger.error("a claim is not granted: %s", error)
+            logger.error("claim refused, it cannot be recorded: %s", error)
             return "failed"
         self._state.once.claim(message.key, message.fingerprint, owner, time_ms)
         return once_journal.ClaimState.GRANTED.value
@@ -342,14 +349,14 @@
         self._log.append(records.make_finish(message.key, owner, outcome))
         self._state.once.finish(message.key, owner, outcome)
 
-    def _is_gone(self, owner: str) -> bool:
+    def _is_owner_gone(self, owner: str) -> bool:
         follower = self._followers.get(owner)
         now_s = clocks.get_s()
         if follower is None:
-            return now_s - self._started_s > OWNER_GONE_AFTER_S
+            return now_s - self._started_s > OWNER_GONE_TIMEOUT_S
         if follower.session is not None:
             return False
-        return now_s - follower.seen_s > OWNER_GONE_AFTER_S
+        return now_s - follower.seen_s > OWNER_GONE_TIMEOUT_S
 
 
 _REFUSAL_CODES = {
@@ -367,25 +374,31 @@
 
 
 @functools.singledispatch
-def _handle(message: messages.Message, service: KeeperService, session: _Session) -> None:
+def _dispatch(message: messages.Message, service: KeeperService, session: _Session) -> None:
     raise messages.MessageError(f"unexpected {type(message).__name__}")
 
 
-def _register(
-    kind: type, call: typing.Callable[[KeeperService, _Session, typing.Any], None]
+def _register_handler(
+    message_class: type, handler: typing.Callable[[KeeperService, _Session, typing.Any], None]
 ) -> None:
-    _handle.register(kind, lambda message, service, session: call(service, session, message))
-
-
-_register(messages.Introduce, KeeperService.introduce)
-_register(messages.Follow, KeeperService.follow)
-_register(messages.InForce, KeeperService.record_in_force)
-_register(messages.Propose, KeeperService.propose)
-_register(messages.GetTable, KeeperService.send_table)
-_register(messages.GetHistory, KeeperService.send_history)
-_register(messages.GetStatus, KeeperService.send_status)
-_register(messages.Contents, lambda service, *asked: service.contents.take(*asked))
-_register(messages.HoldContent, lambda service, *asked: service.contents.order(*asked))
-_register(messages.GetContents, lambda service, *asked: service.contents.send_all(*asked))
-_register(messages.ClaimOnce, KeeperService.claim_once)
-_register(messages.FinishOnce, KeeperService.finish_once)
+    _dispatch.register(
+        message_class, lambda message, service, session: handler(service, session, message)
+    )
+
+
+_register_handler(messages.Introduce, KeeperService.handle_introduce)
+_register_handler(messages.Follow, KeeperService.handle_follow)
+_register_handler(messages.InForce, KeeperService.record_in_force)
+_register_handler(messages.Propose, KeeperService.handle_propose)
+_register_handler(messages.GetTable, KeeperService.send_table)
+_register_handler(messages.GetHistory, KeeperService.send_history)
+_register_handler(messages.GetStatus, KeeperService.send_status)
+_register_handler(messages.Contents, lambda service, *args: service.contents.handle_contents(*args))
+_register_handler(
+    messages.HoldContent, lambda service, *args: service.contents.handle_hold_order(*args)
+)
+_register_handler(
+    messages.GetContents, lambda service, *args: service.contents.send_contents(*args)
+)
+_register_handler(messages.ClaimOnce, KeeperService.handle_claim)
+_register_handler(messages.FinishOnce, KeeperService.handle_finish)
--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -1,4 +1,7 @@
-"""Which alarms a hub still has to pass on; no I/O, time passed in."""
+"""Selects the alarms that a hub still has to send.
+
+Performs no I/O; the current time is passed in.
+"""
 
 from collections.abc import Iterable
 
@@ -6,12 +9,13 @@
 from spoolhead._internal.policy import repeats, standing_alarms
 
 SEND_COUNT = 3
-"""Datagrams in a row that carry an alarm: at one lost in ten, one alarm in a thousand is lost."""
-REPEATED_AT_ONCE = 8
-"""Most alarms that one datagram repeats."""
+"""Successive datagrams that carry an alarm: at a loss of one in ten, one alarm in a thousand is
+lost."""
+MAX_REPEATS_PER_DATAGRAM = 8
+"""Maximum number of repeated alarms per datagram."""
 
 
-class _Pending:
+class _PendingAlarm:
     """An alarm and how often it is still to be sent."""
 
     __slots__ = ("alarm", "left")
@@ -22,7 +26,7 @@
 
 
 class AlarmBroadcast:
-    """The alarms that one side of a hub has not been sent yet, or is sent again.
+    """The alarms that one group of receivers has not been sent yet, or is sent again.
 
     :param standing: alarms that hold for a time; only these are repeated.
     """
@@ -31,8 +35,8 @@
 
     def __init__(self, standing: standing_alarms.StandingAlarms) -> None:
         self._standing = standing
-        self._pending: list[_Pending] = []
-        self._repeats: repeats.Repeats[standing_alarms.Name] = repeats.Repeats()
+        self._pending: list[_PendingAlarm] = []
+        self._repeats: repeats.Repeats[standing_alarms.AlarmName] = repeats.Repeats()
 
     @property
     def has_new(self) -> bool:
@@ -45,25 +49,25 @@
         return bool(self._pending)
 
     def add(self, alarm: shared_load.Alarm, now_s: float) -> None:
-        """Have an alarm sent."""
-        self._pending.append(_Pending(alarm))
+        """Schedule an alarm to be sent."""
+        self._pending.append(_PendingAlarm(alarm))
         if alarm.kind in standing_alarms.KEPT_KINDS:
             self._repeats.add([standing_alarms.get_name(alarm)], now_s)
 
-    def send_again(self, names: Iterable[standing_alarms.Name], now_s: float) -> None:
-        """Have alarms that were sent before sent again."""
+    def send_again(self, names: Iterable[standing_alarms.AlarmName], now_s: float) -> None:
+        """Schedule alarms that were sent before to be sent again."""
         self._repeats.add_due(names, now_s)
 
     def pop_batch(self, now_s: float) -> list[shared_load.Alarm]:
-        """Return what is sent next, and count it as sent."""
+        """Return the alarms to send next, and count them as sent."""
         alarms = [item.alarm for item in self._pending]
         for item in self._pending:
             item.left -= 1
         self._pending = [item for item in self._pending if item.left]
-        names = self._repeats.pop_due(REPEATED_AT_ONCE, now_s)
+        names = self._repeats.pop_due(MAX_REPEATS_PER_DATAGRAM, now_s)
         return alarms + self._standing.get(names, now_s)
 
     def clear(self) -> None:
-        """Forget what was to be sent: nobody is there to get it."""
+        """Discard pending alarms, as there is no receiver."""
         self._pending.clear()
         self._repeats.clear()
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -1,9 +1,9 @@
-"""A keeper's share of the replicated log on its disk.
+"""A keeper's part of the replicated log on its disk.
 
-Records go to one file in batches, each synced as a whole by a thread of its own, so a slow
-disk delays what depends on it and nothing else. After a loss of power the records behind the
-last sync may be there, missing or torn each by itself; none of them was promised to anybody,
-so reading ends at the first one that is not whole.
+Records are appended to one file in batches. A separate thread syncs each batch, so a slow disk
+delays only the operations that depend on the records. After a power failure, each record after the
+last sync may be present, missing or torn, independently of the others. None of them was
+acknowledged, so reading stops at the first invalid record.
 """
 
 import collections
@@ -23,12 +23,13 @@
 logger = logging.getLogger(__name__)
 
 FILE_NAME = "agreement.log"
-REWRITE_BYTES = 8 * 1024 * 1024
-"""Size from which the file is written anew: a sixteenth of a disk of 128 MB, and some eighty
-of the largest tables seen (100 KiB)."""
-START_WAIT_S = 5.0
-"""Time for which a start waits for a disk that refuses writes, before the process ends: some times
-what a disk was seen to stay full. Nothing may be promised before the identity is on the disk."""
+REWRITE_THRESHOLD_BYTES = 8 * 1024 * 1024
+"""File size from which the file is rewritten: a sixteenth of a disk of 128 MB, and about eighty of
+the largest tables seen (100 KiB)."""
+START_TIMEOUT_S = 5.0
+"""Time for which a start retries on a disk that refuses writes before the process exits: several
+times as long as a disk was seen to stay full. Nothing may be acknowledged before the member id is
+on disk."""
 
 _IDENTITY = "identity"
 _TAGS: dict[type, str] = {
@@ -40,10 +41,10 @@
 
 
 class Saved:
-    """What the disk held at the start.
+    """Content of the disk at the start.
 
     :ivar member_id: id under which the records were written; empty for an empty disk.
-    :ivar records: the records in order.
+    :ivar records: the records, in order.
     """
 
     __slots__ = ("member_id", "records")
@@ -54,7 +55,7 @@
 
 
 def read(folder: pathlib.Path) -> Saved:
-    """Read what a keeper's folder holds.
+    """Read the log in a keeper's data folder.
 
     :raises exceptions.DiskError: if it cannot be read.
     """
@@ -64,12 +65,12 @@
         data = path.read_bytes() if path.exists() else b""
     except OSError as error:
         raise exceptions.DiskError(f"{path}: {error.strerror}") from error
-    found = changelog.scan(data)
-    if found.good_bytes < len(data):
-        cut = len(data) - found.good_bytes
-        fields = {"path": str(path), "bytes": cut, "reason": found.damage or "torn"}
+    scan_result = changelog.scan(data)
+    if scan_result.good_bytes < len(data):
+        cut_bytes = len(data) - scan_result.good_bytes
+        fields = {"path": str(path), "bytes": cut_bytes, "reason": scan_result.damage or "torn"}
         logger.warning("unsynced end of the log ignored", extra={"fields": fields})
-    for payload in found.payloads:
+    for payload in scan_result.payloads:
         tag, *values = msgpack.unpackb(payload)
         if tag == _IDENTITY:
             saved.member_id = values[0]
@@ -84,13 +85,13 @@
 
 
 class Storage:
-    """Writes records; tells by a callback, from its thread, up to which number they are synced.
+    """Writes records in a thread of its own and reports which of them are synced.
 
     :param folder: the keeper's data folder.
-    :param member_id: id under which records are written.
-    :param records: records that the file begins with; they are synced when this returns.
-    :param on_synced: called from the writer's thread with the number of synced records.
-    :raises exceptions.DiskError: if the file cannot be begun.
+    :param member_id: id under which the records are written.
+    :param records: initial records of the file; they are synced when the constructor returns.
+    :param on_synced: called from the writer thread with the number up to which records are synced.
+    :raises exceptions.DiskError: if the file cannot be created.
     """
 
     def __init__(
@@ -105,7 +106,7 @@
         self._identity = changelog.make_record(msgpack.packb([_IDENTITY, member_id]))
         self._on_synced = on_synced
         self._condition = threading.Condition()
-        self._waiting: collections.deque[bytes] = collections.deque()
+        self._pending: collections.deque[bytes] = collections.deque()
         self._rewrite: bytes | None = None
         self._queued = 0
         self._descriptor = -1
@@ -114,62 +115,63 @@
             folder.mkdir(parents=True, exist_ok=True)
         except OSError as error:
             raise exceptions.DiskError(f"{folder}: {error.strerror}") from error
-        self._begin(self._join(records))
+        self._create_file(self._encode_file(records))
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
 
     @property
     def needs_rewrite(self) -> bool:
-        """Whether the file has grown enough to be written anew."""
-        return self._length > REWRITE_BYTES and self._rewrite is None
+        """Whether the file has grown large enough to be rewritten."""
+        return self._length > REWRITE_THRESHOLD_BYTES and self._rewrite is None
 
     def write(self, records: Sequence[replicated_log.Record]) -> None:
-        """Queue records; they are numbered on from 1."""
+        """Queue records; they are numbered consecutively from 1."""
         data = b"".join(_pack(record) for record in records)
         with self._condition:
-            self._waiting.append(data)
+            self._pending.append(data)
             self._queued += len(records)
             self._condition.notify()
 
     def rewrite(self, records: Sequence[replicated_log.Record]) -> None:
-        """Replace the file by records that stand for all that was queued before."""
+        """Replace the file by records that are equivalent to all records queued before."""
         with self._condition:
-            self._rewrite = self._join(records)
-            self._waiting.clear()
+            self._rewrite = self._encode_file(records)
+            self._pending.clear()
             self._condition.notify()
 
-    def _begin(self, data: bytes) -> None:
-        """Write the file that everything else is added to.
+    def _create_file(self, data: bytes) -> None:
+        """Write the initial file, to which later records are appended.
 
-        :raises exceptions.DiskError: if the disk refuses that for too long.
+        :raises exceptions.DiskError: if the disk refuses the write for longer than START_TIMEOUT_S.
         """
-        began_s = clocks.get_s()
+        start_s = clocks.get_s()
         while True:
             try:
                 self._replace(data)
                 return
             except exceptions.DiskError as error:
-                if clocks.get_s() - began_s > START_WAIT_S:
+                if clocks.get_s() - start_s > START_TIMEOUT_S:
                     raise
                 fields = {"path": str(self._path), "reason": str(error)}
                 logger.error("disk refuses writes", extra={"fields": fields})
                 time.sleep(disk_refusals.RETRY_S)
 
-    def _join(self, records: Sequence[replicated_log.Record]) -> bytes:
+    def _encode_file(self, records: Sequence[replicated_log.Record]) -> bytes:
         return self._identity + b"".join(_pack(record) for record in records)
 
     def _run(self) -> None:
         while True:
             with self._condition:
-                while not self._waiting and self._rewrite is None:
+                while not self._pending and self._rewrite is None:
                     self._condition.wait()
                 number = self._queued
-                rewrite, data = self._rewrite, b"".join(self._waiting)
-                self._waiting.clear()
-            self._store(rewrite, data)
+                rewrite, data = self._rewrite, b"".join(self._pending)
+                self._pending.clear()
+            self._write_with_retries(rewrite, data)
             self._on_synced(number)
 
-    def _store(self, rewrite: bytes | None, data: bytes) -> None:
+    def _write_with_retries(self, rewrite: bytes | None, data: bytes) -> None:
+        """Write and sync data, retrying until the disk accepts it."""
         while True:
             try:
                 if rewrite is not None:
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -1,4 +1,4 @@
-"""What a hub passes on of alarms, how often, and that an entry takes each once."""
+"""Which alarms a hub sends and how often, and that an entry handles each alarm once."""
 
 import logging
 
@@ -31,17 +31,17 @@
 
 
 def _get_later(broadcast, until_s):
-    """Return what is repeated up to a time, as (time, time that is left)."""
+    """Return the repeated alarms up to a time, as (time, remaining time of the alarm)."""
     for _ in range(alarm_broadcast.SEND_COUNT):
         assert broadcast.pop_batch(0.0)
     assert not broadcast.has_pending
-    steps = range(1, round(until_s / repeats.REPEAT_PAUSE_S) + 1)
-    times_s = [number * repeats.REPEAT_PAUSE_S for number in steps]
+    steps = range(1, round(until_s / repeats.REPEAT_INTERVAL_S) + 1)
+    times_s = [number * repeats.REPEAT_INTERVAL_S for number in steps]
     return [(now_s, alarm.for_ms) for now_s in times_s for alarm in broadcast.pop_batch(now_s)]
 
 
 def test_an_alarm_that_holds_is_repeated_with_what_is_left_of_it():
-    """Guards against an entry that lost the first datagrams and never hears of it."""
+    """Guards against an entry that loses the first datagrams and never receives the alarm."""
     broadcast = _make(_make_alarm(KINDS.RESTING, for_ms=1_200))
     assert _get_later(broadcast, 8.0) == [(0.5, 700), (1.0, 200)]
 
@@ -49,7 +49,7 @@
 def test_it_is_repeated_for_some_seconds_and_no_longer():
     broadcast = _make(_make_alarm(KINDS.LEAVING))
     times_s = [now_s for now_s, _ in _get_later(broadcast, 10.0)]
-    assert (times_s[0], times_s[-1]) == (repeats.REPEAT_PAUSE_S, repeats.REPEATED_FOR_S)
+    assert (times_s[0], times_s[-1]) == (repeats.REPEAT_INTERVAL_S, repeats.REPEAT_DURATION_S)
 
 
 def test_an_alarm_that_does_not_hold_for_a_time_is_not_repeated():
@@ -57,7 +57,7 @@
 
 
 def test_a_datagram_repeats_so_many_and_the_others_follow():
-    count = 3 * alarm_broadcast.REPEATED_AT_ONCE
+    count = 3 * alarm_broadcast.MAX_REPEATS_PER_DATAGRAM
     broadcast = _make(
         *(
             _make_alarm(KINDS.LEAVING, incarnation_id=f"i-{number}", sequence=number)
@@ -67,7 +67,7 @@
     for _ in range(alarm_broadcast.SEND_COUNT):
         broadcast.pop_batch(0.0)
     parts = [broadcast.pop_batch(1.0) for _ in range(3)]
-    assert [len(part) for part in parts] == [alarm_broadcast.REPEATED_AT_ONCE] * 3
+    assert [len(part) for part in parts] == [alarm_broadcast.MAX_REPEATS_PER_DATAGRAM] * 3
     assert len({alarm.incarnation_id for part in parts for alarm in part}) == count
 
 
@@ -76,7 +76,7 @@
     items.add(["later"], 0.0)
     items.add_due(["now"], 0.1)
     assert items.pop_due(9, 0.1) == ["now"]
-    assert items.pop_due(9, 0.1 + repeats.REPEAT_PAUSE_S) == ["later", "now"]
+    assert items.pop_due(9, 0.1 + repeats.REPEAT_INTERVAL_S) == ["later", "now"]
 
 
 @pytest.mark.parametrize(
@@ -89,19 +89,21 @@
     ],
 )
 def test_reports_carry_an_alarm_while_it_holds_and_no_longer(kind, for_ms, carried):
-    """Guards against an instance taken for warm, or for cold anew, by a late report."""
+    """Guards against a late report that ends or extends the cold state of an instance."""
     exchange = alarm_exchange.AlarmExchange(
         "e1", 1, upstream_registry.UpstreamRegistry(), on_alarm=None, on_ended=None
     )
     exchange.raise_alarm("i-1", kind, 0.0, for_ms=for_ms)
     times_s = [float(number) for number in range(8)]
-    told = [(now_s, item.for_ms) for now_s in times_s for item in exchange.get_raised(now_s)]
-    assert told == carried
+    repeated = [(now_s, item.for_ms) for now_s in times_s for item in exchange.get_raised(now_s)]
+    assert repeated == carried
 
 
 def test_an_entry_takes_a_repeated_alarm_once(caplog):
-    """Guards against a log line for each datagram, and a cold instance that is taken for cold
-    again after it said that it is not."""
+    """Guards against a log line for each repetition of an alarm.
+
+    A repetition must not mark an instance cold again after it reported that it is not.
+    """
     caplog.set_level(logging.INFO)
     fleet = load_fleet.LoadFleet(entries=6, halls=3, keepers=3, instances=2)
     fleet.run(1.0)
@@ -115,5 +117,5 @@
     now_s = fleet.clock()
     others = fleet.entries[1:]
     assert not any(entry.registry.get(fleet.instances[1]).is_cold(now_s) for entry in others)
-    words = [item.getMessage() for item in caplog.records]
-    assert words.count("upstream asked for rest") == len(others)
+    messages = [item.getMessage() for item in caplog.records]
+    assert messages.count("upstream asked for rest") == len(others)
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -1,4 +1,4 @@
-"""Rest that an instance asks of an entry, and its word that it leaves."""
+"""Rest that an instance requests of an entry, and its announcement that it leaves."""
 
 import pytest
 
@@ -74,14 +74,14 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_where_all_rest_a_request_is_refused_with_when_the_first_is_over(kind):
-    """Guards against a last resort that overrides what the instances asked for."""
+    """Guards against a last resort that overrides the rest that instances asked for."""
     setting = gateway_setting.Setting(kind, names=("i-1", "i-2"), attempts=2)
     for _ in range(2):
         setting.last.answer(503, TURNED_AWAY)
     assert len(setting.calls.attempts) == 2
     assert setting.caller.status == 503
     choice = setting.exchange.choose(0)
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     choice = setting.exchange.choose(0)
     assert choice.upstream is None
     assert 2_900 < choice.retry_after_ms <= 3_000
@@ -90,25 +90,25 @@
 def test_after_a_rest_one_request_goes_first():
     rest = requested_rest.RequestedRest()
     rest.record(2_000, 0.0)
-    assert not rest.is_doubtful(2.1)
+    assert not rest.is_likely_to_reject(2.1)
     rest.record_sent(2.1)
-    assert rest.is_doubtful(2.2)
+    assert rest.is_likely_to_reject(2.2)
     rest.record_taken()
-    assert not rest.is_doubtful(2.3)
+    assert not rest.is_likely_to_reject(2.3)
 
 
 def test_a_first_request_that_is_lost_does_not_hold_the_others_back_for_long():
     rest = requested_rest.RequestedRest()
     rest.record(2_000, 0.0)
     rest.record_sent(2.1)
-    assert not rest.is_doubtful(2.2 + requested_rest.TRIAL_S)
+    assert not rest.is_likely_to_reject(2.2 + requested_rest.TRIAL_TIMEOUT_S)
 
 
 def test_the_longest_of_several_rests_counts_up_to_a_bound():
     rest = requested_rest.RequestedRest()
     assert rest.record(2_000, 0.0)
     assert not rest.record(500, 1.0)
-    assert rest.get_left_ms(1.0) == 1_000
+    assert rest.get_remaining_ms(1.0) == 1_000
     rest.record(10**12, 1.0)
     assert rest.is_resting(60.9)
     assert not rest.is_resting(61.1)
@@ -117,13 +117,13 @@
 def test_two_others_that_were_asked_make_an_instance_doubtful_until_their_rests_are_over():
     rest = requested_rest.RequestedRest()
     rest.record_report("e-2", 2_000, 0.0)
-    assert not rest.is_doubtful(0.1)
+    assert not rest.is_likely_to_reject(0.1)
     rest.record_report("e-2", 2_000, 0.1)
-    assert not rest.is_doubtful(0.2)
+    assert not rest.is_likely_to_reject(0.2)
     rest.record_report("e-3", 1_000, 0.2)
-    assert rest.is_doubtful(1.1)
+    assert rest.is_likely_to_reject(1.1)
     assert not rest.is_resting(1.1)
-    assert not rest.is_doubtful(1.3)
+    assert not rest.is_likely_to_reject(1.3)
 
 
 def test_a_word_of_another_instance_at_the_address_is_none_of_this_one():
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_an_instance_that_says_that_it_leaves_is_barred_whatever_the_list_shows(kind):
-    """Guards against an entry that waits for a list that is late or can't be read."""
+    """Guards against an entry that waits for a list that is late or unreadable."""
     setting = gateway_setting.Setting(kind, names=("i-1",))
     (upstream,) = setting.registry.get_all()
     setting.last.user.on_answer_head(200, LEAVING)
@@ -205,16 +205,16 @@
     return fleet, fleet.instances[0]
 
 
-def _say(fleet, number, name, status, **headers):
+def _handle_answer(fleet, number, name, status, **headers):
     entry = fleet.entries[number]
     entry.news.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
 @pytest.mark.parametrize("said_to", [0, 1])
 def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(said_to):
-    """Guards against words that reach only who was there when they were said."""
+    """Guards against announcements that reach only entries that were running at the time."""
     fleet, name = _make_fleet()
-    _say(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
     fleet.run(5.0)
     started = fleet.restart_entry(0)
     fleet.run(0.5)
@@ -224,23 +224,23 @@
 @pytest.mark.parametrize("said_to", [0, 1])
 def test_so_it_is_where_the_list_comes_after_the_word(said_to):
     fleet, name = _make_fleet()
-    _say(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
     fleet.run(1.0)
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
-    started.take_list(fleet.listed)
+    started.apply_list(fleet.listed)
     assert started.registry.get(name).is_leaving
     assert started.alarms == [name]
 
 
 def test_an_entry_that_starts_anew_keeps_the_rest_that_it_was_asked_for():
     fleet, name = _make_fleet()
-    _say(fleet, 0, name, 503, **REST)
+    _handle_answer(fleet, 0, name, 503, **REST)
     until_s = fleet.clock() + 3.0
     fleet.run(1.0)
     upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
-    assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(
+    assert upstream.rest.get_remaining_ms(fleet.clock()) == pytest.approx(
         (until_s - fleet.clock()) * 1000, abs=50
     )
     fleet.run(2.0)
@@ -250,24 +250,24 @@
 def test_an_entry_that_starts_later_holds_back_where_two_others_were_asked():
     fleet, name = _make_fleet()
     for number in (1, 2):
-        _say(fleet, number, name, 503, **REST)
+        _handle_answer(fleet, number, name, 503, **REST)
     fleet.run(1.0)
     upstream = fleet.restart_entry(0).registry.get(name)
     fleet.run(0.5)
     assert not upstream.rest.is_resting(fleet.clock())
-    assert upstream.rest.is_doubtful(fleet.clock())
+    assert upstream.rest.is_likely_to_reject(fleet.clock())
     fleet.run(2.0)
-    assert not upstream.rest.is_doubtful(fleet.clock())
+    assert not upstream.rest.is_likely_to_reject(fleet.clock())
 
 
 def test_an_entrys_own_word_that_comes_back_is_no_news():
-    """Guards against an echo that lengthens the rest or counts as another entry's."""
+    """Guards against an entry's own report that lengthens the rest or counts as another entry's."""
     fleet, name = _make_fleet()
-    _say(fleet, 0, name, 503, **REST)
+    _handle_answer(fleet, 0, name, 503, **REST)
     upstream = fleet.entries[0].registry.get(name)
-    left_ms = upstream.rest.get_left_ms(fleet.clock())
+    left_ms = upstream.rest.get_remaining_ms(fleet.clock())
     fleet.run(0.5)
-    assert upstream.rest.get_left_ms(fleet.clock()) == pytest.approx(left_ms - 500, abs=1)
+    assert upstream.rest.get_remaining_ms(fleet.clock()) == pytest.approx(left_ms - 500, abs=1)
     assert not upstream.rest.has_reports(fleet.clock())
 
 
@@ -276,14 +276,14 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_an_instance_that_turns_a_request_away_is_left_to_the_last_for_a_moment(kind):
-    """Guards against an instance that looks emptiest since it turns away all that comes."""
+    """Guards against an instance that looks emptiest because it rejects all requests."""
     setting = gateway_setting.Setting(kind, names=("i-1",), attempts=1)
     (upstream,) = setting.registry.get_all()
     setting.last.answer(503, NOT_RUN)
     now_s = clocks.get_s()
     assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.SUSPECTED
     assert _get_block_reason(setting, upstream, now_s + 0.2) is None
-    setting.exchange._tried.clear()
+    setting.exchange._tried_ids.clear()
     assert setting.exchange.choose(0).upstream is upstream
 
 
@@ -294,17 +294,17 @@
     for _ in range(6):
         rest.record_rejection(now_s)
         began_s = now_s
-        while rest.is_doubtful(now_s):
+        while rest.is_likely_to_reject(now_s):
             now_s += 0.01
         backoffs_s.append(round(now_s - began_s, 1))
     assert backoffs_s == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
     rest.record_taken()
     rest.record_rejection(now_s)
-    assert not rest.is_doubtful(now_s + requested_rest.FIRST_BACKOFF_S + 0.01)
+    assert not rest.is_likely_to_reject(now_s + requested_rest.INITIAL_BACKOFF_S + 0.01)
 
 
 def test_rejections_of_one_moment_count_once():
     rest = requested_rest.RequestedRest()
     for _ in range(9):
         rest.record_rejection(0.0)
-    assert not rest.is_doubtful(requested_rest.FIRST_BACKOFF_S + 0.01)
+    assert not rest.is_likely_to_reject(requested_rest.INITIAL_BACKOFF_S + 0.01)
--- a/tests/unit/test_limit_registry.py
+++ b/tests/unit/test_limit_registry.py
@@ -1,4 +1,4 @@
-"""The newest rate limit of each instance: what wins, what is passed on, what is forgotten."""
+"""The newest rate limit of each instance: which statement wins, is broadcast, and expires."""
 
 import hypothesis
 from hypothesis import strategies
@@ -58,18 +58,18 @@
     registry = limit_registry.LimitRegistry()
     registry.record(KEY, 2.0, 1.0)
     assert not registry.record(KEY, 2.0, 1.1)
-    assert registry.record(KEY, 2.0, 1.1 + limit_registry.RESTATED_S)
+    assert registry.record(KEY, 2.0, 1.1 + limit_registry.RENEWAL_AGE_S)
 
 
 def test_old_statements_are_forgotten():
     registry = limit_registry.LimitRegistry()
     registry.record(1, 2.0, 0.0)
     registry.record(2, None, 1.0)
-    registry.expire(limit_registry.KEPT_S - 0.1)
+    registry.expire(limit_registry.RETENTION_S - 0.1)
     assert len(registry) == 2
-    registry.expire(limit_registry.KEPT_S + 0.1)
+    registry.expire(limit_registry.RETENTION_S + 0.1)
     assert (registry.get(1), len(registry)) == (None, 1)
-    registry.expire(limit_registry.KEPT_S + 1.1)
+    registry.expire(limit_registry.RETENTION_S + 1.1)
     assert len(registry) == 0
 
 
@@ -77,7 +77,7 @@
     strategies.floats(0, 1000), strategies.floats(0.001, 100), strategies.floats(0, 1000)
 )
 def test_a_lifted_limit_never_comes_back_from_a_process_that_missed_its_end(age_s, later_s, gap_s):
-    """Guards against a limit in force again for all after a cut, though nobody stated it."""
+    """Guards against a removed limit that is in force again after a cut without a statement."""
     registry, other = limit_registry.LimitRegistry(), limit_registry.LimitRegistry()
     other.record(KEY, 2.0, 0.0)
     registry.record(KEY, 2.0, 0.0)
--- a/tests/unit/test_peer_streams.py
+++ b/tests/unit/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Streams between the fleet's processes when a handler of their messages fails."""
+"""Streams between processes when the handler of a message raises an exception."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 class _User:
     def __init__(self):
-        self.taken = []
+        self.received = []
         self.lost = 0
 
     def on_peer_ready(self):
@@ -32,13 +32,13 @@
     def on_peer_message(self, message):
         if isinstance(message, messages.Current) and message.version == 13:
             raise RuntimeError("cannot be handled")
-        self.taken.append(message)
+        self.received.append(message)
 
     def on_peer_lost(self):
         self.lost += 1
 
 
-def _begin(client, links):
+def _connect(client, links):
     link = links.opened[-1]
     challenge = messages.Challenge(protocol=messages.PROTOCOL_VERSION, nonce=b"n" * 16)
     client.on_data(messages.encode(challenge))
@@ -57,17 +57,17 @@
 
 
 def test_a_message_that_cannot_be_handled_ends_the_stream(setting):
-    """What follows builds on it; a new stream begins with all that is known."""
+    """Later messages build on the lost one; a new stream starts with the complete state."""
     client, links, user = setting
-    link = _begin(client, links)
+    link = _connect(client, links)
     data = b"".join(messages.encode(messages.Current(version=version)) for version in (12, 13, 14))
     with pytest.raises(RuntimeError):
         client.on_data(data)
     assert link.is_closed
     assert (user.lost, client.is_ready) == (1, False)
-    assert [message.version for message in user.taken] == [12]
-    (again,) = client._scheduler.timers
-    assert again.delay_s >= peer_client.DEFAULT_TIMING.longest_retry_ms / 2_000
+    assert [message.version for message in user.received] == [12]
+    (reconnection,) = client._scheduler.timers
+    assert reconnection.delay_s >= peer_client.DEFAULT_TIMING.longest_retry_ms / 2_000
 
 
 class _Service:
@@ -108,7 +108,10 @@
 
 
 def test_a_session_whose_message_cannot_be_handled_is_closed():
-    """A follower that could not be taken in would live on and be told nothing."""
+    """Guards against a session that stays open although its follower was not registered.
+
+    Such a follower would receive no messages and would not reconnect.
+    """
     server = _make_server("a")
     with pytest.raises(RuntimeError):
         server._on_read("a", messages.encode(messages.Current(version=1)))
@@ -118,15 +121,15 @@
 def test_a_follower_that_cannot_be_sent_to_does_not_keep_the_others_from_being_told():
     server = _make_server("a", "b", "c")
     server._server.failing = "b"
-    told = feed.Feed(
+    keeper_feed = feed.Feed(
         gateway_setting.FakeTimers(),
         "h",
         list,
-        lambda: feed.Table(3, b"t", is_confirmed=True),
+        lambda: feed.CommittedTable(3, b"t", is_confirmed=True),
         evacuations.Evacuations,
     )
     for session in server._sessions.values():
-        told._followers[session] = route_messages.Subscribe(hall="h", address="x:1")
-    told.announce_version()
+        keeper_feed._followers[session] = route_messages.Subscribe(hall="h", address="x:1")
+    keeper_feed.broadcast_version()
     assert server._server.sent == ["a", "c"]
     assert server._server.closed == ["b"]
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits at one entry: who is granted what, and what a request does meanwhile."""
+"""Permits at one entry: which requests get one, and how requests wait for it."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 ONCE = route_table.RequestKind.ONCE
 STREAM = route_table.RequestKind.STREAM
 KEY = 1_000
-"""Starts with an empty bucket."""
+"""Key of an instance whose bucket starts empty."""
 V = permits.Verdict
 
 
@@ -42,7 +42,7 @@
     return registry, permit_granter.PermitGranter(registry)
 
 
-def _list(replies):
+def _get_verdicts(replies):
     return [(item.reply.permit_id, item.reply.verdict) for item in replies]
 
 
@@ -57,16 +57,18 @@
 
 def test_an_ask_that_may_wait_is_granted_when_its_token_comes():
     _, granter = _make_granter()
-    assert _list(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [
+    assert _get_verdicts(granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)) == [
         (1, V.QUEUED)
     ]
     assert granter.get_due_s(0.0) == pytest.approx(0.5)
-    assert _list(granter.poll(0.51)) == [(1, V.GRANTED)]
+    assert _get_verdicts(granter.poll(0.51)) == [(1, V.GRANTED)]
 
 
 def test_an_ask_that_can_not_be_granted_in_time_is_rejected_at_once():
     _, granter = _make_granter()
-    ((_, verdict),) = _list(granter.handle_request(_make_permit_request(1, wait_ms=400), 0.0))
+    ((_, verdict),) = _get_verdicts(
+        granter.handle_request(_make_permit_request(1, wait_ms=400), 0.0)
+    )
     assert verdict is V.REJECTED
 
 
@@ -74,24 +76,24 @@
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
     replies = granter.handle_request(_make_permit_request(2, rank=0, wait_ms=600), 0.1)
-    assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
+    assert sorted(_get_verdicts(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_a_first_attempt_goes_before_a_second_one():
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600, is_retry=True), 0.0)
     replies = granter.handle_request(_make_permit_request(2, wait_ms=600), 0.1)
-    assert sorted(_list(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
+    assert sorted(_get_verdicts(replies)) == [(1, V.REJECTED), (2, V.QUEUED)]
 
 
 def test_an_ask_that_comes_again_takes_no_second_token():
-    """Guards against a lost reply that costs the instance's limit a request."""
+    """Guards against a lost reply that uses up a second token."""
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(0), 0.0)
     first = granter.handle_request(_make_permit_request(1), 1.0)
     again = granter.handle_request(_make_permit_request(1), 1.1)
-    assert _list(first) == _list(again) == [(1, V.GRANTED)]
-    assert _list(granter.handle_request(_make_permit_request(2), 1.6)) == [(2, V.GRANTED)]
+    assert _get_verdicts(first) == _get_verdicts(again) == [(1, V.GRANTED)]
+    assert _get_verdicts(granter.handle_request(_make_permit_request(2), 1.6)) == [(2, V.GRANTED)]
 
 
 def test_callers_that_are_refused_come_back_one_after_the_other():
@@ -123,21 +125,21 @@
     _, granter = _make_granter()
     for number in range(240):
         (item,) = granter.handle_request(_make_permit_request(number, sender=f"e-{number}"), 0.0)
-    assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.ASKS_PER_S
+    assert item.reply.backoff_ms == 1_000 * 240 / permit_granter.MIN_REQUESTS_PER_S
 
 
 def test_what_waits_goes_once_the_limit_is_lifted():
     registry, granter = _make_granter()
     granter.handle_request(_make_permit_request(1, wait_ms=600), 0.0)
     registry.record(KEY, None, 0.1)
-    assert _list(granter.poll(0.2)) == [(1, V.UNLIMITED)]
+    assert _get_verdicts(granter.poll(0.2)) == [(1, V.UNLIMITED)]
 
 
 def test_idle_buckets_are_forgotten():
     _, granter = _make_granter()
     granter.handle_request(_make_permit_request(1), 0.0)
-    granter.expire(permit_granter.IDLE_KEPT_S + 1)
-    assert granter._shares == {}
+    granter.expire(permit_granter.IDLE_TTL_S + 1)
+    assert granter._instances == {}
 
 
 def test_more_urgent_requests_ask_during_a_backoff_and_other_workspaces_soon():
@@ -168,8 +170,8 @@
         ONCE, names=("i-1",), limits_per_s={"i-1": 100.0}, knows_fleet=False
     )
     setting.timers.run_due(0.0)
-    (ask,) = setting.permits._granter._shares[setting.registry.get("i-1").key].waiting
-    assert ask.request.sender == "entry-1"
+    (pending,) = setting.permits._granter._instances[setting.registry.get("i-1").key].waiting
+    assert pending.request.sender == "entry-1"
 
 
 def _make(kind, *, names=("i-1",)):
@@ -201,7 +203,7 @@
     _reply(setting, V.REJECTED, retry_after_ms=1_500, backoff_ms=200)
     if kind is STREAM:
         setting.exchange.admission.arrived_s -= 1.0
-        assert setting.exchange.try_to_begin()
+        assert setting.exchange.try_start()
     assert setting.calls.attempts == []
     assert setting.caller.status == 503
     assert 1.4 < float(setting.caller.get_header("retry-after")) <= 1.5
@@ -212,12 +214,12 @@
 def test_a_request_waits_no_longer_than_a_sixth_of_its_time_and_its_objective(
     kind, wait_ms, objective_ms
 ):
-    """Guards against callers that wait for what they would rather be told to come back for."""
+    """Guards against callers that wait instead of being told early when to retry."""
     setting = gateway_setting.Setting(
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
-    (ask,) = setting.permits._pending_requests.values()
-    assert min(wait_ms, objective_ms) - 20 <= ask.request.wait_ms <= min(wait_ms, objective_ms)
+    (pending,) = setting.permits._pending_requests.values()
+    assert min(wait_ms, objective_ms) - 20 <= pending.request.wait_ms <= min(wait_ms, objective_ms)
 
 
 def test_a_request_that_is_rejected_at_one_instance_asks_for_another():
@@ -231,20 +233,20 @@
     setting = gateway_setting.Setting(
         ONCE, names=("i-1", "i-2"), limits_per_s={"i-1": 2.0}, busy={"i-2": 3}
     )
-    (ask,) = setting.permits._pending_requests.values()
-    assert ask.request.wait_ms == 0
+    (pending,) = setting.permits._pending_requests.values()
+    assert pending.request.wait_ms == 0
     _reply(setting, V.REJECTED, backoff_ms=200)
     assert [call.address for call in setting.calls.attempts] == ["i-2:80"]
 
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM])
 def test_a_granted_request_goes_though_others_were_rejected_meanwhile(kind):
-    """Guards against permits that come to nothing: the entry backs off for all but this request."""
+    """Guards against unusable permits: the entry backs off for all requests but the granted one."""
     setting = _make(kind)
-    (ask,) = setting.permits._pending_requests.values()
+    (pending,) = setting.permits._pending_requests.values()
     request_priority = setting.exchange.job.request_priority
     setting.permits.backoff.record(
-        ask.upstream.key,
+        pending.upstream.key,
         request_priority.rank,
         request_priority.workspace,
         retry_after_ms=900,
@@ -264,8 +266,8 @@
 
 def test_a_permit_does_not_bring_a_request_to_an_instance_that_leaves_meanwhile():
     setting = _make(ONCE, names=("i-1", "i-2"))
-    (ask,) = setting.permits._pending_requests.values()
-    name = ask.upstream.instance.instance_id
+    (pending,) = setting.permits._pending_requests.values()
+    name = pending.upstream.instance.instance_id
     setting.list(leaving=[name])
     _reply(setting, V.GRANTED)
     assert f"{name}:80" not in [call.address for call in setting.calls.attempts]
@@ -276,13 +278,13 @@
     setting.permits.set_entries([])
     setting.permits._granters.clear()
     (permit_id,) = setting.permits._pending_requests
-    setting.permits._on_silence(permit_id)
+    setting.permits._on_reply_timeout(permit_id)
     setting.timers.run_due(0.0)
     assert setting.caller.status == 503
 
 
 def test_a_run_goes_on_at_a_limited_instance_only_with_a_permit():
-    """Guards against runs of a leaving engine that all go on at one in need."""
+    """Guards against runs of a leaving engine that all move to one rate-limited instance."""
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     other = {"i-1", "i-2"} - {setting.last.address.removesuffix(":80")}
     setting.last.send()
--- a/tests/unit/test_quorum_storage.py
+++ b/tests/unit/test_quorum_storage.py
@@ -1,4 +1,4 @@
-"""A keeper's disk: what was synced is read back, what was not is no reason to stay down."""
+"""A keeper's disk: synced records are read back, unsynced ones do not prevent a start."""
 
 import errno
 import os
@@ -20,7 +20,7 @@
 ]
 
 
-class _Synced:
+class _SyncWaiter:
     def __init__(self):
         self.number = 0
         self._condition = threading.Condition()
@@ -36,7 +36,7 @@
 
 
 def test_what_was_synced_is_read_back(tmp_path):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", RECORDS[:1], synced)
     disk.write(RECORDS[1:])
     synced.wait_for(2)
@@ -51,7 +51,7 @@
 
 
 def test_the_file_is_written_anew_and_stands_for_all_before(tmp_path):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", RECORDS, synced)
     disk.rewrite(RECORDS[:1])
     disk.write(RECORDS[2:])
@@ -60,7 +60,7 @@
 
 
 def test_a_full_disk_is_tried_until_it_takes_the_write(tmp_path, monkeypatch):
-    synced = _Synced()
+    synced = _SyncWaiter()
     disk = storage.Storage(tmp_path, "a#first", [], synced)
     refusals = [1, 1]
     write = os.pwrite
@@ -80,16 +80,16 @@
 
 @hypothesis.given(strategies.data())
 def test_records_behind_the_last_sync_may_be_torn_each_by_itself(tmp_path_factory, data):
-    """A torn record with whole ones behind it ends the reading; the synced part stays."""
+    """A torn record ends the reading even if valid ones follow; the synced part is kept."""
     folder = tmp_path_factory.mktemp("disk")
     synced = b"".join(storage._pack(record) for record in RECORDS)
     unsynced = [storage._pack(replicated_log.Appended(i, 3, 1, b"late" * 9)) for i in (3, 4, 5)]
     rest = b""
     for record in unsynced:
-        kept = data.draw(strategies.sampled_from(["present", "absent", "torn"]))
-        if kept == "torn":
+        outcome = data.draw(strategies.sampled_from(["present", "absent", "torn"]))
+        if outcome == "torn":
             record = record[: len(record) // 2] + b"\0" * (len(record) - len(record) // 2)
-        elif kept == "absent":
+        elif outcome == "absent":
             record = b"\0" * len(record)
         rest += record
     (folder / storage.FILE_NAME).write_bytes(synced + rest)
@@ -97,7 +97,7 @@
 
 
 def test_reading_a_log_takes_time_in_line_with_its_size():
-    """Counted in bytes copied, not in seconds: each record is looked at once."""
+    """Counts copied bytes instead of seconds: each record is read once."""
     payload = b"x" * 1_000
 
     class _Counting(bytes):
@@ -115,8 +115,8 @@
 
 
 def test_a_start_waits_for_a_disk_that_is_full_for_a_while(tmp_path, monkeypatch):
-    """A keeper that ends instead is one less to lose until somebody starts it again."""
-    storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+    """A keeper that exits instead stays down until somebody starts it again."""
+    storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
     replace_file = storage.files.replace_file
     refusals = [None, None]
 
@@ -128,7 +128,7 @@
 
     monkeypatch.setattr(storage.files, "replace_file", _replace)
     monkeypatch.setattr(disk_refusals, "RETRY_S", 0.01)
-    storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+    storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
     assert storage.read(tmp_path).records == RECORDS
 
 
@@ -137,7 +137,7 @@
         raise exceptions.DiskError(f"{path}: no space")
 
     monkeypatch.setattr(storage.files, "replace_file", _replace)
-    monkeypatch.setattr(storage, "START_WAIT_S", 0.05)
+    monkeypatch.setattr(storage, "START_TIMEOUT_S", 0.05)
     monkeypatch.setattr(disk_refusals, "RETRY_S", 0.01)
     with pytest.raises(exceptions.DiskError):
-        storage.Storage(tmp_path, "a#first", RECORDS, _Synced())
+        storage.Storage(tmp_path, "a#first", RECORDS, _SyncWaiter())
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -1,4 +1,4 @@
-"""An instance that starts again under its id: nothing of the former run counts for it."""
+"""An instance that restarts under its id: no state of the previous incarnation applies to it."""
 
 import random
 
@@ -19,65 +19,65 @@
     return gateway_setting.make_instance(name, started_ms=started_ms, **fields)
 
 
-def _take(registry, *listed):
+def _update_list(registry, *listed):
     return registry.update_instances(list(listed), 100.0)
 
 
 def test_a_later_start_is_another_run_and_the_former_is_over():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(1_000))
-    (former,) = registry.get_all()
-    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    former.others = shared_load.InstanceLoad(9_000, 3, 0)
-    former.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
-    former.record_sent(100.0)
-    assert _take(registry, _make(2_000)) == [former]
+    _update_list(registry, _make(1_000))
+    (previous,) = registry.get_all()
+    previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    previous.others = shared_load.InstanceLoad(9_000, 3, 0)
+    previous.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
+    previous.record_sent(100.0)
+    assert _update_list(registry, _make(2_000)) == [previous]
     (present,) = registry.get_all()
-    assert former.has_restarted and former.is_gone
-    assert present is not former
+    assert previous.has_restarted and previous.is_gone
+    assert present is not previous
     assert (present.tokens, present.count, present.count_sent(0.0)) == (0, 0, 0)
     assert present.is_usable(100.1)
-    assert present.key != former.key, "news of the former would count for it"
+    assert present.key != previous.key, "news of the former would count for it"
 
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(2_000))
+    _update_list(registry, _make(2_000))
     (present,) = registry.get_all()
-    assert _take(registry, _make(1_000, is_leaving=True)) == []
+    assert _update_list(registry, _make(1_000, is_leaving=True)) == []
     assert registry.get_all() == [present]
     assert not present.is_leaving and not present.is_gone
-    _take(registry)
-    assert _take(registry, _make(1_000)) == []
+    _update_list(registry)
+    assert _update_list(registry, _make(1_000)) == []
     assert registry.get_all() == [], "a former run came back"
 
 
 def test_a_start_that_is_not_told_any_more_names_no_run():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(2_000))
+    _update_list(registry, _make(2_000))
     (present,) = registry.get_all()
-    _take(registry, _make(0))
+    _update_list(registry, _make(0))
     assert registry.get_all() == [present]
 
 
 def test_without_starts_another_address_under_an_id_is_another_run():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(0, address="10.0.0.1:80"))
-    (former,) = registry.get_all()
-    former.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    assert _take(registry, _make(0, address="10.0.0.2:80")) == [former]
-    assert former.has_restarted
+    _update_list(registry, _make(0, address="10.0.0.1:80"))
+    (previous,) = registry.get_all()
+    previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
+    assert _update_list(registry, _make(0, address="10.0.0.2:80")) == [previous]
+    assert previous.has_restarted
     assert registry.get_all()[0].tokens == 0
 
 
 def _restart(setting, name):
-    """List an instance as started again and tell the request."""
+    """List an instance as restarted and notify the request."""
     setting.registry.update_instances([_make(2_000, name)], 100.0)
     setting.exchange.on_upstream_ended()
 
 
 def test_a_stream_at_the_former_run_is_ended_at_once():
-    """Behind a cut its connection never tells."""
+    """Behind a cut its connection is never reset."""
     setting = gateway_setting.Setting(STREAM, names=("i-1",), started_ms=1_000)
     setting.last.send()
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
@@ -122,8 +122,8 @@
     assert not any("/kv-handle/" in call.target for call in setting.calls.made)
 
 
-class RebornMachine(stateful.RuleBasedStateMachine):
-    """Lists that come late, doubled and out of order, of instances that start again and again."""
+class RestartMachine(stateful.RuleBasedStateMachine):
+    """Late, duplicate and reordered lists of instances that restart repeatedly."""
 
     NAMES = ("i-1", "i-2", "i-3")
 
@@ -148,7 +148,7 @@
 
     @stateful.precondition(lambda self: self.lists)
     @stateful.rule(data=strategies.data())
-    def take_list(self, data):
+    def apply_list(self, data):
         listed = data.draw(strategies.sampled_from(self.lists))
         self.registry.update_instances(listed, 0.0)
         for item in listed:
@@ -159,8 +159,8 @@
     def send(self):
         for upstream in self.registry.get_all():
             number = len(self.began)
-            work = upstream_registry.InFlightRequest(str(number), 1, prefill_tokens=0)
-            upstream.in_flight[str(number)] = work
+            request = upstream_registry.InFlightRequest(str(number), 1, prefill_tokens=0)
+            upstream.in_flight[str(number)] = request
             self.began[number] = upstream.instance.incarnation_id
 
     @stateful.invariant()
@@ -173,54 +173,54 @@
             assert self.registry.get_by_key(upstream.key) is upstream
 
 
-TestReborn = RebornMachine.TestCase
+TestReborn = RestartMachine.TestCase
 
 
 def _make_fleet(started_ms):
-    made = load_fleet.LoadFleet(entries=12, halls=3, keepers=3, instances=3, loss=0.1)
-    made.run(1.0)
-    _list_everywhere(made, made.entries, started_ms)
-    return made
+    fleet = load_fleet.LoadFleet(entries=12, halls=3, keepers=3, instances=3, loss=0.1)
+    fleet.run(1.0)
+    _list_everywhere(fleet, fleet.entries, started_ms)
+    return fleet
 
 
-def _list_everywhere(made, entries, started_ms):
-    listed = [_make(started_ms, name) for name in made.instances]
+def _list_everywhere(fleet, entries, started_ms):
+    listed = [_make(started_ms, name) for name in fleet.instances]
     for entry in entries:
         entry.registry.update_instances(listed, 0.0)
         entry.sharing.refresh()
 
 
 def test_work_that_entries_tell_of_the_former_run_does_not_count_for_the_present_one():
-    """Some entries hear of the start later than others, and datagrams are lost and late."""
+    """Some entries learn of the restart later than others, and datagrams are lost and late."""
     rng = random.Random(4)
-    made = _make_fleet(1_000)
-    name = made.instances[0]
-    for number, entry in enumerate(made.entries):
+    fleet = _make_fleet(1_000)
+    name = fleet.instances[0]
+    for number, entry in enumerate(fleet.entries):
         entry.hold(f"{name}@1000", f"r{number}", 500)
-    made.run(1.0)
-    late = rng.sample(made.entries, 5)
-    early = [entry for entry in made.entries if entry not in late]
-    _list_everywhere(made, early, 2_000)
-    made.run(1.0)
+    fleet.run(1.0)
+    late = rng.sample(fleet.entries, 5)
+    early = [entry for entry in fleet.entries if entry not in late]
+    _list_everywhere(fleet, early, 2_000)
+    fleet.run(1.0)
     for entry in early:
         assert entry.registry.get(f"{name}@2000").others.tokens == 0
     for entry in late:
         assert entry.registry.get(f"{name}@1000").others.tokens <= 500 * 11
-    _list_everywhere(made, late, 2_000)
-    made.run(4.0)
-    for entry in made.entries:
+    _list_everywhere(fleet, late, 2_000)
+    fleet.run(4.0)
+    for entry in fleet.entries:
         assert entry.registry.get(f"{name}@2000").tokens == 0
 
 
 def test_an_alarm_about_the_former_run_does_not_empty_the_present_one():
-    made = _make_fleet(1_000)
-    name = made.instances[0]
-    _list_everywhere(made, made.entries, 2_000)
-    made.entries[0].sharing.broadcast_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
-    made.run(1.0)
-    for entry in made.entries:
+    fleet = _make_fleet(1_000)
+    name = fleet.instances[0]
+    _list_everywhere(fleet, fleet.entries, 2_000)
+    fleet.entries[0].sharing.broadcast_alarm(f"{name}@1000", shared_load.AlarmKind.UNHEALTHY)
+    fleet.run(1.0)
+    for entry in fleet.entries:
         assert entry.alarms == []
-        assert not entry.registry.get(f"{name}@2000").is_alarmed(made.clock())
+        assert not entry.registry.get(f"{name}@2000").is_alarmed(fleet.clock())
 
 
 @hypothesis.given(
@@ -254,12 +254,12 @@
     registry = upstream_registry.UpstreamRegistry()
     many = latest_starts.MAX_DELISTED + 600
     for started_ms in (2_000, 2_000):
-        _take(registry, *(_make(started_ms, f"i-{number}") for number in range(many)))
-    _take(registry, *(_make(1_000, f"i-{number}") for number in range(many)))
+        _update_list(registry, *(_make(started_ms, f"i-{number}") for number in range(many)))
+    _update_list(registry, *(_make(1_000, f"i-{number}") for number in range(many)))
     assert len(registry.get_all()) == many
     assert all(upstream.instance.started_ms == 2_000 for upstream in registry.get_all())
     for number in range(3 * latest_starts.MAX_DELISTED):
-        _take(registry, _make(2_000, f"once-{number}"))
+        _update_list(registry, _make(2_000, f"once-{number}"))
     assert len(registry._starts._started_ms) <= latest_starts.MAX_DELISTED + 1
 
 
@@ -268,7 +268,7 @@
 
 @pytest.mark.parametrize("kind", [ONCE, STREAM, REPEATABLE])
 def test_what_another_instance_turns_away_goes_on_at_once_and_is_no_attempt(kind):
-    """Instances that crashed are listed for seconds, and their addresses answer for others."""
+    """Crashed instances stay listed for seconds while others answer at their addresses."""
     setting = gateway_setting.Setting(kind, attempts=1, names=("i-1", "i-2", "i-3"))
     first = setting.last.address
     setting.last.answer(421, MISDIRECTED)
@@ -281,7 +281,7 @@
 
 def test_an_instance_whose_address_answers_for_another_gets_nothing_for_a_while():
     registry = upstream_registry.UpstreamRegistry()
-    _take(registry, _make(0))
+    _update_list(registry, _make(0))
     (upstream,) = registry.get_all()
     assert upstream.record_replaced(100.0)
     assert not upstream.record_replaced(100.5), "no news"
@@ -290,11 +290,11 @@
 
 
 def test_one_entry_finds_out_for_all_that_an_instance_is_replaced():
-    made = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
-    made.run(1.0)
-    name = made.instances[0]
-    made.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.REPLACED)
-    made.run(0.1)
-    for entry in made.entries[1:]:
-        assert entry.registry.get(name).is_replaced(made.clock())
+    fleet = load_fleet.LoadFleet(entries=24, halls=3, keepers=3, instances=3, loss=0.1)
+    fleet.run(1.0)
+    name = fleet.instances[0]
+    fleet.entries[0].sharing.broadcast_alarm(name, shared_load.AlarmKind.REPLACED)
+    fleet.run(0.1)
+    for entry in fleet.entries[1:]:
+        assert entry.registry.get(name).is_replaced(fleet.clock())
         assert entry.alarms == [], "its runs are not moved: there are none any more"
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -1,4 +1,4 @@
-"""Records of contents on a keeper's disk: kept through any stop, never in the way of a start."""
+"""Content records on a keeper's disk: they survive any stop and never prevent a start."""
 
 import threading
 
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """One run of a keeper on a folder that outlasts it."""
+    """One run of a keeper on a folder that persists."""
 
     def __init__(self, folder, *, wall_s=1_000.0, now_s=50.0):
         self.clock = simulated_clock.Clock()
@@ -131,6 +131,6 @@
         process.saved.record()
         process.clock.run(0.01)
     assert process.saved.wait_until_synced(WAIT_S)
-    assert len(made) <= 2.0 / saved_contents.SAVE_PAUSE_S + 2
+    assert len(made) <= 2.0 / saved_contents.MIN_SAVE_INTERVAL_S + 2
     assert writes[-1] == made[-1]
     assert len(saved_contents.decode(writes[-1], process.wall_s)) == 200
--- a/tests/unit/test_startup.py
+++ b/tests/unit/test_startup.py
@@ -1,4 +1,4 @@
-"""When a starting entry serves: by a confirmed table, or by any once the hall is cut off."""
+"""Starting entries serve with a confirmed table, or with any table if the hall is cut off."""
 
 import pytest
 
@@ -8,16 +8,16 @@
 
 
 def _decide(age_s, **changes):
-    known = {
+    state = {
         "has_table": True,
         "has_contents": True,
         "has_limits": True,
         "has_instances": True,
         "is_sure": True,
-        "reaches_most": True,
+        "reaches_majority": True,
         **changes,
     }
-    return startup.decide(startup.StartupState(age_s=age_s, **known))
+    return startup.decide(startup.StartupState(age_s=age_s, **state))
 
 
 def test_it_serves_as_soon_as_most_keepers_confirm_its_table():
@@ -35,6 +35,6 @@
 
 
 def test_cut_off_from_most_keepers_it_takes_what_there_is():
-    cut_off = {"has_table": False, "is_sure": False, "reaches_most": False}
+    cut_off = {"has_table": False, "is_sure": False, "reaches_majority": False}
     assert _decide(startup.UNCONFIRMED_WAIT_S, **cut_off) is Step.WAIT
     assert _decide(startup.UNCONFIRMED_WAIT_S + 0.1, **cut_off) is Step.TAKE_UNCONFIRMED
