--- a/benchmarks/deadly_requests.py
+++ b/benchmarks/deadly_requests.py
@@ -27,27 +27,27 @@
 
     :ivar waves: ends, one after the other, after which it is held.
     :ivar ends: ends in all after which it is held.
-    :ivar is_apart: it runs where the fewest others do before it is held.
-    :ivar is_told: entries tell each other.
+    :ivar is_isolated: it runs where the fewest others do before it is held.
+    :ivar is_broadcast: entries tell each other.
     """
 
-    def __init__(self, name, waves, ends, *, is_apart=True, is_told=True):
+    def __init__(self, name, waves, ends, *, is_isolated=True, is_broadcast=True):
         self.name = name
         self.waves = waves
         self.ends = ends
-        self.is_apart = is_apart
-        self.is_told = is_told
+        self.is_isolated = is_isolated
+        self.is_broadcast = is_broadcast
 
 
 WAYS = (
-    Way("never, placed by chance", NEVER, NEVER, is_apart=False),
+    Way("never, placed by chance", NEVER, NEVER, is_isolated=False),
     Way("never, run apart", NEVER, NEVER),
-    Way("first", 1, 1, is_apart=False),
-    Way("second", 2, 3, is_apart=False),
+    Way("first", 1, 1, is_isolated=False),
+    Way("second", 2, 3, is_isolated=False),
     Way("second, run apart (kept)", 2, 3),
     Way("the same, ends at one moment counted singly", 2, 2),
-    Way("the same, entries tell nothing", 2, 3, is_told=False),
-    Way("third", 3, 3, is_apart=False),
+    Way("the same, entries tell nothing", 2, 3, is_broadcast=False),
+    Way("third", 3, 3, is_isolated=False),
     Way("third, run apart", 3, 3),
 )
 
@@ -57,7 +57,7 @@
 STEP_S = 0.005
 STEPS_BETWEEN = 20
 """Looks between two such starts, which makes 0.1 s."""
-GREY_PART = 0.4
+GREY_FRACTION = 0.4
 """Part of the requests that instances fail before they run them."""
 KEEPERS_DISKS = ((0, 1, 2), (), (0, 1))
 """Keepers that lose their disk with the power; all of them is as if nothing were saved."""
@@ -67,14 +67,16 @@
     """A fleet that holds in one of the ways."""
 
     def __init__(self, way, seed):
-        super().__init__(entries=8, places=9, seed=seed)
+        super().__init__(entries=8, simulated_instances=9, seed=seed)
         self._way = way
-        if not way.is_told:
+        if not way.is_broadcast:
             for entry in self.entries:
                 entry.contents.handle_update = lambda hub, news: None
 
-    def _run(self, number, content_id, lasting_s, *, is_apart):
-        super()._run(number, content_id, lasting_s, is_apart=is_apart and self._way.is_apart)
+    def _run(self, number, content_id, duration_s, *, is_isolated):
+        super()._run(
+            number, content_id, duration_s, is_isolated=is_isolated and self._way.is_isolated
+        )
 
 
 def _set(way):
@@ -89,14 +91,14 @@
     fleet = Fleet(way, seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.begin_traffic(6.0, lasting_s=4.0)
+    fleet.begin_traffic(6.0, duration_s=4.0)
     fleet.run(8.0)
-    fleet.send_lost_again(0.5, lasting_s=4.0)
-    fleet.repeat(DEADLY, pause_s=pause_s, for_s=15.0)
+    fleet.retry_lost_requests(0.5, duration_s=4.0)
+    fleet.send_repeatedly(DEADLY, pause_s=pause_s, for_s=15.0)
     fleet.run(16.0)
     cut = sum(run.content_id != DEADLY for run in fleet.lost)
     refused = sum(content_id != DEADLY for content_id, _, _ in fleet.refused)
-    return len(fleet.ends), cut, refused
+    return len(fleet.crashes), cut, refused
 
 
 def play_rack(way, seed):
@@ -106,26 +108,28 @@
     fleet.run(2.0)
 
     def _ask():
-        fleet.send(fleet.rng.randrange(len(fleet.entries)), READ, lasting_s=1.0)
+        fleet.send(fleet.rng.randrange(len(fleet.entries)), READ, duration_s=1.0)
         fleet.clock.call_later(0.05, _ask)
 
     _ask()
     fleet.run(3.0)
-    for place in fleet.places[:2]:
-        fleet.end(place)
+    for instance in fleet.simulated_instances[:2]:
+        fleet.crash(instance)
     fleet.run(10.0)
     return len(fleet.refused)
 
 
 def measure_spread(entries, seed):
     """Return in how many ms all entries know, and one that starts afterwards."""
-    fleet = content_fleet.ContentFleet(entries=entries, halls=5, keepers=5, places=20, seed=seed)
+    fleet = content_fleet.ContentFleet(
+        entries=entries, halls=5, keepers=5, simulated_instances=20, seed=seed
+    )
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.repeat(DEADLY, pause_s=1.0, for_s=3.0)
-    while len(fleet.ends) < quarantine.WAVES_TO_HOLD:
+    fleet.send_repeatedly(DEADLY, pause_s=1.0, for_s=3.0)
+    while len(fleet.crashes) < quarantine.WAVES_TO_HOLD:
         fleet.run(0.01)
-    found_s = fleet.ends[-1][1]
+    found_s = fleet.crashes[-1][1]
     while len(fleet.get_holders(DEADLY)) < entries:
         fleet.run(0.005)
     known_ms = (fleet.clock.now_s - found_s) * 1000
@@ -139,10 +143,12 @@
 
 def measure_starts(entries, seed):
     """Return in how many ms each of entries knows that start one soon after the other."""
-    fleet = content_fleet.ContentFleet(entries=entries, halls=5, keepers=5, places=20, seed=seed)
+    fleet = content_fleet.ContentFleet(
+        entries=entries, halls=5, keepers=5, simulated_instances=20, seed=seed
+    )
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=2.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=2.0)
     fleet.run(4.0)
     started_s = {}
     known_ms = {}
@@ -164,12 +170,12 @@
     """
 
     def __init__(self, *, clears, seed):
-        super().__init__(entries=8, places=9, seed=seed)
+        super().__init__(entries=8, simulated_instances=9, seed=seed)
         self._clears = clears
 
-    def _run(self, number, content_id, lasting_s, *, is_apart):
-        if self.rng.random() >= GREY_PART:
-            super()._run(number, content_id, lasting_s, is_apart=is_apart)
+    def _run(self, number, content_id, duration_s, *, is_isolated):
+        if self.rng.random() >= GREY_FRACTION:
+            super()._run(number, content_id, duration_s, is_isolated=is_isolated)
         elif self._clears:
             self.entries[number].contents.record_harmless(content_id)
 
@@ -179,9 +185,9 @@
     fleet = GreyFleet(clears=clears, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.repeat(DEADLY, pause_s=pause_s, for_s=15.0)
+    fleet.send_repeatedly(DEADLY, pause_s=pause_s, for_s=15.0)
     fleet.run(16.0)
-    return len(fleet.ends)
+    return len(fleet.crashes)
 
 
 def print_grey():
@@ -195,19 +201,19 @@
 
 def play_power_loss(seed, pause_s, lost_disks):
     """Return the engines ended after all power was lost, and the answers cut off then."""
-    fleet = content_fleet.ContentFleet(entries=8, places=9, seed=seed)
+    fleet = content_fleet.ContentFleet(entries=8, simulated_instances=9, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.begin_traffic(6.0, lasting_s=4.0)
-    fleet.repeat(DEADLY, pause_s=pause_s, for_s=6.0)
+    fleet.begin_traffic(6.0, duration_s=4.0)
+    fleet.send_repeatedly(DEADLY, pause_s=pause_s, for_s=6.0)
     fleet.run(6.0)
     fleet.lose_all_power(down_s=3.0, lost_disks=lost_disks)
     fleet.run(5.0)
-    ends, lost = len(fleet.ends), len(fleet.lost)
-    fleet.repeat(DEADLY, pause_s=pause_s, for_s=15.0)
+    ends, lost = len(fleet.crashes), len(fleet.lost)
+    fleet.send_repeatedly(DEADLY, pause_s=pause_s, for_s=15.0)
     fleet.run(16.0)
     cut = sum(run.content_id != DEADLY for run in fleet.lost[lost:])
-    return len(fleet.ends) - ends, cut
+    return len(fleet.crashes) - ends, cut
 
 
 def print_power_losses():
--- a/benchmarks/load_news.py
+++ b/benchmarks/load_news.py
@@ -37,9 +37,9 @@
             entries=entries, halls=halls, keepers=keepers, instances=instances
         )
         made.run(2.0)
-        made.forget_traffic()
+        made.clear_traffic()
         began_s = time.perf_counter()
-        made.begin_load(requests_per_s, lasting_s=3.0)
+        made.begin_load(requests_per_s, duration_s=3.0)
         made.run(SECONDS)
         took_s = time.perf_counter() - began_s
         mean, burst = made.get_traffic(made.entry_processes, SECONDS)
--- a/benchmarks/rate_sharing.py
+++ b/benchmarks/rate_sharing.py
@@ -121,7 +121,7 @@
 
 
 def _describe(sent, entries, limit_per_s):
-    most = limit_fleet.get_most([time_s for time_s, _ in sent])
+    most = limit_fleet.get_max_in_window([time_s for time_s, _ in sent])
     used = len(sent) / (limit_per_s * PLAY_S)
     senders = len({number for _, number in sent})
     return most, used, senders / min(entries, max(1, len(sent)))
@@ -131,7 +131,7 @@
     most = max(item[0] for item in results)
     used = sum(item[1] for item in results) / len(results)
     spread = sum(item[2] for item in results) / len(results)
-    allowed = limit_fleet.get_allowed(limit_per_s)
+    allowed = limit_fleet.get_max_allowed(limit_per_s)
     print(f"| {name} | {most} of {allowed:.0f} | {used:.2f} | {spread:.2f} |", flush=True)
 
 
--- a/benchmarks/requested_rest.py
+++ b/benchmarks/requested_rest.py
@@ -19,13 +19,13 @@
 PLAY_S = 8.0
 
 
-def _play(entries, halls, turned_away):
+def _play(entries, halls, rejected_entries):
     fleet = limit_fleet.LimitFleet(entries=entries, halls=halls)
     instance = fleet.upstreams[fleet.instances[0]]
     fleet.begin_traffic(2 * max(50, entries))
     fleet.run(1.0)
     instance.rest_ms = REST_MS
-    instance.turned_away = turned_away
+    instance.rejected_entries = rejected_entries
     refused, arrived = len(fleet.refused), len(instance.arrivals)
     served = len(fleet.served)
     fleet.run(PLAY_S)
@@ -36,13 +36,13 @@
 
 def main():
     """Print a table for an instance that turns away all, and for one that turns away one."""
-    for text, turned_away in (("all entries", None), ("one entry", {0})):
+    for text, rejected_entries in (("all entries", None), ("one entry", {0})):
         print(f"\nturned away: {text}")
         print("| entries | way | refused in 8 s | its share |\n|---|---|---|---|")
         for entries, halls in SIZES:
             for name, reporters in WAYS:
                 requested_rest.MIN_REPORTERS = reporters
-                refused, share = _play(entries, halls, turned_away)
+                refused, share = _play(entries, halls, rejected_entries)
                 print(f"| {entries} | {name} | {refused} | {share:.2f} |", flush=True)
 
 
--- a/tests/functional/test_upstream_limits.py
+++ b/tests/functional/test_upstream_limits.py
@@ -32,7 +32,7 @@
     began_s = time.monotonic()
     answers = senders.send_from_all(running, CONTACT_S + 2 * WINDOW_S)
     bound = [time_s for time_s in running.get_arrivals("p-1") if time_s >= began_s + CONTACT_S]
-    assert limit_fleet.get_most(bound, WINDOW_S) <= ALLOWED
+    assert limit_fleet.get_max_in_window(bound, WINDOW_S) <= ALLOWED
     assert len(bound) >= USED_PART * LIMIT_PER_S * 2 * WINDOW_S
     assert {answer.status for _, answer in answers} == {200}
 
@@ -45,7 +45,7 @@
     answers = senders.send_from_all(running, CONTACT_S + 2 * WINDOW_S, callers_each=MANY)
     for name in ("p-1", "p-2"):
         bound = [time_s for time_s in running.get_arrivals(name) if time_s >= began_s + CONTACT_S]
-        assert limit_fleet.get_most(bound, WINDOW_S) <= ALLOWED
+        assert limit_fleet.get_max_in_window(bound, WINDOW_S) <= ALLOWED
         assert len(bound) >= USED_PART * LIMIT_PER_S * 2 * WINDOW_S
     assert {answer.status for _, answer in answers} == {200, 503}
     refused = [answer for _, answer in answers if answer.status == 503]
--- a/tests/lib/cold_fleet.py
+++ b/tests/lib/cold_fleet.py
@@ -82,7 +82,7 @@
         return sent_s
 
 
-def get_most_in_a_second(sent_s):
+def get_max_per_second(sent_s):
     """Return the most requests that any second has."""
     most = first = 0
     for last, time_s in enumerate(sent_s):
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -8,10 +8,10 @@
 from spoolhead._internal.models import shared_load
 from spoolhead._internal.policy import content_registry, quarantine
 
-DOWN_S = 4.0
+RESTART_DELAY_S = 4.0
 """Time after which another process stands where one has ended."""
 CRASH_AFTER_S = 0.1
-REFUSED_AFTER_S = 0.003
+REFUSAL_DELAY_S = 0.003
 """Time after which an entry that asks an ended instance is refused."""
 CONTACT_S = 3.0
 """Time within which what ends instances is to be known at all entries in touch."""
@@ -34,7 +34,7 @@
 
 
 class Instance:
-    """A place where instances stand, one after the other."""
+    """A instance where instances stand, one after the other."""
 
     def __init__(self, number):
         self.number = number
@@ -56,19 +56,19 @@
     :ivar refused: numbers of entries that refused a content, with when.
     """
 
-    def __init__(self, *, entries, halls=3, keepers=3, places=6, loss=0.01, seed=1):
+    def __init__(self, *, entries, halls=3, keepers=3, simulated_instances=6, loss=0.01, seed=1):
         super().__init__(
             entries=entries, halls=halls, keepers=keepers, instances=1, loss=loss, seed=seed
         )
-        self.places = [Instance(number) for number in range(places)]
+        self.simulated_instances = [Instance(number) for number in range(simulated_instances)]
         self.deadly = set()
-        self.ends = []
+        self.crashes = []
         self.sent = []
         self.lost = []
         self.refused = []
-        self.ended_lives = {}
+        self.crashed_incarnations = {}
 
-    def send(self, number, content_id, *, lasting_s=1.0):
+    def send(self, number, content_id, *, duration_s=1.0):
         """Have a request come to an entry; returns what was decided."""
         entry = self.entries[number]
         verdict = entry.contents.evaluate(content_id)
@@ -77,76 +77,82 @@
         elif verdict is quarantine.Verdict.CLAIM:
             entry.contents.claim_trial(content_id)
             self.clock.call_later(
-                quarantine.CLAIM_S, lambda: self._try(number, entry, content_id, lasting_s)
+                quarantine.CLAIM_S, lambda: self._run_trial(number, entry, content_id, duration_s)
             )
         else:
-            is_apart = verdict is quarantine.Verdict.RUN_APART
-            self._run(number, content_id, lasting_s, is_apart=is_apart)
+            is_isolated = verdict is quarantine.Verdict.RUN_APART
+            self._run(number, content_id, duration_s, is_isolated=is_isolated)
         return verdict
 
-    def _try(self, number, entry, content_id, lasting_s):
+    def _run_trial(self, number, entry, content_id, duration_s):
         if self.entries[number] is entry and entry.contents.may_run_trial(content_id):
-            self._run(number, content_id, lasting_s, is_apart=True)
+            self._run(number, content_id, duration_s, is_isolated=True)
 
-    def _run(self, number, content_id, lasting_s, *, is_apart):
-        places = [place for place in self.places if place.is_up]
-        if not places:
+    def _run(self, number, content_id, duration_s, *, is_isolated):
+        simulated_instances = [instance for instance in self.simulated_instances if instance.is_up]
+        if not simulated_instances:
             return
-        self.rng.shuffle(places)
-        place = min(places, key=lambda item: len(item.runs)) if is_apart else places[0]
+        self.rng.shuffle(simulated_instances)
+        instance = (
+            min(simulated_instances, key=lambda item: len(item.runs))
+            if is_isolated
+            else simulated_instances[0]
+        )
         run = Run(number, content_id, self.clock.now_s)
-        place.runs.append(run)
+        instance.runs.append(run)
         self.sent.append(run)
         if content_id in self.deadly:
-            self.clock.call_later(CRASH_AFTER_S, lambda: self._crash(place, run))
+            self.clock.call_later(CRASH_AFTER_S, lambda: self._crash_by_content(instance, run))
         else:
-            self.clock.call_later(lasting_s, lambda: self._end_well(place, run))
+            self.clock.call_later(duration_s, lambda: self._complete_run(instance, run))
 
-    def _crash(self, place, run):
+    def _crash_by_content(self, instance, run):
         if not run.is_over:
-            self.ends.append((run.content_id, self.clock.now_s))
-            self.end(place)
+            self.crashes.append((run.content_id, self.clock.now_s))
+            self.crash(instance)
 
-    def _end_well(self, place, run):
+    def _complete_run(self, instance, run):
         if not run.is_over:
             run.is_over = True
-            place.runs.remove(run)
+            instance.runs.remove(run)
             self.entries[run.entry].contents.record_harmless(run.content_id)
 
-    def end(self, place):
+    def crash(self, instance):
         """End an instance, whatever the reason; all that runs there is lost."""
-        if not place.is_up:
+        if not instance.is_up:
             return
-        place.is_up = False
-        incarnation_id = place.incarnation_id
-        runs, place.runs = place.runs, []
-        self.ended_lives[shared_load.get_key(incarnation_id)] = {run.content_id for run in runs}
+        instance.is_up = False
+        incarnation_id = instance.incarnation_id
+        runs, instance.runs = instance.runs, []
+        self.crashed_incarnations[shared_load.get_key(incarnation_id)] = {
+            run.content_id for run in runs
+        }
         for run in runs:
             run.is_over = True
             self.lost.append(run)
             entry = self.entries[run.entry]
             entry.contents.record_lost(incarnation_id, run.content_id, run.sent_s)
         for number in {run.entry for run in runs}:
-            self._ask(self.entries[number], incarnation_id)
-        self.clock.call_later(DOWN_S, lambda: self._start(place))
+            self._connect_to_crashed(self.entries[number], incarnation_id)
+        self.clock.call_later(RESTART_DELAY_S, lambda: self._start(instance))
 
-    def _ask(self, entry, incarnation_id):
+    def _connect_to_crashed(self, entry, incarnation_id):
         def _refused():
             entry.sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED)
             entry.contents.record_ended(incarnation_id, "Connection refused")
 
-        self.clock.call_later(REFUSED_AFTER_S, _refused)
+        self.clock.call_later(REFUSAL_DELAY_S, _refused)
 
-    def _start(self, place):
-        place.starts += 1
-        place.is_up = True
+    def _start(self, instance):
+        instance.starts += 1
+        instance.is_up = True
 
     def restart_entry(self, number, **options):
         """Have an entry end and start anew, knowing nothing; its runs are cut off."""
-        for place in self.places:
-            for run in [run for run in place.runs if run.entry == number]:
+        for instance in self.simulated_instances:
+            for run in [run for run in instance.runs if run.entry == number]:
                 run.is_over = True
-                place.runs.remove(run)
+                instance.runs.remove(run)
         return super().restart_entry(number, **options)
 
     def restart_hub(self, number, *, disk=None):
@@ -157,10 +163,10 @@
         process = self.hubs[number]
         self.kill(process.name)
         process.is_up = True
-        self.hub_books[number] = content_registry.ContentRegistry()
+        self.hub_registries[number] = content_registry.ContentRegistry()
         if disk is not None:
             items = saved_contents.decode(disk, self.clock())
-            self.hub_books[number].merge(items, self.clock())
+            self.hub_registries[number].merge(items, self.clock())
         self.hub_ports[number] = self._make_hub(number)
 
     def lose_all_power(self, *, down_s, lost_disks=()):
@@ -169,7 +175,7 @@
         :param lost_disks: numbers of keepers that lose their disk as well.
         """
         disks = []
-        for registry in self.hub_books:
+        for registry in self.hub_registries:
             items = registry.get_all_aged(registry.get_ids(), self.clock())
             disks.append(saved_contents.encode(items, self.clock()))
         for process in self.net.processes.values():
@@ -181,7 +187,7 @@
         for number in range(len(self.entries)):
             self.restart_entry(number)
 
-    def repeat(self, content_id, *, pause_s, for_s, entries=None):
+    def send_repeatedly(self, content_id, *, pause_s, for_s, entries=None):
         """Have a request come again and again at entries drawn by lot."""
         numbers = range(len(self.entries)) if entries is None else entries
 
@@ -192,43 +198,43 @@
 
         _send(int(for_s / pause_s))
 
-    def begin_traffic(self, requests_per_s, *, lasting_s):
+    def begin_traffic(self, requests_per_s, *, duration_s):
         """Have requests of ever new contents come from now on."""
         numbers = itertools.count()
 
         def _send():
             content_id = b"sound-%010d" % next(numbers)
             number = self.rng.randrange(len(self.entries))
-            self.send(number, content_id, lasting_s=self.rng.expovariate(1 / lasting_s))
+            self.send(number, content_id, duration_s=self.rng.expovariate(1 / duration_s))
             self.clock.call_later(self.rng.expovariate(requests_per_s), _send)
 
         _send()
 
-    def send_lost_again(self, after_s, *, lasting_s):
+    def retry_lost_requests(self, after_s, *, duration_s):
         """Have callers of sound requests that are lost from now on send them once more."""
         seen = len(self.lost)
         sent = set()
 
-        def _look():
+        def _poll():
             nonlocal seen
             for run in self.lost[seen:]:
                 if run.content_id not in self.deadly | sent:
                     sent.add(run.content_id)
                     self.clock.call_later(after_s, functools.partial(_send, run.content_id))
             seen = len(self.lost)
-            self.clock.call_later(0.05, _look)
+            self.clock.call_later(0.05, _poll)
 
         def _send(content_id):
-            self.send(self.rng.randrange(len(self.entries)), content_id, lasting_s=lasting_s)
+            self.send(self.rng.randrange(len(self.entries)), content_id, duration_s=duration_s)
 
-        _look()
+        _poll()
 
     def count_late_runs(self, content_id):
         """Return the runs of a content later than that should be known."""
-        ends = [at_s for ended, at_s in self.ends if ended == content_id]
-        if len(ends) < 3:
+        crash_times_s = [at_s for crashed_id, at_s in self.crashes if crashed_id == content_id]
+        if len(crash_times_s) < 3:
             return 0
-        known_s = ends[2] + CONTACT_S
+        known_s = crash_times_s[2] + CONTACT_S
         return sum(run.content_id == content_id and run.sent_s > known_s for run in self.sent)
 
     def get_holders(self, content_id):
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -210,7 +210,7 @@
     )
 
 
-CLAIM = upstream_gate.RequestPriority(1, "w")
+REQUEST_PRIORITY = upstream_gate.RequestPriority(1, "w")
 
 
 def make_gate(name, hall):
@@ -268,7 +268,7 @@
         self.hall = hall
         self.cold_ms = cold_ms
         self.started_ms = started_ms
-        self.list()
+        self.apply_list()
         self.registry.set_evacuated(frozenset(evacuated_halls))
         for upstream in self.registry.get_all():
             upstream.in_flight["other"] = upstream_registry.InFlightRequest(
@@ -281,7 +281,7 @@
         self.ended = []
         self.lost = []
         self.replaced = []
-        self.asked = []
+        self.end_queries = []
         self.sent = []
         self.contents = contents or make_contents()
         is_stream = kind is route_table.RequestKind.STREAM
@@ -311,7 +311,7 @@
         workspace = route_table.Workspace(name="w", api_keys=("k",), priority=None)
         config = make_settings(retry_slack=slack)
         self.alarms = []
-        self.news = None
+        self.events = None
         self.limits = upstream_limits.UpstreamLimits(
             self.registry.get_by_key, request_broadcast=lambda: None, on_change=lambda key: None
         )
@@ -337,18 +337,18 @@
             rng=random.Random(1),
             on_change=lambda: None,
             on_lost_request=self.lost.append,
-            on_answer=lambda *answer: self.news.handle_answer(*answer),
+            on_answer=lambda *answer: self.events.handle_answer(*answer),
             on_replaced=self.replaced.append,
             contents=self.contents,
             limits=self.limits,
             permits=self.permits,
-            query_end=self.asked.append,
+            query_end=self.end_queries.append,
             get_silent_halls=frozenset,
             get_load_age_ms=lambda: 20,
             metrics=entry_metrics.EntryMetrics(prometheus_metrics.PrometheusMetrics()),
         )
         self.exchanges = set()
-        self.news = upstream_events.UpstreamEvents(
+        self.events = upstream_events.UpstreamEvents(
             context, FakeSharing(self.alarms), self.exchanges, get_table=lambda: None
         )
         self.caller = RoutedCaller(wire)
@@ -361,7 +361,7 @@
         self.exchanges.add(self.exchange)
         self.exchange.begin()
 
-    def list(self, *, leaving=(), gone=()):
+    def apply_list(self, *, leaving=(), gone=()):
         """Apply an instance list in which some instances leave or are missing."""
         listed = [
             make_instance(
@@ -377,7 +377,7 @@
         return self.registry.update_instances(listed, clocks.get_s())
 
     def leave(self, name):
-        self.list(leaving=[name])
+        self.apply_list(leaving=[name])
         self.exchange.on_instances_changed()
 
     @property
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -15,12 +15,12 @@
 SERVICE = route_table.Service(name="s", health_path="/h", max_connections=9, engine=None)
 
 
-def get_allowed(limit_per_s):
+def get_max_allowed(limit_per_s):
     """Return how many requests may reach an instance in any window."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
-def get_most(times_s, window_s=WINDOW_S):
+def get_max_in_window(times_s, window_s=WINDOW_S):
     """Return the most events that any window of a length has."""
     most = first = 0
     for last, time_s in enumerate(times_s):
@@ -35,18 +35,18 @@
 
     :ivar limit_per_s: limit that it states; None for none.
     :ivar rest_ms: rest that it asks for as it turns requests away; 0 to take them.
-    :ivar turned_away: numbers of the entries that it turns away; None for all.
+    :ivar rejected_entries: numbers of the entries that it turns away; None for all.
     :ivar arrivals: when requests arrived, with the number of the entry.
     """
 
     def __init__(self):
         self.limit_per_s = None
         self.rest_ms = 0
-        self.turned_away = None
+        self.rejected_entries = None
         self.arrivals = []
 
-    def turns_away(self, number):
-        is_meant = self.turned_away is None or number in self.turned_away
+    def rejects(self, number):
+        is_meant = self.rejected_entries is None or number in self.rejected_entries
         return bool(self.rest_ms) and is_meant
 
     def get_times_s(self, since_s):
@@ -56,9 +56,9 @@
 class Request:
     """A request at an entry."""
 
-    def __init__(self, number, came_s, rank, workspace):
+    def __init__(self, number, arrived_s, rank, workspace):
         self.number = number
-        self.came_s = came_s
+        self.arrived_s = arrived_s
         self.request_priority = upstream_gate.RequestPriority(rank, workspace)
 
 
@@ -96,22 +96,22 @@
         """Have requests come, and return the time from which limits stated before bind."""
         self.begin_traffic(requests_per_s)
         self.run(CONTACT_S)
-        bound_s = self.clock()
+        effective_s = self.clock()
         self.run(for_s)
-        return bound_s
+        return effective_s
 
     def begin_traffic(self, requests_per_s, *, rank=0, workspace="w", entries=None):
         """Have requests come to entries drawn by lot from now on."""
         numbers = range(len(self.entries)) if entries is None else entries
 
-        def _come():
+        def _arrive_next():
             self.send(self.rng.choice(list(numbers)), rank=rank, workspace=workspace)
-            self.clock.call_later(self.rng.expovariate(requests_per_s), _come)
+            self.clock.call_later(self.rng.expovariate(requests_per_s), _arrive_next)
 
-        _come()
+        _arrive_next()
 
     def send(self, number, *, rank=0, workspace="w"):
-        self._go_on(self.entries[number], Request(number, self.clock(), rank, workspace))
+        self._dispatch(self.entries[number], Request(number, self.clock(), rank, workspace))
 
     def send_one_to(self, name):
         """Send one request to an instance, whatever else entries would choose."""
@@ -119,12 +119,12 @@
         request = Request(self.entries.index(entry), self.clock(), 0, "w")
         self._send_to(entry, request, entry.registry.get(name))
 
-    def _go_on(self, entry, request):
+    def _dispatch(self, entry, request):
         if entry is not self.entries[request.number] or not entry.process.is_up:
             return
         gate = self.gates[request.number]
         now_s = self.clock()
-        bars = {
+        block_reasons = {
             upstream: gate.get_block_reason(
                 SERVICE,
                 upstream,
@@ -134,19 +134,19 @@
             )
             for upstream in entry.registry.get_all()
         }
-        open_ones = [upstream for upstream, bar in bars.items() if bar is None]
-        if not open_ones:
-            open_ones = [item for item, bar in bars.items() if not bar.is_binding]
-        self.rng.shuffle(open_ones)
-        open_ones.sort(key=lambda upstream: not gate.is_limited(upstream))
-        if not open_ones:
-            waits_ms = [gate.get_retry_after_ms(*item, now_s) for item in bars.items()]
+        candidates = [upstream for upstream, reason in block_reasons.items() if reason is None]
+        if not candidates:
+            candidates = [item for item, reason in block_reasons.items() if not reason.is_binding]
+        self.rng.shuffle(candidates)
+        candidates.sort(key=lambda upstream: not gate.is_limited(upstream))
+        if not candidates:
+            waits_ms = [gate.get_retry_after_ms(*item, now_s) for item in block_reasons.items()]
             waits_ms = [wait_ms for wait_ms in waits_ms if wait_ms is not None]
             self.refused.append((request, now_s, min(waits_ms, default=None)))
-        elif gate.is_limited(open_ones[0]):
-            self._ask(entry, request, open_ones)
+        elif gate.is_limited(candidates[0]):
+            self._request_permit(entry, request, candidates)
         else:
-            self._send_to(entry, request, open_ones[0])
+            self._send_to(entry, request, candidates[0])
 
     def _get_cut_halls(self, entry):
         cut = self.net.cut_off_halls
@@ -154,24 +154,24 @@
             return set(self.halls) - {entry.process.hall}
         return cut
 
-    def _ask(self, entry, request, open_ones):
+    def _request_permit(self, entry, request, candidates):
         gate = self.gates[request.number]
-        left_s = request.came_s + WAIT_S - self.clock()
-        can_wait = all(gate.is_limited(upstream) for upstream in open_ones)
-        asked = permit_exchange.PermitTerms(
+        left_s = request.arrived_s + WAIT_S - self.clock()
+        can_wait = all(gate.is_limited(upstream) for upstream in candidates)
+        terms = permit_exchange.PermitTerms(
             request.request_priority,
             is_retry=False,
             wait_ms=max(0, int(left_s * 1000)) if can_wait else 0,
-            is_final=len(open_ones) == 1,
+            is_final=len(candidates) == 1,
         )
 
-        def _take(is_granted):
+        def _handle_decision(is_granted):
             if is_granted:
-                self._send_to(entry, request, open_ones[0])
+                self._send_to(entry, request, candidates[0])
             else:
-                self._go_on(entry, request)
+                self._dispatch(entry, request)
 
-        entry.permits.request_permit(open_ones[0], asked, _take)
+        entry.permits.request_permit(candidates[0], terms, _handle_decision)
 
     def _send_to(self, entry, request, upstream):
         if entry is not self.entries[request.number] or not entry.process.is_up:
@@ -179,24 +179,25 @@
         instance = self.upstreams[upstream.instance.instance_id]
         upstream.record_sent(self.clock())
         self.clock.call_later(
-            load_fleet.FAR_S, lambda: self._arrive(entry, request, upstream, instance)
+            load_fleet.OTHER_HALL_DELAY_S, lambda: self._arrive(entry, request, upstream, instance)
         )
 
     def _arrive(self, entry, request, upstream, instance):
         instance.arrivals.append((self.clock(), request.number))
         head = gateway_setting.make_answer_head(limit_per_s=instance.limit_per_s)
-        if instance.turns_away(request.number):
+        if instance.rejects(request.number):
             head.status = 503
             head.has_not_run = True
             head.rest_ms = instance.rest_ms
         self.clock.call_later(
-            load_fleet.FAR_S, lambda: self._handle_answer(entry, request, upstream, head)
+            load_fleet.OTHER_HALL_DELAY_S,
+            lambda: self._handle_answer(entry, request, upstream, head),
         )
 
     def _handle_answer(self, entry, request, upstream, head):
         if entry.process.is_up:
             entry.limits.handle_answer(upstream, head, self.clock())
-            entry.news.handle_answer(upstream, head, self.clock())
+            entry.events.handle_answer(upstream, head, self.clock())
         if head.has_not_run:
             self.refused.append((request, self.clock(), None))
         else:
@@ -218,7 +219,7 @@
     def _get_name(self, number):
         return self.entries[number].process.name
 
-    def get_limited(self, name):
+    def get_entries_with_limit(self, name):
         """Return the numbers of the living entries that take an instance for limited."""
         return [
             number
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -15,9 +15,9 @@
 from spoolhead._internal.models import fleet, permits, shared_load
 from spoolhead._internal.policy import content_registry, load_hub, upstream_registry
 
-NEAR_S = 0.0005
-FAR_S = 0.0014
-AGE_STEP_S = 0.005
+SAME_HALL_DELAY_S = 0.0005
+OTHER_HALL_DELAY_S = 0.0014
+AGE_POLL_INTERVAL_S = 0.005
 """Pause between two looks at whether news has arrived."""
 HEADER_BYTES = 28
 """What a datagram takes besides its payload."""
@@ -35,7 +35,7 @@
         self.hall = hall
         self.address = address
         self.is_up = True
-        self.take = None
+        self.on_datagram = None
         self.sent = []
         self.receivers = []
 
@@ -61,13 +61,13 @@
         receiver = self.processes.get(address)
         if receiver is None or self.rng.random() < self.loss or self._is_cut(sender, receiver):
             return
-        delay_s = NEAR_S if sender.hall == receiver.hall else FAR_S
+        delay_s = SAME_HALL_DELAY_S if sender.hall == receiver.hall else OTHER_HALL_DELAY_S
         delay_s += self.rng.expovariate(1 / 0.0005)
         self.clock.call_later(delay_s, lambda: self._arrive(receiver, data, sender.address))
 
     def _arrive(self, receiver, data, sender_address):
         if receiver.is_up:
-            receiver.take(shared_load.decode(data), sender_address)
+            receiver.on_datagram(shared_load.decode(data), sender_address)
 
     def _is_cut(self, one, other):
         if one.hall != other.hall and {one.hall, other.hall} & self.cut_off_halls:
@@ -83,7 +83,7 @@
         pass
 
 
-class LateSharing:
+class SharingProxy:
     """Tells by the sharing that an entry has by then."""
 
     def __init__(self, entry):
@@ -123,8 +123,8 @@
             first_id=int(fleet_.clock() * 1000),
             clock=fleet_.clock,
         )
-        self.news = upstream_events.UpstreamEvents(
-            FakeContext(), LateSharing(self), set(), get_table=lambda: None
+        self.events = upstream_events.UpstreamEvents(
+            FakeContext(), SharingProxy(self), set(), get_table=lambda: None
         )
         self.sharing = load_sharing.LoadSharing(
             fleet_.clock,
@@ -138,7 +138,7 @@
             clock=fleet_.clock,
             wall_clock=fleet_.clock,
         )
-        process.take = self.take
+        process.on_datagram = self.handle_datagram
         self.set_fleet(known)
 
     def apply_list(self, listed):
@@ -149,18 +149,18 @@
         self.sharing.set_fleet(known)
         self.permits.set_entries(self.sharing.get_entries())
 
-    def take(self, message, sender):
+    def handle_datagram(self, message, sender):
         if isinstance(message, permits.PermitRequest | permits.PermitReply):
             self.permits.handle_datagram(message, sender)
         else:
             self.sharing.handle_datagram(message, sender)
 
-    def hold(self, instance_id, request_id, tokens):
-        work = upstream_registry.InFlightRequest(request_id, tokens, prefill_tokens=0)
-        self.registry.get(instance_id).in_flight[request_id] = work
+    def begin_request(self, instance_id, request_id, tokens):
+        request = upstream_registry.InFlightRequest(request_id, tokens, prefill_tokens=0)
+        self.registry.get(instance_id).in_flight[request_id] = request
         self.sharing.schedule_report()
 
-    def drop(self, instance_id, request_id):
+    def end_request(self, instance_id, request_id):
         self.registry.get(instance_id).in_flight.pop(request_id)
         self.sharing.schedule_report()
 
@@ -187,7 +187,7 @@
             keepers=tuple(_describe(item) for item in self.hubs),
             entries=tuple(_describe(item) for item in processes),
         )
-        self.hub_books = [content_registry.ContentRegistry() for _ in self.hubs]
+        self.hub_registries = [content_registry.ContentRegistry() for _ in self.hubs]
         self.hub_ports = [self._make_hub(number) for number in range(keepers)]
         self.listed = [
             gateway_setting.make_instance(name, hall=self.halls[number % halls])
@@ -208,13 +208,13 @@
         others = [item.address for item in self.hubs if item is not process]
         port = hub_port.HubPort(
             self.clock,
-            load_hub.LoadHub(process.name, 1, self.hub_books[number]),
+            load_hub.LoadHub(process.name, 1, self.hub_registries[number]),
             send=process.send,
             get_hubs=lambda: others,
             bytes_per_s=2_000_000,
             clock=self.clock,
         )
-        process.take = port.handle_datagram
+        process.on_datagram = port.handle_datagram
         return port
 
     def run(self, for_s):
@@ -233,13 +233,13 @@
 
         :param is_listed: it has read the list of instances already.
         """
-        former = self.entries[number]
-        # What still runs of the former one reaches nobody.
-        former.process.is_up = False
-        former.sharing.handle_datagram = lambda message, sender: None
-        former.permits.handle_datagram = lambda message, sender: None
+        previous = self.entries[number]
+        # What still runs of the previous one reaches nobody.
+        previous.process.is_up = False
+        previous.sharing.handle_datagram = lambda message, sender: None
+        previous.permits.handle_datagram = lambda message, sender: None
         process = Process(
-            self.net, former.process.name, former.process.hall, former.process.address
+            self.net, previous.process.name, previous.process.hall, previous.process.address
         )
         self.net.processes[process.address] = process
         listed = self.listed if is_listed else []
@@ -251,7 +251,7 @@
         for entry in self.entries:
             entry.sharing.record_keeper_lost(address)
 
-    def begin_load(self, requests_per_s, *, lasting_s, tokens=3_500):
+    def begin_load(self, requests_per_s, *, duration_s, tokens=3_500):
         """Have requests begin at random entries and instances from now on."""
         numbers = itertools.count()
 
@@ -259,10 +259,10 @@
             entry = self.rng.choice(self.entries)
             name = self.rng.choice(self.instances)
             request_id = f"r{next(numbers)}"
-            entry.hold(name, request_id, tokens)
+            entry.begin_request(name, request_id, tokens)
             self._measure_age(entry, name)
             self.clock.call_later(
-                self.rng.expovariate(1 / lasting_s), lambda: entry.drop(name, request_id)
+                self.rng.expovariate(1 / duration_s), lambda: entry.end_request(name, request_id)
             )
             self.clock.call_later(self.rng.expovariate(requests_per_s), _begin)
 
@@ -277,29 +277,30 @@
         if observer is entry:
             return
         began_s = self.clock.now_s
-        expected = self.get_held(name, except_by=observer)
+        expected = self.get_tokens_in_flight(name, excluding=observer)
         upstream = observer.registry.get(name)
 
-        def _look():
+        def _poll():
             if upstream.others.tokens == expected:
                 self.ages_ms.append((self.clock.now_s - began_s) * 1000)
-            elif self.get_held(name, except_by=observer) == expected:
-                self.clock.call_later(AGE_STEP_S, _look)
+            elif self.get_tokens_in_flight(name, excluding=observer) == expected:
+                self.clock.call_later(AGE_POLL_INTERVAL_S, _poll)
 
-        self.clock.call_later(AGE_STEP_S, _look)
+        self.clock.call_later(AGE_POLL_INTERVAL_S, _poll)
 
-    def get_held(self, name, *, except_by=None):
+    def get_tokens_in_flight(self, name, *, excluding=None):
         """Return the memory that entries truly hold at an instance."""
         return sum(
             entry.registry.get(name).own_tokens
             for entry in self.entries
-            if entry is not except_by and entry.process.is_up
+            if entry is not excluding and entry.process.is_up
         )
 
-    def is_agreed(self):
+    def is_consistent(self):
         """Tell whether every living entry knows exactly what the others hold."""
         return all(
-            entry.registry.get(name).others.tokens == self.get_held(name, except_by=entry)
+            entry.registry.get(name).others.tokens
+            == self.get_tokens_in_flight(name, excluding=entry)
             for entry in self.entries
             if entry.process.is_up
             for name in self.instances
@@ -310,12 +311,12 @@
         means = [sum(size for _, size in item.sent) / seconds for item in processes]
         return max(means), max(_get_burst(item.sent) for item in processes)
 
-    def forget_traffic(self):
+    def clear_traffic(self):
         for process in self.net.processes.values():
             process.sent.clear()
             process.receivers.clear()
 
-    def seen_by(self, entry):
+    def get_receivers(self, entry):
         """Return where an entry has sent datagrams."""
         return entry.process.receivers
 
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -22,14 +22,14 @@
 
     :ivar per_s: how many begin in a second, in the whole fleet.
     :ivar prompt_tokens: its prompt.
-    :ivar made_tokens: tokens made, in the mean; the real ones spread by half.
+    :ivar output_tokens: tokens made, in the mean; the real ones spread by half.
     :ivar token_ms: time for each of them.
     """
 
-    def __init__(self, per_s, *, prompt_tokens, made_tokens, token_ms=10):
+    def __init__(self, per_s, *, prompt_tokens, output_tokens, token_ms=10):
         self.per_s = per_s
         self.prompt_tokens = prompt_tokens
-        self.made_tokens = made_tokens
+        self.output_tokens = output_tokens
         self.token_ms = token_ms
 
 
@@ -44,7 +44,7 @@
         self.first_ms = 0.0
 
     @property
-    def is_across(self):
+    def is_cross_hall(self):
         return self.hall != self.upstream.instance.hall
 
 
@@ -75,26 +75,26 @@
         self.fills = []
         self._due = []
         self._numbers = itertools.count()
-        self._read_until_s = {}
+        self._prefill_end_s = {}
 
     def run(self, for_s):
         """Play the pattern."""
         for kind in self.kinds:
-            self._later(self.rng.expovariate(kind.per_s), lambda kind=kind: self._arrive(kind))
+            self._schedule(self.rng.expovariate(kind.per_s), lambda kind=kind: self._arrive(kind))
         until_s = self.now_s + for_s
         while self._due[0][0] <= until_s:
             self.now_s, _, call = heapq.heappop(self._due)
             call()
         self.now_s = until_s
 
-    def _later(self, delay_s, call):
+    def _schedule(self, delay_s, call):
         heapq.heappush(self._due, (self.now_s + delay_s, next(self._numbers), call))
 
     def _arrive(self, kind):
-        self._later(self.rng.expovariate(kind.per_s), lambda: self._arrive(kind))
+        self._schedule(self.rng.expovariate(kind.per_s), lambda: self._arrive(kind))
         hall = self.rng.choice(self.halls)
-        made_tokens = int(kind.made_tokens * self.rng.uniform(0.5, 1.5))
-        need_tokens = kind.prompt_tokens + made_tokens
+        output_tokens = int(kind.output_tokens * self.rng.uniform(0.5, 1.5))
+        need_tokens = kind.prompt_tokens + output_tokens
         request = run_admission.Request(
             rank=0,
             need_tokens=need_tokens,
@@ -108,7 +108,7 @@
             cut_off_halls=(),
             now_s=self.now_s,
             gate=gateway_setting.make_gate("entry-1", hall),
-            request_priority=gateway_setting.CLAIM,
+            request_priority=gateway_setting.REQUEST_PRIORITY,
             rng=self.rng,
         )
         engine = self.service.engine
@@ -119,38 +119,38 @@
             excluded=(),
             view=view,
         ).prefer(lambda item: run_admission.has_room(engine, item, request))
-        self._begin(Run(hall, kind, choice.upstream, self.now_s), need_tokens, made_tokens)
+        self._begin(Run(hall, kind, choice.upstream, self.now_s), need_tokens, output_tokens)
 
-    def _begin(self, run, need_tokens, made_tokens):
+    def _begin(self, run, need_tokens, output_tokens):
         self.running.add(run)
         upstream = run.upstream
-        work = upstream_registry.InFlightRequest(
+        in_flight = upstream_registry.InFlightRequest(
             str(next(self._numbers)), need_tokens, prefill_tokens=run.kind.prompt_tokens
         )
-        upstream.in_flight[work.request_id] = work
+        upstream.in_flight[in_flight.request_id] = in_flight
         self.fills.append(upstream.tokens / self.service.engine.memory_tokens)
-        reading_s = run.kind.prompt_tokens / run_admission.PREFILL_TOKENS_PER_MS / 1000
-        begin_s = max(self.now_s, self._read_until_s.get(upstream, 0.0))
-        read_s = self._read_until_s[upstream] = begin_s + reading_s
-        run.first_ms = (read_s - self.now_s) * 1000
+        prefill_s = run.kind.prompt_tokens / run_admission.PREFILL_TOKENS_PER_MS / 1000
+        begin_s = max(self.now_s, self._prefill_end_s.get(upstream, 0.0))
+        prefill_end_s = self._prefill_end_s[upstream] = begin_s + prefill_s
+        run.first_ms = (prefill_end_s - self.now_s) * 1000
 
         def _record_prefill_end():
-            work.prefill_tokens = 0
+            in_flight.prefill_tokens = 0
 
         def _end():
-            del upstream.in_flight[work.request_id]
+            del upstream.in_flight[in_flight.request_id]
             self.running.discard(run)
             self.ended.append(run)
 
-        self._later(read_s - self.now_s, _record_prefill_end)
-        self._later(read_s - self.now_s + made_tokens * run.kind.token_ms / 1000, _end)
+        self._schedule(prefill_end_s - self.now_s, _record_prefill_end)
+        self._schedule(prefill_end_s - self.now_s + output_tokens * run.kind.token_ms / 1000, _end)
 
-    def get_part_across(self):
+    def get_cross_hall_fraction(self):
         """Return the part of all runs that stood in another hall than their entry."""
         runs = [*self.ended, *self.running]
-        return sum(run.is_across for run in runs) / len(runs)
+        return sum(run.is_cross_hall for run in runs) / len(runs)
 
-    def get_first_ms(self, part):
+    def get_first_token_ms(self, part):
         """Return a quantile of the time to the first token."""
         times_ms = sorted(run.first_ms for run in self.ended)
         return times_ms[int(part * (len(times_ms) - 1))]
--- a/tests/lib/table_fleet.py
+++ b/tests/lib/table_fleet.py
@@ -24,7 +24,7 @@
     return machine.evacuations
 
 
-class KeeperSide:
+class KeeperIncarnation:
     """What one life of a keeper tells its followers."""
 
     def __init__(self, group, node):
@@ -34,7 +34,7 @@
         self.feed = feed.Feed(
             self.timers, "h", self._get_keepers, self._get_table, self._get_evacuations
         )
-        self._told = self._get_state()
+        self._last_broadcast = self._get_state()
 
     def _get_keepers(self):
         return [consensus_messages.get_address(item) for item in self.consensus.members]
@@ -51,12 +51,12 @@
     def _get_state(self):
         return (len(self.node.machine.changes), self.consensus.has_caught_up)
 
-    def note_changes(self):
-        if self._told != self._get_state():
-            self._told = self._get_state()
+    def broadcast_changes(self):
+        if self._last_broadcast != self._get_state():
+            self._last_broadcast = self._get_state()
             self.feed.broadcast_version()
 
-    def take(self, session, message):
+    def handle_message(self, session, message):
         match message:
             case route_messages.Subscribe():
                 self.feed.add_follower(session, message)
@@ -67,11 +67,11 @@
 class Stream:
     """A stream of an entry to one life of a keeper, and both its ends."""
 
-    def __init__(self, entry, followed, side):
+    def __init__(self, entry, followed, keeper):
         self.name = entry.name
         self.entry = entry
         self.followed = followed
-        self.side = side
+        self.keeper = keeper
         self.to_keeper = []
         self.to_entry = []
 
@@ -84,7 +84,7 @@
     def deliver(self):
         """Hand on the oldest message of each direction."""
         if self.to_keeper:
-            self.side.take(self, self.to_keeper.pop(0))
+            self.keeper.handle_message(self, self.to_keeper.pop(0))
         if self.to_entry:
             self.entry.feed.on_keeper_message(self.followed, self.to_entry.pop(0))
 
@@ -114,7 +114,7 @@
         """Lose the stream, and with it what is on its way."""
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.side.feed.remove_follower(stream)
+            stream.keeper.feed.remove_follower(stream)
 
 
 class _Feed(table_feed.TableFeed):
@@ -145,7 +145,7 @@
         self.failures = 0
         self.version = 0
         self.evacuated_halls = frozenset()
-        self.orders_before = get_evacuations(fleet.group.acknowledged).revision
+        self.order_revision_before = get_evacuations(fleet.group.acknowledged).revision
         self.timers = simulated_clock.Clock()
         config = gateway_setting.make_settings()
         config.keepers = fleet.draw_seeds()
@@ -200,15 +200,15 @@
 
     :param seed: seed of every choice.
     :param size: founding keepers.
-    :ivar closed: pairs of an entry's name and a keeper's address between which nothing passes.
+    :ivar cut_links: pairs of an entry's name and a keeper's address between which nothing passes.
     """
 
     def __init__(self, seed, size):
         self.group = _Group(self, seed, size)
-        self.closed = set()
-        self.sides = {}
+        self.cut_links = set()
+        self.keeper_incarnations = {}
         self.entries = {}
-        self._note_lives()
+        self._update_incarnations()
         for name in ("entry-1", "entry-2"):
             self.start_entry(name)
 
@@ -227,50 +227,50 @@
 
     def crash_keeper(self, address):
         self.group.nodes[address].crash()
-        self._note_lives()
+        self._update_incarnations()
 
     def on_advance(self):
-        self._note_lives()
+        self._update_incarnations()
         for entry in self.entries.values():
             self._connect(entry)
             entry.timers.run(consensus_group.STEP_S)
-        for side in self.sides.values():
-            side.timers.run(consensus_group.STEP_S)
-        if not self.closed:
+        for keeper in self.keeper_incarnations.values():
+            keeper.timers.run(consensus_group.STEP_S)
+        if not self.cut_links:
             self.deliver_all()
 
-    def _note_lives(self):
+    def _update_incarnations(self):
         """End the streams of keepers that died, and begin the lives of those that started."""
         up = {node.address: node for node in self.group.up()}
-        for address, side in list(self.sides.items()):
+        for address, keeper in list(self.keeper_incarnations.items()):
             node = up.get(address)
-            if node is None or node.consensus is not side.consensus:
-                del self.sides[address]
-                self._end_streams(lambda stream, side=side: stream.side is side)
+            if node is None or node.consensus is not keeper.consensus:
+                del self.keeper_incarnations[address]
+                self._end_streams(lambda stream, keeper=keeper: stream.keeper is keeper)
         for address, node in up.items():
-            if address not in self.sides:
-                self.sides[address] = KeeperSide(self.group, node)
-        for side in self.sides.values():
-            side.note_changes()
+            if address not in self.keeper_incarnations:
+                self.keeper_incarnations[address] = KeeperIncarnation(self.group, node)
+        for keeper in self.keeper_incarnations.values():
+            keeper.broadcast_changes()
 
-    def _end_streams(self, is_meant):
+    def _end_streams(self, matches):
         for entry in self.entries.values():
             for stream in entry.get_streams():
-                if is_meant(stream):
+                if matches(stream):
                     stream.followed.client.end()
                     stream.followed.on_peer_lost()
 
-    def close(self, name, address):
+    def cut_link(self, name, address):
         """Cut an entry off from a keeper."""
-        self.closed.add((name, address))
+        self.cut_links.add((name, address))
         self._end_streams(lambda stream: stream.name == name and stream.followed.address == address)
 
     def _connect(self, entry):
         for address, followed in list(entry.feed._keepers.items()):
-            is_closed = (entry.name, address) in self.closed
-            if followed.client.is_ready or is_closed or address not in self.sides:
+            is_cut = (entry.name, address) in self.cut_links
+            if followed.client.is_ready or is_cut or address not in self.keeper_incarnations:
                 continue
-            followed.client.stream = Stream(entry, followed, self.sides[address])
+            followed.client.stream = Stream(entry, followed, self.keeper_incarnations[address])
             followed.on_peer_ready()
 
     def deliver(self, entry):
@@ -292,16 +292,16 @@
                 return
 
     def check(self):
-        self._note_lives()
+        self._update_incarnations()
         for entry in self.entries.values():
             assert entry.version == entry.feed.version
             if entry.feed.is_sure:
                 assert entry.version >= entry.acknowledged_before, "sure of an old table"
                 known = entry.feed.evacuation_revision
-                assert known >= entry.orders_before, "sure without an order on a hall"
+                assert known >= entry.order_revision_before, "sure without an order on a hall"
 
     def settle(self, seconds):
         """Let everything be reached and time pass."""
-        self.closed.clear()
+        self.cut_links.clear()
         self.group.settle(seconds)
         self.check()
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -24,7 +24,7 @@
 def test_all_entries_together_send_no_more_than_it_bears(entries, halls):
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S)
     sent_s = fleet.play(seconds=3.0)
-    assert cold_fleet.get_most_in_a_second(sent_s) <= COLD_PER_S
+    assert cold_fleet.get_max_per_second(sent_s) <= COLD_PER_S
     assert len(sent_s) >= MIN_USED_FRACTION * COLD_PER_S * 3.0
 
 
@@ -34,7 +34,7 @@
     """They consider themselves the whole fleet until the cut ends and they learn of the others."""
     lost = ["hall-0"] if is_own_hall else ["hall-1"]
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S, lost=lost)
-    assert cold_fleet.get_most_in_a_second(fleet.play(seconds=3.0)) <= ALLOWED
+    assert cold_fleet.get_max_per_second(fleet.play(seconds=3.0)) <= ALLOWED
 
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
--- a/tests/patterns/test_deadly_content.py
+++ b/tests/patterns/test_deadly_content.py
@@ -25,19 +25,19 @@
     """
 
     def __init__(self, fleet):
-        self.ends = len(fleet.ends)
+        self.ends = len(fleet.crashes)
         self.cut = sum(run.content_id != DEADLY for run in fleet.lost)
         self.refused = sum(content_id != DEADLY for content_id, _, _ in fleet.refused)
 
 
 def _play(seed):
-    fleet = content_fleet.ContentFleet(entries=8, places=9, seed=seed)
+    fleet = content_fleet.ContentFleet(entries=8, simulated_instances=9, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
-    fleet.begin_traffic(9.0, lasting_s=4.0)
+    fleet.begin_traffic(9.0, duration_s=4.0)
     fleet.run(8.0)
-    fleet.send_lost_again(0.5, lasting_s=4.0)
-    fleet.repeat(DEADLY, pause_s=1.5, for_s=15.0)
+    fleet.retry_lost_requests(0.5, duration_s=4.0)
+    fleet.send_repeatedly(DEADLY, pause_s=1.5, for_s=15.0)
     fleet.run(16.0)
     return Outcome(fleet)
 
--- a/tests/patterns/test_lifted_limit.py
+++ b/tests/patterns/test_lifted_limit.py
@@ -21,7 +21,7 @@
     fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
     fleet.set_limit(None, name)
     fleet.run(RECOVERY_S)
-    assert fleet.get_limited(name) == []
+    assert fleet.get_entries_with_limit(name) == []
 
 
 @pytest.mark.parametrize("seed", [11, 21, 48])
@@ -33,7 +33,7 @@
     fleet.play(requests_per_s=350, for_s=PLAY_S)
     fleet.set_limit(None, name)
     fleet.run(RECOVERY_S)
-    assert fleet.get_limited(name) == []
+    assert fleet.get_entries_with_limit(name) == []
 
 
 @pytest.mark.parametrize("limit_per_s", [0.0, 0.01])
@@ -43,14 +43,14 @@
     name = fleet.instances[0]
     fleet.set_limit(limit_per_s, name)
     bound_s = fleet.play(requests_per_s=50, for_s=12.0)
-    assert limit_fleet.get_most(fleet.upstreams[name].get_times_s(bound_s)) <= 1
+    assert limit_fleet.get_max_in_window(fleet.upstreams[name].get_times_s(bound_s)) <= 1
     fleet.set_limit(None, name)
     fleet.run(5.0 + 1.0)
-    assert fleet.get_limited(name) == []
+    assert fleet.get_entries_with_limit(name) == []
 
 
 def test_a_limit_beyond_all_load_changes_nothing():
     fleet = limit_fleet.LimitFleet(entries=8)
     fleet.set_limit(1e9, fleet.instances[0])
     fleet.play(requests_per_s=50, for_s=PLAY_S)
-    assert fleet.get_limited(fleet.instances[0]) == []
+    assert fleet.get_entries_with_limit(fleet.instances[0]) == []
--- a/tests/patterns/test_limited_instance.py
+++ b/tests/patterns/test_limited_instance.py
@@ -19,7 +19,9 @@
 
 def _check(fleet, name, bound_s, limit_per_s, *, for_s=PLAY_S):
     times_s = fleet.upstreams[name].get_times_s(bound_s)
-    assert limit_fleet.get_most(times_s) <= max(limit_fleet.get_allowed(limit_per_s) - 5, 3)
+    assert limit_fleet.get_max_in_window(times_s) <= max(
+        limit_fleet.get_max_allowed(limit_per_s) - 5, 3
+    )
     assert len(times_s) >= MIN_USED_FRACTION * limit_per_s * for_s
 
 
@@ -43,6 +45,6 @@
     bound_s = fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
     for name in fleet.instances:
         _check(fleet, name, bound_s, 2.0)
-    waited_s = sorted(at_s - request.came_s for request, at_s, _ in fleet.refused)
+    waited_s = sorted(at_s - request.arrived_s for request, at_s, _ in fleet.refused)
     assert waited_s[int(0.95 * len(waited_s))] <= 0.25
     assert all(retry_after_ms > 0 for _, _, retry_after_ms in fleet.refused)
--- a/tests/patterns/test_scarce_permits.py
+++ b/tests/patterns/test_scarce_permits.py
@@ -79,7 +79,7 @@
         fleet.set_limit(limit_per_s)
         fleet.begin_traffic(max(50, entries))
         fleet.run(2.0)
-        fleet.forget_traffic()
+        fleet.clear_traffic()
         fleet.run(4.0)
         means.append(fleet.get_traffic(fleet.entry_processes, 4.0)[0])
     assert means[1] - means[0] <= MAX_BYTES_PER_S * 3
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -117,11 +117,11 @@
 
 def _check_limit(records, word, arrivals):
     bound = [at_s for at_s, _ in arrivals if at_s >= word.began_s + limit_fleet.CONTACT_S]
-    most = limit_fleet.get_most(bound)
+    most = limit_fleet.get_max_in_window(bound)
     was_calm = not any(
         records.was_disturbed(entry, word.began_s, word.ended_s) for entry in plan.ENTRIES
     )
-    if was_calm and most > limit_fleet.get_allowed(plan.LIMIT_PER_S):
+    if was_calm and most > limit_fleet.get_max_allowed(plan.LIMIT_PER_S):
         yield f"{word.target} got {most} requests within its limit"
 
 
--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -29,43 +29,43 @@
 @pytest.mark.parametrize("loss", [0.01, 0.2])
 def test_a_series_ends_two_instances_and_is_held_everywhere(loss, seed):
     fleet = _make(loss=loss, seed=seed)
-    fleet.begin_traffic(20.0, lasting_s=2.0)
-    fleet.repeat(DEADLY, pause_s=1.5, for_s=15.0)
+    fleet.begin_traffic(20.0, duration_s=2.0)
+    fleet.send_repeatedly(DEADLY, pause_s=1.5, for_s=15.0)
     fleet.run(15.0)
-    assert len(fleet.ends) <= quarantine.WAVES_TO_HOLD
+    assert len(fleet.crashes) <= quarantine.WAVES_TO_HOLD
     assert fleet.get_holders(DEADLY) == list(range(8))
 
 
 @pytest.mark.parametrize("entries", [24, 67, 195, 350])
 def test_what_is_found_is_known_everywhere_within_three_seconds(entries):
-    fleet = _make(entries=entries, halls=5, keepers=5, places=20)
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=2.0)
+    fleet = _make(entries=entries, halls=5, keepers=5, simulated_instances=20)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=2.0)
     fleet.run(2.0)
-    found_s = fleet.ends[-1][1]
+    found_s = fleet.crashes[-1][1]
     fleet.run(max(0.0, found_s + content_fleet.CONTACT_S - fleet.clock.now_s))
     assert len(fleet.get_holders(DEADLY)) == entries
 
 
 def test_many_at_once_are_held_after_the_first_ends():
-    fleet = _make(places=12)
+    fleet = _make(simulated_instances=12)
     for number in range(8):
         fleet.send(number, DEADLY)
     fleet.run(content_fleet.CONTACT_S)
-    fleet.repeat(DEADLY, pause_s=0.2, for_s=10.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.2, for_s=10.0)
     fleet.run(12.0)
     assert fleet.count_late_runs(DEADLY) <= MAX_LATE_RUNS
 
 
 def test_it_is_run_by_itself_once_and_then_no_more():
     fleet = _make()
-    fleet.repeat(DEADLY, pause_s=1.0, for_s=200.0)
+    fleet.send_repeatedly(DEADLY, pause_s=1.0, for_s=200.0)
     fleet.run(210.0)
-    assert len(fleet.ends) == quarantine.WAVES_TO_HOLD + 1
+    assert len(fleet.crashes) == quarantine.WAVES_TO_HOLD + 1
 
 
 def test_an_entry_that_starts_hears_of_it_within_three_seconds():
     fleet = _make()
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
     fleet.restart_entry(3)
     fleet.run(content_fleet.CONTACT_S)
@@ -75,7 +75,7 @@
 def test_entries_that_start_one_soon_after_the_other_are_each_told_at_once():
     """An entry has a route table some 50 ms after its start, and must know held contents then."""
     fleet = _make(loss=0.0)
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
     for number in (3, 5, 6):
         fleet.restart_entry(number)
@@ -85,7 +85,7 @@
 
 def test_an_entry_knows_whether_it_was_told_all():
     """The records do not fit into one datagram."""
-    fleet = _make(places=60, loss=0.0)
+    fleet = _make(simulated_instances=60, loss=0.0)
     contents = [content_fleet.make_id(f"deadly-{number}") for number in range(12)]
     for number, content_id in enumerate(contents):
         fleet.deadly.add(content_id)
@@ -104,7 +104,7 @@
 
 def test_all_hubs_may_start_anew_at_once():
     fleet = _make()
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
     for number in range(3):
         fleet.restart_hub(number)
@@ -119,7 +119,7 @@
     inside = [n for n, entry in enumerate(fleet.entries) if entry.process.hall == "hall-0"]
     fleet.net.cut_off_halls.add("hall-0")
     fleet.run(2.0)
-    fleet.repeat(DEADLY, pause_s=0.7, for_s=3.0, entries=inside)
+    fleet.send_repeatedly(DEADLY, pause_s=0.7, for_s=3.0, entries=inside)
     fleet.run(4.0)
     assert fleet.get_holders(DEADLY) == inside
     fleet.net.cut_off_halls.clear()
@@ -128,8 +128,8 @@
 
 
 def test_a_flood_of_different_ones_is_bounded_in_memory_and_bytes():
-    fleet = _make(entries=24, places=200)
-    fleet.forget_traffic()
+    fleet = _make(entries=24, simulated_instances=200)
+    fleet.clear_traffic()
 
     def _send(number):
         content_id = content_fleet.make_id(f"deadly-{number}")
@@ -153,21 +153,23 @@
 
     @stateful.initialize(seed=strategies.integers(0, 9_999), loss=strategies.sampled_from([0, 0.1]))
     def begin(self, seed, loss):
-        self.fleet = content_fleet.ContentFleet(entries=6, places=5, seed=seed, loss=loss)
+        self.fleet = content_fleet.ContentFleet(
+            entries=6, simulated_instances=5, seed=seed, loss=loss
+        )
         self.fleet.deadly.update(self.CONTENTS[:2])
         self.fleet.run(2.0)
 
     @stateful.rule(
         number=strategies.integers(0, 5),
         content=strategies.sampled_from(CONTENTS),
-        lasting_s=strategies.floats(0.05, 5.0),
+        duration_s=strategies.floats(0.05, 5.0),
     )
-    def send(self, number, content, lasting_s):
-        self.fleet.send(number, content, lasting_s=lasting_s)
+    def send(self, number, content, duration_s):
+        self.fleet.send(number, content, duration_s=duration_s)
 
     @stateful.rule(number=strategies.integers(0, 4))
     def end_instance(self, number):
-        self.fleet.end(self.fleet.places[number])
+        self.fleet.crash(self.fleet.simulated_instances[number])
 
     @stateful.rule(number=strategies.integers(0, 5))
     def restart_entry(self, number):
@@ -198,7 +200,7 @@
         for entry in self.fleet.entries:
             for record in entry.contents._quarantine.registry.get_all():
                 for key in record.ends:
-                    assert record.content_id in self.fleet.ended_lives[key]
+                    assert record.content_id in self.fleet.crashed_incarnations[key]
 
     def teardown(self):
         if not hasattr(self, "fleet"):
@@ -222,7 +224,7 @@
         fleet = self.fleet
         fleet.run(quarantine.TRIAL_DELAY_S)
         began_s = fleet.clock.now_s
-        fleet.send(0, content, lasting_s=0.1)
+        fleet.send(0, content, duration_s=0.1)
         fleet.run(quarantine.CLAIM_S + content_fleet.CONTACT_S)
         assert any(run.content_id == content and run.sent_s >= began_s for run in fleet.sent)
 
@@ -235,23 +237,23 @@
 
 def test_numbers_of_instances_are_those_of_the_news():
     fleet = _make()
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=2.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=2.0)
     fleet.run(3.0)
     (record,) = fleet.entries[0].contents._quarantine.registry.get_all()
-    assert set(record.ends) <= set(fleet.ended_lives)
-    assert shared_load.get_key(fleet.places[0].incarnation_id) not in record.ends
+    assert set(record.ends) <= set(fleet.crashed_incarnations)
+    assert shared_load.get_key(fleet.simulated_instances[0].incarnation_id) not in record.ends
 
 
 @pytest.mark.parametrize("lost_disks", [(), (0, 1)], ids=["none", "two"])
 def test_what_is_known_outlasts_the_loss_of_all_power(lost_disks):
     """Entries have no disk; one keeper that had the records is enough."""
     fleet = _make()
-    fleet.repeat(DEADLY, pause_s=0.5, for_s=3.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.5, for_s=3.0)
     fleet.run(4.0)
-    ended = len(fleet.ends)
+    ended = len(fleet.crashes)
     fleet.lose_all_power(down_s=2.0, lost_disks=lost_disks)
     fleet.run(3.0 + content_fleet.CONTACT_S)
-    fleet.repeat(DEADLY, pause_s=0.2, for_s=10.0)
+    fleet.send_repeatedly(DEADLY, pause_s=0.2, for_s=10.0)
     fleet.run(12.0)
-    assert len(fleet.ends) == ended
+    assert len(fleet.crashes) == ended
     assert fleet.get_holders(DEADLY) == list(range(8))
--- a/tests/unit/test_fleet_repeats.py
+++ b/tests/unit/test_fleet_repeats.py
@@ -10,7 +10,7 @@
 from lib import load_fleet
 
 fleet = load_fleet.LoadFleet(entries=24, halls=3, keepers=6, instances=9)
-fleet.begin_load(20, lasting_s=3.0)
+fleet.begin_load(20, duration_s=3.0)
 fleet.run(3.0)
 print([[at_s for at_s, _ in hub.sent] for hub in fleet.hubs], fleet.ages_ms)
 """
--- a/tests/unit/test_gateway_plain.py
+++ b/tests/unit/test_gateway_plain.py
@@ -111,7 +111,7 @@
     setting = gateway_setting.Setting(REPEATABLE, names=("a", "b", "c"))
     first = setting.last.address.removesuffix(":80")
     left = [name for name in setting.names if name != first]
-    setting.list(leaving=left[:1])
+    setting.apply_list(leaving=left[:1])
     setting.last.answer(500, gateway_setting.SIGNED, b"error")
     assert setting.last.address == f"{left[1]}:80"
 
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -134,7 +134,7 @@
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
     setting.leave(source)
     target = _get_copy_targets(setting)[0].removesuffix(":80")
-    setting.list(leaving=[source, target])
+    setting.apply_list(leaving=[source, target])
     setting.exchange.on_instances_changed()
     targets = _get_copy_targets(setting)
     assert len(targets) == 2
@@ -150,7 +150,7 @@
     rejecting, target = _get_copy_targets(setting)
     setting.calls.copies[-1].answer(200, [], b'{"handle": "h-1", "made": 3}')
     setting.last.answer(200, SIGNED, make_events(4, 1), whole=False)
-    setting.list(leaving=[first, target.removesuffix(":80")])
+    setting.apply_list(leaving=[first, target.removesuffix(":80")])
     setting.exchange.on_instances_changed()
     assert _get_copy_targets(setting)[-1] == rejecting
 
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -177,7 +177,7 @@
     setting.last.lose()
     contents.record_ended("i-1", "no longer listed")
     assert not contents.is_suspect(setting.exchange.job.content_id)
-    assert not setting.asked
+    assert not setting.end_queries
 
 
 def test_a_loss_is_asked_about_and_counts_once_the_instance_is_known_to_have_ended(clock):
@@ -185,7 +185,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
     setting.last.lose()
-    (upstream,) = setting.asked
+    (upstream,) = setting.end_queries
     assert not contents.is_suspect(setting.exchange.job.content_id)
     contents.record_ended(upstream.instance.incarnation_id, "Connection refused")
     assert contents.is_suspect(setting.exchange.job.content_id)
@@ -195,7 +195,7 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.lose(links.REFUSED)
-    assert not setting.asked
+    assert not setting.end_queries
     contents.record_ended("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
@@ -212,7 +212,7 @@
         self.content_id = setting.exchange.job.content_id
         setting.last.send()
         setting.last.lose()
-        (self.upstream,) = setting.asked
+        (self.upstream,) = setting.end_queries
         self.watch = end_watch.EndWatch(
             self.calls,
             self.timers,
@@ -440,7 +440,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
     setting.caller.on_gone()
-    setting.list(leaving=leave)
+    setting.apply_list(leaving=leave)
     return setting
 
 
@@ -453,7 +453,7 @@
     _abandon(contents)
     other = gateway_setting.Setting(ONCE, contents=contents, names=("i-1",))
     other.last.lose(links.REFUSED)
-    assert [upstream.instance.incarnation_id for upstream in other.asked] == ["i-1"]
+    assert [upstream.instance.incarnation_id for upstream in other.end_queries] == ["i-1"]
 
 
 def test_an_instance_with_an_alarm_is_asked_where_a_request_was_abandoned(clock):
@@ -461,17 +461,17 @@
     setting = _abandon(_make_contents(clock))
     upstream = setting.registry.get("i-1")
     _make_events(setting).drain(upstream)
-    assert setting.asked == [upstream]
+    assert setting.end_queries == [upstream]
 
 
 def test_an_instance_is_not_asked_long_after_or_when_it_leaves(clock):
     leaving = _abandon(_make_contents(clock), leave=["i-1"])
     _make_events(leaving).drain(leaving.registry.get("i-1"))
-    assert not leaving.asked
+    assert not leaving.end_queries
     abandoned = _abandon(_make_contents(clock))
     clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
     _make_events(abandoned).drain(abandoned.registry.get("i-1"))
-    assert not abandoned.asked
+    assert not abandoned.end_queries
 
 
 def test_what_is_abandoned_is_known_to_have_gone_when_the_end_is_known(clock):
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_announcements.py
@@ -56,7 +56,7 @@
 def _get_block_reason(setting, upstream, now_s):
     service = setting.exchange.job.service
     return setting.context.gate.get_block_reason(
-        service, upstream, now_s, request_priority=gateway_setting.CLAIM
+        service, upstream, now_s, request_priority=gateway_setting.REQUEST_PRIORITY
     )
 
 
@@ -129,7 +129,7 @@
 def test_a_word_of_another_instance_at_the_address_is_none_of_this_one():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), attempts=1)
     (upstream,) = setting.registry.get_all()
-    setting.news.handle_answer(upstream, _read(421, retry_after="3"), 0.0)
+    setting.events.handle_answer(upstream, _read(421, retry_after="3"), 0.0)
     assert not upstream.rest.is_resting(0.1)
 
 
@@ -142,7 +142,7 @@
     setting = gateway_setting.Setting(kind, names=("i-1",))
     (upstream,) = setting.registry.get_all()
     setting.last.user.on_answer_head(200, LEAVING)
-    setting.list()
+    setting.apply_list()
     now_s = clocks.get_s()
     for later_s in (0.0, 5.0, 600.0):
         assert (
@@ -150,7 +150,7 @@
             is upstream_gate.BlockReason.LEAVING
         )
     assert setting.alarms == [("i-1", shared_load.AlarmKind.LEAVING, 0)]
-    setting.news.handle_answer(upstream, _read(200), now_s)
+    setting.events.handle_answer(upstream, _read(200), now_s)
     assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.LEAVING
 
 
@@ -160,7 +160,7 @@
     setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
     setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
     name = setting.last.address.removesuffix(":80")
-    setting.news.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
+    setting.events.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
     assert len(setting.calls.copies) == 1
 
 
@@ -171,14 +171,14 @@
     setting.last.user.on_answer_head(200, LEAVING)
     assert upstream.is_expected_to_end(clocks.get_s() + 60.0)
     setting.last.lose()
-    assert setting.asked == []
+    assert setting.end_queries == []
 
 
 def test_an_instance_that_starts_again_under_its_id_does_not_leave():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), started_ms=1)
     setting.last.user.on_answer_head(200, LEAVING)
     setting.started_ms = 2
-    setting.list()
+    setting.apply_list()
     (upstream,) = setting.registry.get_all()
     assert _get_block_reason(setting, upstream, clocks.get_s()) is None
 
@@ -187,7 +187,7 @@
     fleet = limit_fleet.LimitFleet(entries=8)
     entry = fleet.entries[0]
     name, *_ = fleet.instances
-    entry.news.handle_answer(
+    entry.events.handle_answer(
         entry.registry.get(name), _read(200, server_leaving="1"), fleet.clock()
     )
     fleet.run(0.3)
@@ -207,7 +207,7 @@
 
 def _handle_answer(fleet, number, name, status, **headers):
     entry = fleet.entries[number]
-    entry.news.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
+    entry.events.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
 @pytest.mark.parametrize("said_to", [0, 1])
--- a/tests/unit/test_limit_fleet.py
+++ b/tests/unit/test_limit_fleet.py
@@ -21,7 +21,7 @@
 
 def _check(fleet, since_s, *, used_part=0.0):
     times_s = fleet.upstreams[fleet.instances[0]].get_times_s(since_s)
-    assert limit_fleet.get_most(times_s) <= limit_fleet.get_allowed(LIMIT_PER_S)
+    assert limit_fleet.get_max_in_window(times_s) <= limit_fleet.get_max_allowed(LIMIT_PER_S)
     assert len(times_s) >= used_part * LIMIT_PER_S * (fleet.clock() - since_s)
 
 
@@ -62,13 +62,13 @@
     for number in range(0, 24, 2):
         fleet.restart_entry(number)
     fleet.run(0.1)
-    limited = fleet.get_limited(fleet.instances[0])
+    limited = fleet.get_entries_with_limit(fleet.instances[0])
     updated = [number for number in range(24) if fleet.entries[number].sharing.has_snapshot]
     # One in a hundred datagrams is lost, including first ones.
     assert len(updated) > 20
     assert set(updated) <= set(limited)
     fleet.run(0.3)
-    assert len(fleet.get_limited(fleet.instances[0])) == 24
+    assert len(fleet.get_entries_with_limit(fleet.instances[0])) == 24
 
 
 def test_the_limit_holds_while_a_granter_starts_again_and_again():
@@ -113,17 +113,17 @@
     here = [number for number in range(24) if fleet.entries[number].process.hall == "hall-0"]
     fleet.begin_traffic(40, entries=here)
     fleet.run(limit_fleet.CONTACT_S)
-    assert len(fleet.get_limited(first)) == 24
+    assert len(fleet.get_entries_with_limit(first)) == 24
     fleet.net.cut_keepers.update(hub.name for hub in fleet.hubs)
     fleet.run(2.0)
     fleet.set_limit(None, first)
     kind = shared_load.AlarmKind.LEAVING
     fleet.entries[here[0]].sharing.broadcast_alarm(second, kind)
     fleet.run(6.0)
-    assert len(fleet.get_limited(first)) >= 24 - len(here)
+    assert len(fleet.get_entries_with_limit(first)) >= 24 - len(here)
     fleet.net.cut_keepers.clear()
     fleet.run(3.0)
-    assert fleet.get_limited(first) == []
+    assert fleet.get_entries_with_limit(first) == []
     others = [entry for number, entry in enumerate(fleet.entries) if number != here[0]]
     assert [entry for entry in others if not entry.registry.get(second).has_announced_leaving] == []
 
@@ -135,23 +135,23 @@
     fleet.set_limit(LIMIT_PER_S, name)
     fleet.net.loss = 1.0
     fleet.send(0)
-    while not fleet.get_limited(name):
+    while not fleet.get_entries_with_limit(name):
         fleet.send(0)
         fleet.run(0.01)
     fleet.run(0.7)
     fleet.net.loss = 0.01
     fleet.run(2.0)
-    assert len(fleet.get_limited(name)) == 24
+    assert len(fleet.get_entries_with_limit(name)) == 24
 
 
 def test_the_newest_statement_wins_where_two_cross():
     fleet = _make()
     fleet.set_limit(None, fleet.instances[0])
     fleet.run(3.0)
-    assert fleet.get_limited(fleet.instances[0]) == []
+    assert fleet.get_entries_with_limit(fleet.instances[0]) == []
     fleet.set_limit(LIMIT_PER_S, fleet.instances[0])
     fleet.run(3.0)
-    assert len(fleet.get_limited(fleet.instances[0])) == 24
+    assert len(fleet.get_entries_with_limit(fleet.instances[0])) == 24
 
 
 def test_a_low_limit_is_used_beside_one_that_takes_all_requests():
@@ -222,8 +222,8 @@
             if instance.limit_per_s is None:
                 continue
             since_s = max(self.changed_s[name], self.excused_s) + limit_fleet.CONTACT_S
-            allowed = limit_fleet.get_allowed(instance.limit_per_s)
-            assert limit_fleet.get_most(instance.get_times_s(since_s)) <= allowed
+            allowed = limit_fleet.get_max_allowed(instance.limit_per_s)
+            assert limit_fleet.get_max_in_window(instance.get_times_s(since_s)) <= allowed
 
     def teardown(self):
         """Without disturbances each limit is used, and instances without one are not limited."""
@@ -239,7 +239,7 @@
         fleet.run(6.0)
         for name, instance in fleet.upstreams.items():
             if instance.limit_per_s is None:
-                assert fleet.get_limited(name) == []
+                assert fleet.get_entries_with_limit(name) == []
             else:
                 wanted = min(0.7 * instance.limit_per_s, 3.0) * 6.0 - 1.0
                 assert len(instance.get_times_s(began_s)) >= wanted
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -41,8 +41,8 @@
     entries, halls, keepers, instances, requests_per_s
 ):
     fleet = _make(entries, halls, keepers, instances)
-    fleet.forget_traffic()
-    fleet.begin_load(requests_per_s, lasting_s=3.0)
+    fleet.clear_traffic()
+    fleet.begin_load(requests_per_s, duration_s=3.0)
     fleet.run(6.0)
     mean_bytes_s, burst_bytes = fleet.get_traffic(fleet.entry_processes, 6.0)
     assert mean_bytes_s < MAX_CONTROL_BYTES_PER_S
@@ -54,7 +54,7 @@
 
 def test_no_hall_is_believed_silent_while_datagrams_are_lost(caplog):
     fleet = _make(entries=60, halls=5, keepers=5, loss=0.1)
-    fleet.begin_load(40, lasting_s=3.0)
+    fleet.begin_load(40, duration_s=3.0)
     for _ in range(50):
         fleet.run(0.2)
         for entry in fleet.entries:
@@ -66,64 +66,64 @@
 def test_when_the_load_stands_still_every_entry_knows_all_of_it(loss):
     fleet = _make(loss=loss)
     for number, entry in enumerate(fleet.entries):
-        entry.hold(fleet.instances[number % 9], "r", 100 + number)
-    fleet.entries[0].drop(fleet.instances[0], "r")
+        entry.begin_request(fleet.instances[number % 9], "r", 100 + number)
+    fleet.entries[0].end_request(fleet.instances[0], "r")
     fleet.run(4.0)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_a_hubs_death_loses_no_knowledge_and_its_entries_find_another():
     fleet = _make()
     for number, entry in enumerate(fleet.entries):
-        entry.hold(fleet.instances[number % 9], "r", 100 + number)
+        entry.begin_request(fleet.instances[number % 9], "r", 100 + number)
     fleet.run(1.0)
     fleet.kill("keeper-000")
-    fleet.entries[0].hold(fleet.instances[5], "late", 7)
+    fleet.entries[0].begin_request(fleet.instances[5], "late", 7)
     fleet.run(EXPIRED_S)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_a_hub_that_falls_silent_without_a_reset_is_left_for_another():
     """Its datagrams just stop; no connection is reset."""
     fleet = _make()
     fleet.hubs[0].is_up = False
-    fleet.entries[0].hold(fleet.instances[5], "late", 7)
+    fleet.entries[0].begin_request(fleet.instances[5], "late", 7)
     fleet.run(EXPIRED_S)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
     fleet.hubs[0].is_up = True
     fleet.run(hub_choice.MAX_BACKOFF_S + 3.0)
     present = {entry.sharing._hub_choice.current for entry in fleet.entries}
     assert fleet.hubs[0].address in present
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_two_hubs_that_die_together_leave_their_entries_with_the_third():
     fleet = _make()
     fleet.kill("keeper-000", "keeper-001")
-    fleet.entries[0].hold(fleet.instances[5], "late", 7)
+    fleet.entries[0].begin_request(fleet.instances[5], "late", 7)
     fleet.run(EXPIRED_S)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_without_any_keeper_the_first_entries_are_hubs_and_no_hall_is_silent():
     fleet = _make()
     fleet.kill("keeper-000", "keeper-001", "keeper-002")
-    fleet.entries[0].hold(fleet.instances[5], "late", 7)
+    fleet.entries[0].begin_request(fleet.instances[5], "late", 7)
     for _ in range(40):
         fleet.run(0.2)
         assert not any(entry.sharing.is_isolated() for entry in fleet.entries)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
     assert not any(entry.sharing.get_silent_halls() for entry in fleet.entries)
 
 
 def test_a_dead_entrys_load_is_forgotten():
     fleet = _make()
-    fleet.entries[0].hold(fleet.instances[5], "r", 700)
+    fleet.entries[0].begin_request(fleet.instances[5], "r", 700)
     fleet.run(1.0)
     assert fleet.entries[7].registry.get(fleet.instances[5]).others.tokens == 700
     fleet.kill("entry-000")
     fleet.run(EXPIRED_S)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_entries_that_join_during_the_day_are_counted():
@@ -131,9 +131,9 @@
     joining = fleet._add("entry", 24)
     entry = load_fleet.Entry(fleet, joining, fleet.known, fleet.listed)
     fleet.entries.append(entry)
-    entry.hold(fleet.instances[2], "r", 50)
+    entry.begin_request(fleet.instances[2], "r", 50)
     fleet.run(1.5)
-    assert fleet.is_agreed()
+    assert fleet.is_consistent()
 
 
 def test_a_cut_hall_is_noticed_from_both_sides_and_its_return_too():
@@ -153,7 +153,7 @@
     fleet = _make(entries=20, halls=4, keepers=3)
     fleet.net.cut_off_halls.add("hall-3")
     inside = [entry for entry in fleet.entries if entry.process.hall == "hall-3"]
-    inside[0].hold(fleet.instances[0], "r", 90)
+    inside[0].begin_request(fleet.instances[0], "r", 90)
     fleet.run(6.0)
     assert {entry.registry.get(fleet.instances[0]).others.tokens for entry in inside[1:]} == {90}
     assert all(entry.sharing.is_isolated() for entry in inside)
@@ -214,10 +214,10 @@
 
 def test_few_entries_show_themselves_to_all_hubs():
     fleet = _make(entries=120)
-    fleet.forget_traffic()
+    fleet.clear_traffic()
     fleet.run(2.0)
     counts = [
-        sum(address == fleet.hubs[1].address for address in fleet.seen_by(entry))
+        sum(address == fleet.hubs[1].address for address in fleet.get_receivers(entry))
         for entry in fleet.entries
         if entry.process.hall == "hall-0"
     ]
@@ -235,10 +235,10 @@
 
 def test_a_lost_request_is_told_but_not_for_each_one():
     fleet = _make()
-    fleet.forget_traffic()
+    fleet.clear_traffic()
     for _ in range(5):
         fleet.entries[0].sharing.broadcast_failure("i-00000003")
-    assert len(fleet.seen_by(fleet.entries[0])) == 1
+    assert len(fleet.get_receivers(fleet.entries[0])) == 1
 
 
 def test_an_instance_that_two_entries_lost_requests_at_rests_everywhere():
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -268,7 +268,7 @@
     setting = _make(ONCE, names=("i-1", "i-2"))
     (pending,) = setting.permits._pending_requests.values()
     name = pending.upstream.instance.instance_id
-    setting.list(leaving=[name])
+    setting.apply_list(leaving=[name])
     _reply(setting, V.GRANTED)
     assert f"{name}:80" not in [call.address for call in setting.calls.attempts]
 
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -196,7 +196,7 @@
     fleet = _make_fleet(1_000)
     name = fleet.instances[0]
     for number, entry in enumerate(fleet.entries):
-        entry.hold(f"{name}@1000", f"r{number}", 500)
+        entry.begin_request(f"{name}@1000", f"r{number}", 500)
     fleet.run(1.0)
     late = rng.sample(fleet.entries, 5)
     early = [entry for entry in fleet.entries if entry not in late]
--- a/tests/unit/test_table_fleet.py
+++ b/tests/unit/test_table_fleet.py
@@ -76,11 +76,11 @@
     @stateful.rule(name=strategies.sampled_from(("entry-1", "entry-2")))
     def close(self, name):
         address = self._get_rng().choice(sorted(self.fleet.group.nodes))
-        self.fleet.close(name, address)
+        self.fleet.cut_link(name, address)
 
     @stateful.rule()
     def open(self):
-        self.fleet.closed.clear()
+        self.fleet.cut_links.clear()
 
     @stateful.rule(name=strategies.sampled_from(("entry-1", "entry-2")))
     def restart_entry(self, name):
@@ -177,7 +177,7 @@
     _run_rules(seed)
 
 
-def _run_orders(seed, steps=60, orders_before=0):
+def _run_orders(seed, steps=60, order_revision_before=0):
     """Run mostly orders on halls, while keepers lose their disks and are replaced."""
     rng = random.Random(seed)
     machine = TableFleetMachine()
@@ -198,7 +198,7 @@
     )
     try:
         machine.begin(seed, rng.choice((3, 5, 6)))
-        for _ in range(orders_before):
+        for _ in range(order_revision_before):
             _order()
             machine.advance(4)
         for _ in range(steps):
@@ -211,7 +211,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_orders_on_halls_are_never_lost(seed):
-    _run_orders(seed, orders_before=40 * (seed % 2))
+    _run_orders(seed, order_revision_before=40 * (seed % 2))
 
 
 def test_defect_a_keeper_that_confirms_what_it_starts_with_is_caught(monkeypatch):
@@ -230,7 +230,7 @@
 
 def test_defect_an_announcement_that_is_lost_is_caught(monkeypatch):
     """A keeper announces each version only once per stream."""
-    monkeypatch.setattr(table_fleet.KeeperSide, "note_changes", lambda self: None)
+    monkeypatch.setattr(table_fleet.KeeperIncarnation, "broadcast_changes", lambda self: None)
     with pytest.raises(AssertionError):
         for seed in range(10):
             _run_rules(seed)
@@ -247,4 +247,4 @@
     monkeypatch.setattr(consensus_group.ListMachine, "load", _load)
     with pytest.raises(AssertionError):
         for seed in range(40):
-            _run_orders(seed, orders_before=40)
+            _run_orders(seed, order_revision_before=40)
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -68,7 +68,7 @@
 
 
 def _get_block_reason(gate, upstream, **options):
-    request_priority = gateway_setting.CLAIM
+    request_priority = gateway_setting.REQUEST_PRIORITY
     return gate.get_block_reason(
         SERVICE, upstream, NOW_S, request_priority=request_priority, **options
     )
@@ -95,7 +95,7 @@
         cut_off_halls=(),
         now_s=NOW_S,
         gate=gate,
-        request_priority=gateway_setting.CLAIM,
+        request_priority=gateway_setting.REQUEST_PRIORITY,
         rng=random.Random(1),
     )
     choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
@@ -112,7 +112,7 @@
 
 def test_a_limited_instance_bars_whom_it_just_rejected_and_none_more_urgent():
     upstream, gate = _make()
-    request_priority = gateway_setting.CLAIM
+    request_priority = gateway_setting.REQUEST_PRIORITY
     gate.backoff.record(
         upstream.key,
         request_priority.rank,
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -36,7 +36,7 @@
         cut_off_halls=cut,
         now_s=now_s,
         gate=gateway_setting.make_gate("entry-1", "hall-a"),
-        request_priority=gateway_setting.CLAIM,
+        request_priority=gateway_setting.REQUEST_PRIORITY,
         rng=random.Random(1),
     )
     return upstream_choice.choose(
@@ -262,7 +262,7 @@
             excluded=(),
             now_s=100.0,
             gate=gateway_setting.make_gate("entry-1", "hall-a"),
-            request_priority=gateway_setting.CLAIM,
+            request_priority=gateway_setting.REQUEST_PRIORITY,
         )
 
     assert _choose_target().instance.instance_id == "mate"
