--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -2,8 +2,8 @@
 
 Usage: .venv/bin/python benchmarks/capacity.py [--json]
 
-Each slope is taken at three or more sizes with real processes, or with the sans-I/O part where
-a process would only add noise.
+Each slope is measured at three or more sizes with real processes, or with the sans-I/O part if a
+process would only add noise.
 """
 
 import argparse
@@ -80,7 +80,7 @@
         return answer.version
 
     def measure_edits(self, version: int) -> list[float]:
-        """Edit one row again and again; return the ms until each edit is in force everywhere."""
+        """Edit one row repeatedly; return the ms until each edit is in force at all entries."""
         waits = []
         for number in range(EDITS):
             key = versioned_table.RowKey("workspaces", "w0")
@@ -100,7 +100,7 @@
 
 
 def measure_table(folder: pathlib.Path) -> list[dict[str, float]]:
-    """Edits against tables of several sizes: time to be in force, processor time, memory."""
+    """Measure edits of tables of several sizes: time to be in force, processor time, memory."""
     results = []
     for count in TABLE_ROWS:
         with fleet.Fleet(folder / f"rows-{count}") as running:
@@ -128,7 +128,7 @@
 
 
 def measure_followers(folder: pathlib.Path) -> list[dict[str, float]]:
-    """What one more entry costs its keeper, idle and for each edit."""
+    """Measure the cost of one more entry at its keeper, idle and per edit."""
     results = []
     for count in FOLLOWERS:
         with fleet.Fleet(folder / f"followers-{count}") as running:
@@ -157,8 +157,8 @@
     return results
 
 
-def _measure_at_rest(folder: pathlib.Path, *, replicas_count: int, entries: int) -> float:
-    """Return what an entry at rest uses, in percent of a core, the mean over the entries."""
+def _measure_idle(folder: pathlib.Path, *, replicas_count: int, entries: int) -> float:
+    """Return the mean processor time of idle entries, in percent of a core."""
     with fleet.Fleet(pathlib.Path(tempfile.mkdtemp(dir=folder))) as running:
         engines = [f"engine-{number}" for number in range(replicas_count)]
         for name in engines:
@@ -179,19 +179,19 @@
 
 
 def measure_polling(folder: pathlib.Path) -> list[dict[str, float]]:
-    """What one more upstream costs an entry that fetches its load report 4 times a second."""
+    """Measure the cost of one more upstream at an entry that reads its load report 4 times/s."""
     results = []
     for count in REPLICAS_POLLED:
-        percent = _measure_at_rest(folder, replicas_count=count, entries=1)
+        percent = _measure_idle(folder, replicas_count=count, entries=1)
         results.append({"replicas": count, "entry_idle_cpu_percent": percent})
     return results
 
 
 def measure_sharing(folder: pathlib.Path) -> list[dict[str, float]]:
-    """What an entry at rest costs when a hall's entries share the fetching of reports."""
+    """Measure idle entries of a hall that share the reading of load reports."""
     results = []
     for entries in SHARING_ENTRIES:
-        percent = _measure_at_rest(folder, replicas_count=SHARED_REPLICAS, entries=entries)
+        percent = _measure_idle(folder, replicas_count=SHARED_REPLICAS, entries=entries)
         item = {"entries": entries, "replicas": SHARED_REPLICAS}
         results.append({**item, "entry_idle_cpu_percent": percent})
     return results
@@ -200,7 +200,7 @@
 def _make_pool(count: int) -> placement.Pool:
     pool = placement.Pool()
     for number in range(count):
-        # A hall has 107 replicas; smaller fleets stand in one hall.
+        # A hall has 107 replicas; smaller fleets are in one hall.
         row = rows.UpstreamRow(address="1.2.3.4:5", hall=f"h{number // 107}", service="m")
         replica = replicas.Replica(f"r{number}", row, 0.0, is_new=False)
         replica.handle_report(
@@ -218,7 +218,7 @@
 
 
 def measure_decisions() -> list[dict[str, float]]:
-    """Processor time of a placement among several numbers of replicas."""
+    """Measure the processor time of a placement, by number of replicas."""
     service = rows.ServiceRow(kind=rows.ServiceKind.MODEL)
     demand = placement.Demand(workspace="w", service="m", prompt_tokens=200, limit_tokens=4_000)
     results = []
@@ -231,7 +231,7 @@
 
 
 def measure_queue() -> list[dict[str, float]]:
-    """Processor time of finding the next request among several numbers of workspaces."""
+    """Measure the processor time of finding the next request, by number of workspaces."""
     results = []
     for count in WAITING_WORKSPACES:
         table_rows = {f"w{n}": rows.WorkspaceRow(key_sha256=[]) for n in range(count)}
@@ -252,7 +252,7 @@
 
 
 def measure_report_parsing() -> dict[str, float]:
-    """Processor time of reading one load report, and its size."""
+    """Measure the processor time of parsing one load report, and its size."""
     text = "\n".join(
         [
             "vllm:num_requests_running 20",
@@ -268,7 +268,7 @@
 
 
 def main() -> None:
-    """Measure everything and print it."""
+    """Run all measurements and print the results."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--json", action="store_true")
     options = parser.parse_args()
--- a/benchmarks/deadly_requests.py
+++ b/benchmarks/deadly_requests.py
@@ -1,6 +1,6 @@
-"""What each way of holding a deadly request costs the others, and how soon all entries know.
+"""Compares rules for holding contents that crash instances, and measures how fast entries learn.
 
-Runs real news over a simulated network (tests/lib/content_fleet.py), so the figures repeat exactly.
+Uses real broadcasts over a simulated network (tests/lib/content_fleet.py); results are repeatable.
 Usage: .venv/bin/python benchmarks/deadly_requests.py
 """
 
@@ -22,13 +22,13 @@
 SIZES = (24, 67, 195, 350)
 
 
-class Way:
-    """One way to hold a request.
+class Rule:
+    """A rule for holding a content.
 
-    :ivar waves: ends, one after the other, after which it is held.
-    :ivar ends: ends in all after which it is held.
-    :ivar is_isolated: it runs where the fewest others do before it is held.
-    :ivar is_broadcast: entries tell each other.
+    :ivar waves: number of waves of crashes after which a content is held.
+    :ivar ends: total number of crashes after which a content is held.
+    :ivar is_isolated: whether a suspect content runs at the instance with the fewest runs.
+    :ivar is_broadcast: whether entries broadcast their records.
     """
 
     def __init__(self, name, waves, ends, *, is_isolated=True, is_broadcast=True):
@@ -39,56 +39,56 @@
         self.is_broadcast = is_broadcast
 
 
-WAYS = (
-    Way("never, placed by chance", NEVER, NEVER, is_isolated=False),
-    Way("never, run apart", NEVER, NEVER),
-    Way("first", 1, 1, is_isolated=False),
-    Way("second", 2, 3, is_isolated=False),
-    Way("second, run apart (kept)", 2, 3),
-    Way("the same, ends at one moment counted singly", 2, 2),
-    Way("the same, entries tell nothing", 2, 3, is_broadcast=False),
-    Way("third", 3, 3, is_isolated=False),
-    Way("third, run apart", 3, 3),
+RULES = (
+    Rule("never, placed by chance", NEVER, NEVER, is_isolated=False),
+    Rule("never, run apart", NEVER, NEVER),
+    Rule("first", 1, 1, is_isolated=False),
+    Rule("second", 2, 3, is_isolated=False),
+    Rule("second, run apart (kept)", 2, 3),
+    Rule("the same, ends at one moment counted singly", 2, 2),
+    Rule("the same, entries tell nothing", 2, 3, is_broadcast=False),
+    Rule("third", 3, 3, is_isolated=False),
+    Rule("third, run apart", 3, 3),
 )
 
-KEPT = WAYS[4]
+SELECTED_RULE = RULES[4]
 STARTS = 12
-"""Entries that start one after the other."""
+"""Number of entries that restart one after another."""
 STEP_S = 0.005
 STEPS_BETWEEN = 20
-"""Looks between two such starts, which makes 0.1 s."""
+"""Steps between two such restarts, 0.1 s in total."""
 GREY_FRACTION = 0.4
-"""Part of the requests that instances fail before they run them."""
+"""Fraction of the requests that fail at an instance before they run."""
 KEEPERS_DISKS = ((0, 1, 2), (), (0, 1))
-"""Keepers that lose their disk with the power; all of them is as if nothing were saved."""
+"""Keepers whose disks are lost with the power; if all are lost, no record survives."""
 
 
 class Fleet(content_fleet.ContentFleet):
-    """A fleet that holds in one of the ways."""
+    """A fleet that applies a rule."""
 
-    def __init__(self, way, seed):
+    def __init__(self, rule, seed):
         super().__init__(entries=8, simulated_instances=9, seed=seed)
-        self._way = way
-        if not way.is_broadcast:
+        self._rule = rule
+        if not rule.is_broadcast:
             for entry in self.entries:
-                entry.contents.handle_update = lambda hub, news: None
+                entry.contents.handle_update = lambda hub, update: None
 
     def _run(self, number, content_id, duration_s, *, is_isolated):
         super()._run(
-            number, content_id, duration_s, is_isolated=is_isolated and self._way.is_isolated
+            number, content_id, duration_s, is_isolated=is_isolated and self._rule.is_isolated
         )
 
 
-def _set(way):
-    quarantine.WAVES_TO_HOLD = way.waves
-    quarantine.ENDS_TO_HOLD = way.ends
-    quarantine.PROVED_WAVES = way.waves + 1
+def _apply(rule):
+    quarantine.WAVES_TO_HOLD = rule.waves
+    quarantine.ENDS_TO_HOLD = rule.ends
+    quarantine.PROVED_WAVES = rule.waves + 1
 
 
-def play(way, seed, pause_s):
-    """Play one series; returns engines ended, answers cut off, sound requests refused and held."""
-    _set(way)
-    fleet = Fleet(way, seed)
+def simulate(rule, seed, pause_s):
+    """Simulate one series; return crashes, lost harmless runs and refused harmless requests."""
+    _apply(rule)
+    fleet = Fleet(rule, seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
     fleet.begin_traffic(6.0, duration_s=4.0)
@@ -101,10 +101,13 @@
     return len(fleet.crashes), cut, refused
 
 
-def play_rack(way, seed):
-    """Have two instances end at one moment while many send one sound request; returns refusals."""
-    _set(way)
-    fleet = Fleet(way, seed)
+def simulate_rack(rule, seed):
+    """Crash two instances at once while many callers send one harmless content.
+
+    :returns: the number of refused requests.
+    """
+    _apply(rule)
+    fleet = Fleet(rule, seed)
     fleet.run(2.0)
 
     def _ask():
@@ -120,7 +123,7 @@
 
 
 def measure_spread(entries, seed):
-    """Return in how many ms all entries know, and one that starts afterwards."""
+    """Return the ms until a content is held at all entries, and at an entry that starts later."""
     fleet = content_fleet.ContentFleet(
         entries=entries, halls=5, keepers=5, simulated_instances=20, seed=seed
     )
@@ -142,7 +145,7 @@
 
 
 def measure_starts(entries, seed):
-    """Return in how many ms each of entries knows that start one soon after the other."""
+    """Return the ms until a content is held at each of the entries that restart in sequence."""
     fleet = content_fleet.ContentFleet(
         entries=entries, halls=5, keepers=5, simulated_instances=20, seed=seed
     )
@@ -164,9 +167,9 @@
 
 
 class GreyFleet(content_fleet.ContentFleet):
-    """A fleet whose instances fail part of the requests before they run them.
+    """A fleet in which a fraction of the requests fails before it runs.
 
-    :param clears: whether such a failure is taken for a good end.
+    :param clears: whether such a failure counts as evidence that the content is harmless.
     """
 
     def __init__(self, *, clears, seed):
@@ -180,8 +183,8 @@
             self.entries[number].contents.record_harmless(content_id)
 
 
-def play_grey(clears, pause_s, seed):
-    """Return the engines ended in one series."""
+def simulate_grey(clears, pause_s, seed):
+    """Return the number of crashes in one series."""
     fleet = GreyFleet(clears=clears, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
@@ -191,16 +194,16 @@
 
 
 def print_grey():
-    """Print a row for each way to take an instance's failure."""
+    """Print a row for each interpretation of an instance's failure."""
     print("pause s | a failure is taken for a good end | engines ended, mean and most")
     for pause_s in PAUSES_S:
         for clears in (True, False):
-            ends = [play_grey(clears, pause_s, seed) for seed in range(SERIES)]
+            ends = [simulate_grey(clears, pause_s, seed) for seed in range(SERIES)]
             print(f"{pause_s} | {clears} | {statistics.mean(ends):.2f}, {max(ends)}")
 
 
-def play_power_loss(seed, pause_s, lost_disks):
-    """Return the engines ended after all power was lost, and the answers cut off then."""
+def simulate_power_loss(seed, pause_s, lost_disks):
+    """Return the number of crashes and of lost harmless runs after a loss of all power."""
     fleet = content_fleet.ContentFleet(entries=8, simulated_instances=9, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
@@ -217,18 +220,18 @@
 
 
 def print_power_losses():
-    """Print a row for each way to outlast the loss of all power."""
+    """Print a row for each set of disks that survives the loss of all power."""
     print("pause s | disks that are left | engines ended after all power was lost, answers cut off")
     for pause_s in PAUSES_S:
         for lost_disks in KEEPERS_DISKS:
-            rows = [play_power_loss(seed, pause_s, lost_disks) for seed in range(SERIES)]
+            rows = [simulate_power_loss(seed, pause_s, lost_disks) for seed in range(SERIES)]
             ends, cut = zip(*rows, strict=True)
             left = 3 - len(lost_disks)
             print(f"{pause_s} | {left} | {statistics.mean(ends):.2f}, {statistics.mean(cut):.2f}")
 
 
 def main() -> None:
-    """Print a row for each size, and for each way and pause."""
+    """Print a row for each fleet size, and for each rule and pause."""
     print("entries | all know after ms, an entry that starts after ms")
     for entries in SIZES:
         print(f"{entries} | {[measure_spread(entries, seed) for seed in range(2)]}", flush=True)
@@ -239,20 +242,20 @@
     print(
         "way | a sound request of 20 a second refused in 10 s, as two instances end at one moment"
     )
-    for way in WAYS:
-        print(f"{way.name} | {statistics.mean(play_rack(way, s) for s in range(SERIES)):.2f}")
+    for rule in RULES:
+        print(f"{rule.name} | {statistics.mean(simulate_rack(rule, s) for s in range(SERIES)):.2f}")
     print("pause s | way | engines ended, answers cut off (standard error), sound ones refused")
     for pause_s in PAUSES_S:
-        for way in WAYS:
-            rows = [play(way, seed, pause_s) for seed in range(SERIES)]
+        for rule in RULES:
+            rows = [simulate(rule, seed, pause_s) for seed in range(SERIES)]
             ends, cut, refused = zip(*rows, strict=True)
             error = statistics.stdev(cut) / SERIES**0.5
             print(
-                f"{pause_s} | {way.name} | {statistics.mean(ends):.2f}, "
+                f"{pause_s} | {rule.name} | {statistics.mean(ends):.2f}, "
                 f"{statistics.mean(cut):.2f} ({error:.2f}), {statistics.mean(refused):.2f}",
                 flush=True,
             )
-    _set(KEPT)
+    _apply(SELECTED_RULE)
     print_grey()
     print_power_losses()
 
--- a/benchmarks/entry.py
+++ b/benchmarks/entry.py
@@ -45,20 +45,20 @@
     raise AssertionError("no VmRSS")
 
 
-def get_quantile(values: list[float], part: float) -> float:
+def get_quantile(values: list[float], quantile: float) -> float:
     """Return a quantile."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))]
 
 
 def make_body(length: int) -> dict:
-    """Return a request for an answer of some tokens."""
+    """Return the body of a request whose answer has a given number of tokens."""
     messages = [{"role": "user", "content": f"which bird? [len={length}]"}]
     return {"model": MODEL, "stream": True, "messages": messages}
 
 
 def run_streams(address: str, api_key: str) -> list[load_client.Outcome]:
-    """Run the streams of one round: 1,000 tokens a second, one token a read."""
+    """Run the streams of one round: 1,000 tokens per second, one token per read."""
     requests = [load_client.Request(address, make_body(TOKENS), api_key) for _ in range(STREAMS)]
     outcomes = asyncio.run(load_client.stream_all(requests, STEP_MS / 1000))
     assert all(outcome.is_done and len(outcome.arrivals_s) == TOKENS for outcome in outcomes)
@@ -66,36 +66,36 @@
 
 
 def measure_streams(running: fleet.Fleet, rounds: int) -> dict[str, float]:
-    """Measure processor time a token and the latency added."""
+    """Measure processor time per token and the added latency."""
     pid = running.processes["entry-1"].pid
     metrics: dict[str, list[float]] = {}
 
-    def _note(name: str, value: float) -> None:
+    def _record(name: str, value: float) -> None:
         metrics.setdefault(name, []).append(value)
 
     for _ in range(rounds):
         direct = run_streams(running.addresses["engine-1"], "")
         before_s = get_cpu_s(pid)
         through = run_streams(running.addresses["entry-1"], API_KEY)
-        _note("cpu_us_per_token", (get_cpu_s(pid) - before_s) * 1e6 / (STREAMS * TOKENS))
-        for name, part in (("p50", 0.5), ("p99", 0.99)):
+        _record("cpu_us_per_token", (get_cpu_s(pid) - before_s) * 1e6 / (STREAMS * TOKENS))
+        for name, quantile in (("p50", 0.5), ("p99", 0.99)):
             gaps = [
-                get_quantile([gap for item in outcomes for gap in item.gaps_ms], part)
+                get_quantile([gap for item in outcomes for gap in item.gaps_ms], quantile)
                 for outcomes in (direct, through)
             ]
             firsts = [
-                get_quantile([item.first_token_ms for item in outcomes], part)
+                get_quantile([item.first_token_ms for item in outcomes], quantile)
                 for outcomes in (direct, through)
             ]
-            _note(f"between_tokens_{name}_ms_direct", gaps[0])
-            _note(f"between_tokens_{name}_ms_added", gaps[1] - gaps[0])
-            _note(f"first_token_{name}_ms_direct", firsts[0])
-            _note(f"first_token_{name}_ms_added", firsts[1] - firsts[0])
+            _record(f"between_tokens_{name}_ms_direct", gaps[0])
+            _record(f"between_tokens_{name}_ms_added", gaps[1] - gaps[0])
+            _record(f"first_token_{name}_ms_direct", firsts[0])
+            _record(f"first_token_{name}_ms_added", firsts[1] - firsts[0])
     return {name: statistics.median(values) for name, values in metrics.items()}
 
 
 def measure_requests(running: fleet.Fleet) -> dict[str, float]:
-    """Measure processor time a request, from answers of one token less that token."""
+    """Measure processor time per request, with answers of a single token."""
     pid = running.processes["entry-1"].pid
     address = running.addresses["entry-1"]
     requests = [load_client.Request(address, make_body(1), API_KEY) for _ in range(REQUESTS)]
@@ -106,7 +106,7 @@
 
 
 def measure_memory(running: fleet.Fleet) -> dict[str, float]:
-    """Measure memory with many streams that have begun and stand still."""
+    """Measure memory with many streams that have started and are paused."""
     pid = running.processes["entry-1"].pid
     idle_mb = get_memory_mb(pid)
 
@@ -134,13 +134,13 @@
 
 
 def get_running(running: fleet.Fleet) -> int:
-    """Return how many requests the entry runs."""
+    """Return the number of running requests at the entry."""
     done = running.run_operator("status", "--json")
     return next(item["running"] for item in json.loads(done.stdout) if item["role"] == "entry")
 
 
 def main() -> None:
-    """Run the bench and print its figures."""
+    """Run the benchmark and print its results."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--json", action="store_true")
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -3,10 +3,9 @@
 Usage: .venv/bin/python benchmarks/experiment.py [--fleet cork] [--seeds 8] [--load 1.0]
        [--against naive] [--duration-s 12] [--json FILE]
 
-For each seed both policy sets serve the same trace in turn, each with fresh processes: 5 model
-engines in 3 halls, 3 entries, a keeper. One engine is killed at 60% of the
-trace. Printed are medians over the seeds, and the ratio real / other with its least and
-greatest value.
+For each seed both policy sets serve the same trace in turn, each with new processes: 5 model
+engines in 3 halls, 3 entries and a keeper. One engine is killed at 60% of the trace. The output
+has medians over the seeds, and the ratio real / other with its minimum and maximum.
 """
 
 import argparse
@@ -30,11 +29,11 @@
 MODEL = "spoolhead-birds"
 HALLS = ("hall-a", "hall-b", "hall-c")
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-LOST_ENGINE = "engine-5"
-LOST_AT = 0.6
+KILLED_ENGINE = "engine-5"
+KILL_FRACTION = 0.6
 DRAIN_S = 45.0
 STALL_MS = 500.0
-GOODPUT_PART = 0.8
+GOODPUT_FRACTION = 0.8
 CHUNK = "curlew on the mud "
 
 
@@ -89,7 +88,7 @@
 
 
 def make_request(item: traces.Item, number: int, address: str) -> load_client.Request:
-    """Return the request of a trace's item."""
+    """Return the request for an item of a trace."""
     size = item.prompt_tokens * 4
     text = (f"{number} " + CHUNK * (size // len(CHUNK) + 1))[:size]
     messages = [{"role": "user", "content": f"{text} [len={item.length}]"}]
@@ -98,22 +97,22 @@
 
 
 def get_counts(address: str) -> dict:
-    """Return an engine's counts."""
+    """Return the counters of an engine."""
     with urllib.request.urlopen(f"http://{address}/counts", timeout=10) as answer:
         return json.loads(answer.read())
 
 
-async def play(
+async def replay(
     running: fleet.Fleet, trace: list[traces.Item], duration_s: float
 ) -> tuple[list[load_client.Outcome], int]:
-    """Play a trace; return the outcomes and the lost engine's preemptions."""
-    lost = [0]
+    """Replay a trace; return the outcomes and the killed engine's preemptions."""
+    preemptions = [0]
 
-    async def _lose_engine() -> None:
-        await asyncio.sleep(LOST_AT * duration_s)
-        counts = await asyncio.to_thread(get_counts, running.addresses[LOST_ENGINE])
-        lost[0] = counts["preemptions"]
-        running.processes[LOST_ENGINE].kill()
+    async def _kill_engine() -> None:
+        await asyncio.sleep(KILL_FRACTION * duration_s)
+        counts = await asyncio.to_thread(get_counts, running.addresses[KILLED_ENGINE])
+        preemptions[0] = counts["preemptions"]
+        running.processes[KILLED_ENGINE].kill()
 
     async def _send(item: traces.Item, number: int) -> load_client.Outcome:
         await asyncio.sleep(item.at_s)
@@ -124,38 +123,37 @@
             outcome = await asyncio.wait_for(load_client.stream(request), DRAIN_S + 30)
         return outcome
 
-    losing = asyncio.create_task(_lose_engine())
+    killing = asyncio.create_task(_kill_engine())
     sent = [_send(item, number) for number, item in enumerate(trace)]
     outcomes = await asyncio.gather(*sent)
-    await losing
-    return outcomes, lost[0]
+    await killing
+    return outcomes, preemptions[0]
 
 
-def get_quantile(values: list[float], part: float) -> float:
+def get_quantile(values: list[float], quantile: float) -> float:
     """Return a quantile; 0 for no values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(quantile * len(ordered)))] if ordered else 0.0
 
 
 def get_fairness(trace: list[traces.Item], outcomes: list[load_client.Outcome]) -> float:
-    """Return Jain's index over the parts of their demand that the workspaces got in time."""
+    """Return Jain's fairness index over the fraction of demand served per workspace."""
     got: dict[str, float] = dict.fromkeys(traces.WORKSPACES, 0.0)
-    asked: dict[str, float] = dict.fromkeys(traces.WORKSPACES, 0.0)
+    requested: dict[str, float] = dict.fromkeys(traces.WORKSPACES, 0.0)
     for item, outcome in zip(trace, outcomes, strict=True):
-        asked[item.workspace] += item.length
+        requested[item.workspace] += item.length
         got[item.workspace] += item.length if outcome.is_done else 0
-    parts = [got[name] / asked[name] for name in traces.WORKSPACES if asked[name]]
-    return sum(parts) ** 2 / (len(parts) * sum(part * part for part in parts))
+    fractions = [got[name] / requested[name] for name in traces.WORKSPACES if requested[name]]
+    return sum(fractions) ** 2 / (len(fractions) * sum(item * item for item in fractions))
 
 
 def get_goodput(trace: list[traces.Item], outcomes: list[load_client.Outcome]) -> float:
-    """Return tokens of complete answers a second, until 80% of what was asked for is there.
+    """Return tokens of complete answers per second, until 80% of all requested tokens arrived.
 
-    The last answers are left out: one long answer that starts late would stretch the time over
-    which everything is counted.
+    Later answers are ignored: one long answer that starts late would extend the measured time.
     """
     begin_s = min(outcome.begun_s for outcome in outcomes)
-    wanted = GOODPUT_PART * sum(item.length for item in trace)
+    wanted = GOODPUT_FRACTION * sum(item.length for item in trace)
     ends = sorted(
         (outcome.ended_s - begin_s, item.length)
         for item, outcome in zip(trace, outcomes, strict=True)
@@ -169,13 +167,13 @@
     return tokens / ends[-1][0] if ends else 0.0
 
 
-def get_figures(
+def get_results(
     trace: list[traces.Item],
     outcomes: list[load_client.Outcome],
     preemptions: int,
     duration_s: float,
 ) -> dict[str, float]:
-    """Return the figures of a run."""
+    """Return the results of a run."""
     gaps = [gap for outcome in outcomes for gap in outcome.gaps_ms]
     begun = [outcome for outcome in outcomes if outcome.arrivals_s]
     firsts = [outcome.first_token_ms for outcome in begun]
@@ -220,20 +218,20 @@
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
         engines = start(running, policies, seed)
-        outcomes, preemptions = asyncio.run(play(running, trace, options.duration_s))
+        outcomes, preemptions = asyncio.run(replay(running, trace, options.duration_s))
         for name in engines:
-            if name != LOST_ENGINE:
+            if name != KILLED_ENGINE:
                 preemptions += get_counts(running.addresses[name])["preemptions"]
         if options.keep is not None:
             pathlib.Path(options.keep).mkdir(exist_ok=True)
             for log_path in running.folder.glob("entry-*.log"):
                 target = pathlib.Path(options.keep) / f"{policies}-{seed}-{log_path.name}"
                 target.write_bytes(log_path.read_bytes())
-    return get_figures(trace, outcomes, preemptions, options.duration_s)
+    return get_results(trace, outcomes, preemptions, options.duration_s)
 
 
-def print_figures(results: dict[str, list[dict[str, float]]], other: str) -> None:
-    """Print medians, and ratios seed by seed."""
+def print_results(results: dict[str, list[dict[str, float]]], other: str) -> None:
+    """Print medians, and the distribution of ratios per seed."""
     print(f"{'figure':22} {'real':>10} {other:>16} {'ratio':>8} {'least':>8} {'greatest':>8}")
     for name in results["real"][0]:
         real = [metrics[name] for metrics in results["real"]]
@@ -247,7 +245,7 @@
 
 
 def main() -> None:
-    """Run the experiment and print its figures."""
+    """Run the experiment and print its results."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--fleet", choices=sorted(traces.KINDS), default="cork")
     parser.add_argument("--seeds", type=int, default=8)
@@ -265,7 +263,7 @@
             results[policies].append(run_once(policies, options, seed))
     took_s = time.monotonic() - begun_s
     print(f"{options.fleet}, load {options.load}, {options.seeds} seeds, {took_s:.0f} s")
-    print_figures(results, options.against)
+    print_results(results, options.against)
     if options.json:
         pathlib.Path(options.json).write_text(json.dumps(results, indent=2))
 
--- a/benchmarks/load_client.py
+++ b/benchmarks/load_client.py
@@ -1,4 +1,4 @@
-"""A caller for benches: streams over raw asyncio connections, every arrival timed."""
+"""A client for benchmarks: streams over raw asyncio connections, with the time of each token."""
 
 import asyncio
 import contextlib
@@ -8,11 +8,11 @@
 
 
 class Request:
-    """One streamed request to make.
+    """A streamed request.
 
-    :ivar address: ``IP:PORT`` to send it to.
-    :ivar api_key: key; empty for none.
-    :ivar body: its JSON body.
+    :ivar address: ``IP:PORT`` of the server.
+    :ivar api_key: API key; empty for none.
+    :ivar body: JSON body.
     """
 
     __slots__ = ("address", "api_key", "body")
@@ -24,14 +24,14 @@
 
 
 class Outcome:
-    """What came of a request.
-
-    :ivar status: HTTP status; 0 where the connection failed.
-    :ivar begun_s: when it was sent, by the monotonic clock.
-    :ivar arrivals_s: when each token arrived.
-    :ivar is_done: the answer was complete.
-    :ivar error_code: numbered result code of an error; 0 for none.
-    :ivar ended_s: when it ended.
+    """The outcome of a request.
+
+    :ivar status: HTTP status; 0 if the connection failed.
+    :ivar begun_s: monotonic time at which it was sent.
+    :ivar arrivals_s: monotonic time at which each token arrived.
+    :ivar is_done: whether the answer was complete.
+    :ivar error_code: numeric result code of an error; 0 for none.
+    :ivar ended_s: monotonic time at which it ended.
     """
 
     __slots__ = ("arrivals_s", "begun_s", "ended_s", "error_code", "is_done", "status")
@@ -46,18 +46,18 @@
 
     @property
     def first_token_ms(self) -> float:
-        """Time to the first token."""
+        """Time to the first token, in ms."""
         return (self.arrivals_s[0] - self.begun_s) * 1000
 
     @property
     def gaps_ms(self) -> list[float]:
-        """Times between tokens."""
+        """Times between tokens, in ms."""
         pairs = zip(self.arrivals_s, self.arrivals_s[1:], strict=False)
         return [(late - early) * 1000 for early, late in pairs]
 
 
 async def stream(request: Request) -> Outcome:
-    """Make one streamed request and read its answer to the end."""
+    """Send one streamed request and read its answer to the end."""
     outcome = Outcome()
     host, _, port = request.address.rpartition(":")
     try:
@@ -85,7 +85,7 @@
         now_s = time.monotonic()
         data = rest + data
         rest = data[data.rfind(b"\n") + 1 :]
-        # The stand-in's and the entry's tokens look alike: one data line each.
+        # The fake engine and the entry both send one data line per token.
         count = data.count(b'"content":')
         outcome.arrivals_s.extend([now_s] * count)
         outcome.is_done = b"[DONE]" in data
@@ -95,7 +95,7 @@
 
 
 async def stream_all(requests: Sequence[Request], spread_s: float = 0.0) -> list[Outcome]:
-    """Make requests at once, or spread evenly over some time."""
+    """Send requests at once, or distributed evenly over ``spread_s``."""
 
     async def _stream_later(request: Request, delay_s: float) -> Outcome:
         await asyncio.sleep(delay_s)
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,4 +1,4 @@
-"""Policy sets for comparisons: a naive one, and the real one with one mechanism off each."""
+"""Policy sets for comparisons: a naive one, and the real one with a single mechanism disabled."""
 
 import expression
 
@@ -15,10 +15,10 @@
 
 
 class NaiveAdmission(admission.Admission):
-    """First come, first served, no limits, nothing refused."""
+    """First come, first served; without limits or refusals."""
 
     def offer(self, waiting, now_s):
-        """Take everything."""
+        """Accept every request."""
         queue = self._queues.setdefault(waiting.service, admission._Queue())
         self._append(queue, self._get_account(waiting.workspace, now_s), waiting)
         return expression.Ok(None)
@@ -33,29 +33,29 @@
 
 
 class NaivePlacement(placement.Placement):
-    """Round robin, at once."""
+    """Round robin; requests never wait."""
 
-    _turn = 0
+    _next_index = 0
 
     def choose(self, demand, service, pool, now_s):
-        """Take the next one that has not failed for this request."""
+        """Return the next upstream that has not failed for this request."""
         members = [
             item for hall in sorted(pool.get_halls(first="")) for item in pool.get_hall(hall)
         ]
         members = [item for item in members if item.name not in demand.excluded] or members
-        self._turn += 1
-        chosen = members[self._turn % len(members)] if members else None
+        self._next_index += 1
+        chosen = members[self._next_index % len(members)] if members else None
         return placement.Choice(chosen, 0.0, ())
 
 
 def decide_naively(failed, budget):
-    """Try again on any error, while nothing was delivered."""
+    """Retry after any error, as long as nothing was delivered."""
     may_retry = failed.attempts_left > 0 and not failed.has_delivered and not failed.is_once
     return retry.NextStep.RETRY if may_retry else retry.NextStep.GIVE_UP
 
 
-class PatientPace(pace.Pace):
-    """Never calls a stream stalled."""
+class NoStallPace(pace.Pace):
+    """Never considers a stream stalled."""
 
     def is_stalled(self, now_s):
         """Return False."""
@@ -63,17 +63,17 @@
 
 
 class FixedLengths(lengths.LengthModel):
-    """Expects the same length of every answer."""
+    """Predicts the same length for every answer."""
 
     def get_profile(self, workspace, service, *, prompt_tokens, generated_tokens, limit_tokens):
-        """Return the memory of an answer that ends at the fixed length."""
+        """Return the predicted memory of an answer that ends at the fixed length."""
         rest = max(1.0, min(FIXED_LENGTH_TOKENS, limit_tokens) - generated_tokens)
         held = prompt_tokens + generated_tokens
         return [held + ahead if ahead < rest else 0.0 for ahead in lengths.HORIZONS_TOKENS]
 
 
-class UnboundPlacement(placement.Placement):
-    """Sends at once to the emptiest engine, whatever would fill."""
+class UnboundedPlacement(placement.Placement):
+    """Sends immediately to the least loaded engine, even if its memory would overflow."""
 
     def _evaluate_engine(self, replica, planned, capacity_fraction, now_s):
         candidate = super()._evaluate_engine(replica, planned, capacity_fraction, now_s)
@@ -81,7 +81,7 @@
 
 
 class FixedLimitPlacement(placement.Placement):
-    """Plans with a fixed limit for every engine."""
+    """Plans with the same fixed limit for every engine."""
 
     limit = 1.0
 
@@ -91,11 +91,11 @@
 
 
 class HerdingPlacement(placement.Placement):
-    """Takes all the room that a report shows for this entry."""
+    """Plans as if this entry were the only one that uses the free memory in a report."""
 
     @property
     def entry_count(self):
-        """Always one."""
+        """Return 1."""
         return 1
 
     @entry_count.setter
@@ -104,14 +104,14 @@
 
 
 class UnfairAdmission(admission.Admission):
-    """Keeps limits, but serves in order of arrival."""
+    """Enforces limits, but serves in order of arrival."""
 
     def _get_rank(self, row, name, first, now_s):
         return 0, 0.0, first.arrived_s
 
 
-class HaltlessAdmission(admission.Admission):
-    """Refuses nothing because of its deadline."""
+class NoEarlyRefusalAdmission(admission.Admission):
+    """Never refuses a request because its deadline would be missed."""
 
     def _get_expected_wait_s(self, queue, waiting, now_s):
         return 0.0
@@ -122,14 +122,14 @@
     "naive": policy_set.PolicySet(
         make_admission=NaiveAdmission,
         make_placement=NaivePlacement,
-        make_pace=PatientPace,
+        make_pace=NoStallPace,
         decide_retry=decide_naively,
     ),
-    "no-holding-back": policy_set.PolicySet(make_placement=UnboundPlacement),
+    "no-holding-back": policy_set.PolicySet(make_placement=UnboundedPlacement),
     "fixed-limit": policy_set.PolicySet(make_placement=FixedLimitPlacement),
     "fixed-lengths": policy_set.PolicySet(make_lengths=FixedLengths),
     "herding": policy_set.PolicySet(make_placement=HerdingPlacement),
     "no-fairness": policy_set.PolicySet(make_admission=UnfairAdmission),
-    "no-stall-resume": policy_set.PolicySet(make_pace=PatientPace),
-    "no-early-refusal": policy_set.PolicySet(make_admission=HaltlessAdmission),
+    "no-stall-resume": policy_set.PolicySet(make_pace=NoStallPace),
+    "no-early-refusal": policy_set.PolicySet(make_admission=NoEarlyRefusalAdmission),
 }
--- a/benchmarks/policy_entry.py
+++ b/benchmarks/policy_entry.py
@@ -1,4 +1,4 @@
-"""An entry with another policy set. Usage: policy_entry.py POLICIES --settings FILE."""
+"""Runs an entry with a given policy set. Usage: policy_entry.py POLICIES --settings FILE."""
 
 import sys
 
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Run an entry with the policy set named first on the command line."""
+    """Run an entry with the policy set named by the first argument."""
     chosen = policies.SETS[sys.argv.pop(1)]
     start.start(
         settings.EntrySettings,
--- a/benchmarks/rate_sharing.py
+++ b/benchmarks/rate_sharing.py
@@ -1,7 +1,7 @@
-"""Ways to share the rate that an instance accepts among all entries, compared without a network.
+"""Compares methods to share an instance's rate limit among all entries, without a network.
 
-One of three instances states a limit, requests come to the entries unevenly (one in eight thrice
-as often), and the instance is the emptiest.
+One of three instances states a limit and looks least loaded. One in eight entries receives three
+times as many requests as the others.
 Usage: .venv/bin/python benchmarks/rate_sharing.py
 """
 
@@ -17,10 +17,10 @@
 
 SIZES = ((8, 3), (24, 3), (65, 4), (350, 15))
 LIMITS_PER_S = (0.5, 2.0, 20.0)
-PLAY_S = 20.0
+DURATION_S = 20.0
 SEEDS = (1, 2, 3)
-NEWS_AGE_S = 0.1
-"""Age of what an entry knows of the others' demand."""
+REPORT_AGE_S = 0.1
+"""Age of an entry's information about the demand at others."""
 
 
 def _get_requests_per_s(entries):
@@ -32,7 +32,7 @@
 
 
 class FixedSenders:
-    """As many entries as the instance accepts requests a second, drawn by lot; one at least."""
+    """Random entries, as many as the instance accepts requests per second but at least one."""
 
     name = "fixed senders"
 
@@ -42,7 +42,7 @@
         self._sent_s = {}
 
     def may_send(self, number, now_s):
-        """Tell whether an entry to which a request has come may send it, and count it as sent."""
+        """Return whether an entry may send a request now; if so, count it as sent."""
         pause_s = self._pause_s.get(number)
         if pause_s is None or now_s - self._sent_s.get(number, -1e9) < pause_s:
             return False
@@ -50,8 +50,8 @@
         return True
 
 
-class EqualParts(FixedSenders):
-    """Each entry an equal part."""
+class EqualShares(FixedSenders):
+    """Every entry has an equal share of the limit."""
 
     name = "equal parts"
 
@@ -62,7 +62,7 @@
 
 
 class SharesByDemand:
-    """Each entry a part in proportion to its requests of the last seconds, as hubs would tell."""
+    """Every entry has a share in proportion to its recent requests, as reported by hubs."""
 
     name = "shares by demand"
     WINDOW_S = 2.0
@@ -75,18 +75,18 @@
         self._updated_s = [0.0] * entries
 
     def may_send(self, number, now_s):
-        """Tell whether an entry to which a request has come may send it, and count it as sent."""
+        """Return whether an entry may send a request now; if so, count it as sent."""
         own, everyone = self._wanted[number], self._all
         own.append(now_s)
         everyone.append(now_s)
         while own[0] < now_s - self.WINDOW_S:
             own.popleft()
-        while everyone[0] < now_s - self.WINDOW_S - NEWS_AGE_S:
+        while everyone[0] < now_s - self.WINDOW_S - REPORT_AGE_S:
             everyone.popleft()
-        part = min(1.0, len(own) / len(everyone))
+        share = min(1.0, len(own) / len(everyone))
         passed_s = now_s - self._updated_s[number]
         self._updated_s[number] = now_s
-        tokens = self._tokens[number] + passed_s * self._limit_per_s * part
+        tokens = self._tokens[number] + passed_s * self._limit_per_s * share
         self._tokens[number] = min(1.0, tokens)
         if self._tokens[number] < 1.0:
             return False
@@ -94,20 +94,20 @@
         return True
 
 
-def _play(cls, entries, limit_per_s, seed):
+def _simulate(cls, entries, limit_per_s, seed):
     rng = random.Random(seed)
-    way = cls(entries, limit_per_s, rng)
+    method = cls(entries, limit_per_s, rng)
     weights = _make_weights(entries)
     now_s, sent = 0.0, []
-    while now_s < PLAY_S + limit_fleet.CONTACT_S:
+    while now_s < DURATION_S + limit_fleet.CONTACT_S:
         now_s += rng.expovariate(_get_requests_per_s(entries))
         number = rng.choices(range(entries), weights)[0]
-        if way.may_send(number, now_s) and now_s >= limit_fleet.CONTACT_S:
+        if method.may_send(number, now_s) and now_s >= limit_fleet.CONTACT_S:
             sent.append((now_s, number))
     return sent
 
 
-def _play_granter(entries, halls, limit_per_s, seed):
+def _simulate_granter(entries, halls, limit_per_s, seed):
     fleet = limit_fleet.LimitFleet(entries=entries, halls=halls, seed=seed)
     name = fleet.instances[0]
     fleet.set_limit(limit_per_s, name)
@@ -115,39 +115,39 @@
     numbers = [number for number, weight in enumerate(weights) for _ in range(weight)]
     fleet.begin_traffic(_get_requests_per_s(entries), entries=numbers)
     fleet.run(limit_fleet.CONTACT_S)
-    bound_s = fleet.clock()
-    fleet.run(PLAY_S)
-    return [item for item in fleet.upstreams[name].arrivals if item[0] >= bound_s]
+    effective_s = fleet.clock()
+    fleet.run(DURATION_S)
+    return [item for item in fleet.upstreams[name].arrivals if item[0] >= effective_s]
 
 
 def _describe(sent, entries, limit_per_s):
-    most = limit_fleet.get_max_in_window([time_s for time_s, _ in sent])
-    used = len(sent) / (limit_per_s * PLAY_S)
+    largest = limit_fleet.get_max_in_window([time_s for time_s, _ in sent])
+    used = len(sent) / (limit_per_s * DURATION_S)
     senders = len({number for _, number in sent})
-    return most, used, senders / min(entries, max(1, len(sent)))
+    return largest, used, senders / min(entries, max(1, len(sent)))
 
 
-def _print(name, results, limit_per_s):
-    most = max(item[0] for item in results)
+def _print_row(name, results, limit_per_s):
+    largest = max(item[0] for item in results)
     used = sum(item[1] for item in results) / len(results)
     spread = sum(item[2] for item in results) / len(results)
     allowed = limit_fleet.get_max_allowed(limit_per_s)
-    print(f"| {name} | {most} of {allowed:.0f} | {used:.2f} | {spread:.2f} |", flush=True)
+    print(f"| {name} | {largest} of {allowed:.0f} | {used:.2f} | {spread:.2f} |", flush=True)
 
 
 def main():
-    """Print a table for each size of fleet and each limit."""
+    """Print a table for each fleet size and limit."""
     for entries, halls in SIZES:
         for limit_per_s in LIMITS_PER_S:
             print(f"\n{entries} entries, {limit_per_s} a second")
             print("| way | most in 4 s | used | spread over entries |\n|---|---|---|---|")
-            for cls in (EqualParts, FixedSenders, SharesByDemand):
-                plays = [_play(cls, entries, limit_per_s, seed) for seed in SEEDS]
-                results = [_describe(sent, entries, limit_per_s) for sent in plays]
-                _print(cls.name, results, limit_per_s)
-            plays = [_play_granter(entries, halls, limit_per_s, seed) for seed in SEEDS]
-            results = [_describe(sent, entries, limit_per_s) for sent in plays]
-            _print("one grants", results, limit_per_s)
+            for cls in (EqualShares, FixedSenders, SharesByDemand):
+                runs = [_simulate(cls, entries, limit_per_s, seed) for seed in SEEDS]
+                results = [_describe(sent, entries, limit_per_s) for sent in runs]
+                _print_row(cls.name, results, limit_per_s)
+            runs = [_simulate_granter(entries, halls, limit_per_s, seed) for seed in SEEDS]
+            results = [_describe(sent, entries, limit_per_s) for sent in runs]
+            _print_row("one grants", results, limit_per_s)
 
 
 if __name__ == "__main__":
--- a/benchmarks/traces.py
+++ b/benchmarks/traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces of both fleets' bursts: who asks when for how much."""
+"""Seeded request traces with a burst of load, for two fleets."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -19,19 +19,19 @@
     :ivar prompt_tokens: mean length of the prompt.
     :ivar median_tokens: median length of the answer.
     :ivar spread: sigma of the answer's lognormal length.
-    :ivar part: part of all requests.
+    :ivar portion: portion of all requests.
     """
 
-    __slots__ = ("median_tokens", "name", "part", "prompt_tokens", "spread")
+    __slots__ = ("median_tokens", "name", "portion", "prompt_tokens", "spread")
 
     def __init__(
-        self, name: str, prompt_tokens: int, median_tokens: int, spread: float, part: float
+        self, name: str, prompt_tokens: int, median_tokens: int, spread: float, portion: float
     ) -> None:
         self.name = name
         self.prompt_tokens = prompt_tokens
         self.median_tokens = median_tokens
         self.spread = spread
-        self.part = part
+        self.portion = portion
 
 
 KINDS: Mapping[str, Sequence[Kind]] = {
@@ -41,17 +41,17 @@
 SMALL_WORKSPACES = tuple(f"small-{number}" for number in range(8))
 LARGE_WORKSPACE = "large"
 WORKSPACES = (*SMALL_WORKSPACES, LARGE_WORKSPACE)
-LONGEST_ANSWER = 800
+MAX_ANSWER_TOKENS = 800
 
 
 class Item:
     """One request of a trace.
 
-    :ivar at_s: when it is sent, from the start of the trace.
-    :ivar workspace: who asks.
+    :ivar at_s: time at which it is sent, from the start of the trace.
+    :ivar workspace: workspace that sends it.
     :ivar kind: kind of request.
-    :ivar prompt_tokens: length of its prompt.
-    :ivar length: length of its answer, which only the engine knows.
+    :ivar prompt_tokens: length of its prompt in tokens.
+    :ivar length: length of its answer in tokens, known to the engine only.
     """
 
     __slots__ = ("at_s", "kind", "length", "prompt_tokens", "workspace")
@@ -67,7 +67,7 @@
 
     @property
     def memory_s(self) -> float:
-        """Memory that it holds times the time for which it does, in token seconds."""
+        """Estimated memory use integrated over its run time, in token seconds."""
         step_s = STEP_MS / 1000 + MEAN_BATCH * SEQUENCE_US / 1e6
         return (self.prompt_tokens + self.length / 2) * self.length * step_s
 
@@ -76,27 +76,27 @@
     """Make a trace.
 
     :param fleet_name: ``cork`` or ``lindqvist``.
-    :param load: demand on the engines' memory as a multiple of what they have.
-    :param duration_s: time over which the requests come.
+    :param load: memory demand as a multiple of the engines' capacity.
+    :param duration_s: time over which the requests are sent.
     """
-    source = random.Random(f"{fleet_name}-{seed}")
+    rng = random.Random(f"{fleet_name}-{seed}")
     budget = load * ENGINES * KV_TOKENS * duration_s
     items: list[Item] = []
     while budget > 0:
-        item = _draw(source, fleet_name, duration_s)
+        item = _draw(rng, fleet_name, duration_s)
         budget -= item.memory_s
         items.append(item)
     return sorted(items, key=lambda item: item.at_s)
 
 
-def _draw(source: random.Random, fleet_name: str, duration_s: float) -> Item:
+def _draw(rng: random.Random, fleet_name: str, duration_s: float) -> Item:
     kinds = KINDS[fleet_name]
-    kind = source.choices(kinds, [item.part for item in kinds])[0]
-    # The large workspace sends half of everything, all of it in the middle third.
-    is_large = source.random() < 0.5
-    part = source.uniform(SURGE_FROM, SURGE_TO) if is_large else source.random()
-    workspace = LARGE_WORKSPACE if is_large else source.choice(SMALL_WORKSPACES)
-    drawn = int(kind.median_tokens * source.lognormvariate(0, kind.spread))
-    prompt = int(kind.prompt_tokens * source.uniform(0.5, 1.5))
-    length = min(LONGEST_ANSWER, max(2, drawn))
-    return Item(part * duration_s, workspace, kind.name, prompt, length)
+    kind = rng.choices(kinds, [item.portion for item in kinds])[0]
+    # The large workspace sends half of all requests, all of them in the middle third.
+    is_large = rng.random() < 0.5
+    position = rng.uniform(SURGE_FROM, SURGE_TO) if is_large else rng.random()
+    workspace = LARGE_WORKSPACE if is_large else rng.choice(SMALL_WORKSPACES)
+    drawn = int(kind.median_tokens * rng.lognormvariate(0, kind.spread))
+    prompt = int(kind.prompt_tokens * rng.uniform(0.5, 1.5))
+    length = min(MAX_ANSWER_TOKENS, max(2, drawn))
+    return Item(position * duration_s, workspace, kind.name, prompt, length)
--- a/tests/lib/cold_fleet.py
+++ b/tests/lib/cold_fleet.py
@@ -1,4 +1,4 @@
-"""Entries of a fleet that all want the same cold instance, by the quotas of each."""
+"""Simulates entries that send requests to the same cold instance within their quotas."""
 
 import random
 
@@ -21,7 +21,7 @@
 
 
 class Entry:
-    """One entry: what it sees of the fleet, its book and its quotas."""
+    """One entry with its instance registry and its quotas for cold instances."""
 
     def __init__(self, process, known, instance):
         self.process = process
@@ -34,16 +34,16 @@
 
 
 class ColdFleet:
-    """A fleet whose entries all see one instance that has just come.
+    """A fleet whose entries all know one instance that has just started.
 
     :param entries: number of entries.
     :param halls: number of halls.
-    :param cold_per_s: requests a second that the instance bears.
-    :param lost: halls whose entries were started again behind a cut: they know of each other only,
-        and nobody knows that the cut is over.
+    :param cold_per_s: number of requests per second that the cold instance can take.
+    :param isolated_halls: halls whose entries restarted while cut off. They know only the entries
+        of their own hall, and no entry knows yet that the cut is over.
     """
 
-    def __init__(self, *, entries, halls, cold_per_s, lost=(), seed=1):
+    def __init__(self, *, entries, halls, cold_per_s, isolated_halls=(), seed=1):
         self.rng = random.Random(seed)
         self.service = make_service(cold_per_s)
         self.halls = [f"hall-{number}" for number in range(halls)]
@@ -55,15 +55,16 @@
         self.entries = []
         for process in processes:
             known = processes
-            if process.hall in lost:
+            if process.hall in isolated_halls:
                 known = [item for item in processes if item.hall == process.hall]
             self.entries.append(Entry(process, known, instance))
 
     def play(self, *, seconds, wanted_per_s=None):
-        """Let every entry send as much as it may.
+        """Simulate entries that send as many requests as their quotas allow.
 
-        :param wanted_per_s: requests a second that come to each entry; None for a flood.
-        :returns: the time of each request that was sent.
+        :param wanted_per_s: requests per second that arrive at each entry; None for an unlimited
+            number.
+        :returns: the times at which requests were sent.
         """
         sent_s = []
         waiting = [0] * len(self.entries)
@@ -83,10 +84,10 @@
 
 
 def get_max_per_second(sent_s):
-    """Return the most requests that any second has."""
-    most = first = 0
+    """Return the maximum number of requests within any second."""
+    largest = first = 0
     for last, time_s in enumerate(sent_s):
         while time_s - sent_s[first] >= 1.0:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        largest = max(largest, last - first + 1)
+    return largest
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in which some requests end the instances that run them: real news, simulated runs."""
+"""Simulates a fleet in which some contents crash instances: real broadcasts, simulated runs."""
 
 import functools
 import itertools
@@ -9,21 +9,21 @@
 from spoolhead._internal.policy import content_registry, quarantine
 
 RESTART_DELAY_S = 4.0
-"""Time after which another process stands where one has ended."""
+"""Time between the crash of an instance and the start of its next incarnation."""
 CRASH_AFTER_S = 0.1
 REFUSAL_DELAY_S = 0.003
-"""Time after which an entry that asks an ended instance is refused."""
+"""Time after which a connection to a crashed instance is refused."""
 CONTACT_S = 3.0
-"""Time within which what ends instances is to be known at all entries in touch."""
+"""Time within which all connected entries must know of a content that crashes instances."""
 
 
 class Run:
-    """A request at an instance.
+    """One run of a request at an instance.
 
-    :ivar entry: number of the entry that sent it.
-    :ivar content_id: name of its content.
-    :ivar sent_s: when it was sent.
-    :ivar is_over: it has ended, well or not.
+    :ivar entry: number of the entry that sent the request.
+    :ivar content_id: id of the request's content.
+    :ivar sent_s: time at which it was sent.
+    :ivar is_over: whether the run completed or was lost.
     """
 
     def __init__(self, entry, content_id, sent_s):
@@ -34,7 +34,7 @@
 
 
 class Instance:
-    """A instance where instances stand, one after the other."""
+    """An instance and its successive incarnations."""
 
     def __init__(self, number):
         self.number = number
@@ -48,12 +48,14 @@
 
 
 class ContentFleet(load_fleet.LoadFleet):
-    """Entries that send requests to instances, some of which end them.
-
-    :ivar deadly: contents that end what runs them.
-    :ivar ends: when an instance ended under a deadly content, and which entry had sent it.
-    :ivar sent: runs that began, in order.
-    :ivar refused: numbers of entries that refused a content, with when.
+    """Entries that send requests to instances, some of which crash them.
+
+    :ivar deadly: contents that crash the instance that runs them.
+    :ivar crashes: crashes caused by such contents, as (content id, time).
+    :ivar sent: runs in the order of their start.
+    :ivar lost: runs that were lost because their instance crashed.
+    :ivar refused: refused requests, as (content id, number of the entry, time).
+    :ivar crashed_incarnations: contents that ran when an incarnation crashed, by its key.
     """
 
     def __init__(self, *, entries, halls=3, keepers=3, simulated_instances=6, loss=0.01, seed=1):
@@ -69,7 +71,7 @@
         self.crashed_incarnations = {}
 
     def send(self, number, content_id, *, duration_s=1.0):
-        """Have a request come to an entry; returns what was decided."""
+        """Send a request to an entry and return the entry's verdict on its content."""
         entry = self.entries[number]
         verdict = entry.contents.evaluate(content_id)
         if verdict is quarantine.Verdict.REFUSE:
@@ -118,7 +120,7 @@
             self.entries[run.entry].contents.record_harmless(run.content_id)
 
     def crash(self, instance):
-        """End an instance, whatever the reason; all that runs there is lost."""
+        """Crash an instance for any reason; all its runs are lost."""
         if not instance.is_up:
             return
         instance.is_up = False
@@ -148,7 +150,7 @@
         instance.is_up = True
 
     def restart_entry(self, number, **options):
-        """Have an entry end and start anew, knowing nothing; its runs are cut off."""
+        """Restart an entry with empty state; its runs end."""
         for instance in self.simulated_instances:
             for run in [run for run in instance.runs if run.entry == number]:
                 run.is_over = True
@@ -156,9 +158,9 @@
         return super().restart_entry(number, **options)
 
     def restart_hub(self, number, *, disk=None):
-        """Have a keeper end and start anew, knowing what is on its disk.
+        """Restart a keeper with the state on its disk.
 
-        :param disk: content of its file; without one it knows nothing.
+        :param disk: content of its file; None for an empty disk.
         """
         process = self.hubs[number]
         self.kill(process.name)
@@ -170,9 +172,9 @@
         self.hub_ports[number] = self._make_hub(number)
 
     def lose_all_power(self, *, down_s, lost_disks=()):
-        """Have all entries and keepers lose power at once, and start anew.
+        """Stop all entries and keepers at the same time and restart them.
 
-        :param lost_disks: numbers of keepers that lose their disk as well.
+        :param lost_disks: numbers of the keepers whose disks are lost too.
         """
         disks = []
         for registry in self.hub_registries:
@@ -188,7 +190,7 @@
             self.restart_entry(number)
 
     def send_repeatedly(self, content_id, *, pause_s, for_s, entries=None):
-        """Have a request come again and again at entries drawn by lot."""
+        """Send a request repeatedly, each time to a random entry."""
         numbers = range(len(self.entries)) if entries is None else entries
 
         def _send(left):
@@ -199,7 +201,10 @@
         _send(int(for_s / pause_s))
 
     def begin_traffic(self, requests_per_s, *, duration_s):
-        """Have requests of ever new contents come from now on."""
+        """Send requests with distinct harmless contents from now on.
+
+        :param duration_s: mean duration of a run.
+        """
         numbers = itertools.count()
 
         def _send():
@@ -211,7 +216,7 @@
         _send()
 
     def retry_lost_requests(self, after_s, *, duration_s):
-        """Have callers of sound requests that are lost from now on send them once more."""
+        """Have callers send harmless requests that are lost from now on a second time."""
         seen = len(self.lost)
         sent = set()
 
@@ -230,7 +235,7 @@
         _poll()
 
     def count_late_runs(self, content_id):
-        """Return the runs of a content later than that should be known."""
+        """Return the number of runs sent after the content should be held at all entries."""
         crash_times_s = [at_s for crashed_id, at_s in self.crashes if crashed_id == content_id]
         if len(crash_times_s) < 3:
             return 0
@@ -238,7 +243,7 @@
         return sum(run.content_id == content_id and run.sent_s > known_s for run in self.sent)
 
     def get_holders(self, content_id):
-        """Return the entries that hold a content."""
+        """Return the numbers of the entries at which a content is held."""
         return [
             number
             for number, entry in enumerate(self.entries)
@@ -247,5 +252,5 @@
 
 
 def make_id(text):
-    """Return the name of a content."""
+    """Return a content id that starts with a text."""
     return text.encode().ljust(16, b"-")
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet before instances that state rate limits: real news and permits, simulated requests."""
+"""Simulates a fleet with rate-limited instances: real broadcasts, simulated requests."""
 
 import itertools
 
@@ -8,35 +8,35 @@
 from spoolhead._internal.policy import cold_start, upstream_gate
 
 CONTACT_S = 3.0
-"""Time after which a stated limit binds all entries that read it."""
+"""Time after which a stated limit is in force at all entries that received it."""
 WINDOW_S = 4.0
 WAIT_S = 0.25
-"""A sixth of the time that a request has."""
+"""A sixth of the time until a request's deadline."""
 SERVICE = route_table.Service(name="s", health_path="/h", max_connections=9, engine=None)
 
 
 def get_max_allowed(limit_per_s):
-    """Return how many requests may reach an instance in any window."""
+    """Return how many requests may reach an instance within any window of ``WINDOW_S``."""
     return 1.5 * limit_per_s * WINDOW_S + 5
 
 
 def get_max_in_window(times_s, window_s=WINDOW_S):
-    """Return the most events that any window of a length has."""
-    most = first = 0
+    """Return the maximum number of events within any window of a given length."""
+    largest = first = 0
     for last, time_s in enumerate(times_s):
         while time_s - times_s[first] >= window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        largest = max(largest, last - first + 1)
+    return largest
 
 
 class Instance:
-    """An instance that answers every request at once.
+    """An instance that answers every request immediately.
 
-    :ivar limit_per_s: limit that it states; None for none.
-    :ivar rest_ms: rest that it asks for as it turns requests away; 0 to take them.
-    :ivar rejected_entries: numbers of the entries that it turns away; None for all.
-    :ivar arrivals: when requests arrived, with the number of the entry.
+    :ivar limit_per_s: rate limit that it states; None for none.
+    :ivar rest_ms: rest that it requests when it rejects requests; 0 to accept them.
+    :ivar rejected_entries: numbers of the entries whose requests it rejects; None for all.
+    :ivar arrivals: received requests, as (time, number of the entry).
     """
 
     def __init__(self):
@@ -46,8 +46,8 @@
         self.arrivals = []
 
     def rejects(self, number):
-        is_meant = self.rejected_entries is None or number in self.rejected_entries
-        return bool(self.rest_ms) and is_meant
+        is_rejected = self.rejected_entries is None or number in self.rejected_entries
+        return bool(self.rest_ms) and is_rejected
 
     def get_times_s(self, since_s):
         return [time_s for time_s, _ in self.arrivals if time_s >= since_s]
@@ -63,10 +63,10 @@
 
 
 class LimitFleet(load_fleet.LoadFleet):
-    """Entries that send each request to the instance that looks emptiest: a limited one.
+    """Entries that prefer limited instances, as if these looked least loaded.
 
-    :ivar served: requests that an instance answered, with when.
-    :ivar refused: requests that were refused, with when and when to come back in ms.
+    :ivar served: requests that an instance answered, as (request, time).
+    :ivar refused: refused requests, as (request, time, retry-after in ms or None).
     """
 
     def __init__(self, *, entries, halls=3, keepers=3, instances=3, loss=0.01, seed=1):
@@ -93,7 +93,7 @@
             self.upstreams[name].limit_per_s = limit_per_s
 
     def play(self, *, requests_per_s, for_s):
-        """Have requests come, and return the time from which limits stated before bind."""
+        """Run traffic; return the time from which limits stated before are in force."""
         self.begin_traffic(requests_per_s)
         self.run(CONTACT_S)
         effective_s = self.clock()
@@ -101,7 +101,7 @@
         return effective_s
 
     def begin_traffic(self, requests_per_s, *, rank=0, workspace="w", entries=None):
-        """Have requests come to entries drawn by lot from now on."""
+        """Send requests to random entries from now on."""
         numbers = range(len(self.entries)) if entries is None else entries
 
         def _arrive_next():
@@ -114,7 +114,7 @@
         self._dispatch(self.entries[number], Request(number, self.clock(), rank, workspace))
 
     def send_one_to(self, name):
-        """Send one request to an instance, whatever else entries would choose."""
+        """Send one request to an instance, bypassing the choice of instances."""
         entry = next(entry for entry in self.entries if entry.process.is_up)
         request = Request(self.entries.index(entry), self.clock(), 0, "w")
         self._send_to(entry, request, entry.registry.get(name))
@@ -204,13 +204,13 @@
             self.served.append((request, self.clock()))
 
     def restart_entry(self, number, **options):
-        """Have an entry end and start anew, knowing nothing; returns it."""
+        """Restart an entry with empty state and return it."""
         started = super().restart_entry(number, **options)
         self.gates[number] = self._make_gate(started)
         return started
 
     def find_granter(self, name):
-        """Return the number of the entry that grants first for an instance."""
+        """Return the number of the entry that is the primary granter of an instance."""
         entry = self.entries[0]
         granter = entry.permits._get_granters(entry.registry.get(name))[0]
         numbers = itertools.count()
@@ -220,7 +220,7 @@
         return self.entries[number].process.name
 
     def get_entries_with_limit(self, name):
-        """Return the numbers of the living entries that take an instance for limited."""
+        """Return the numbers of the running entries that know a limit of an instance."""
         return [
             number
             for number, entry in enumerate(self.entries)
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet's load datagrams in one process: the real classes, simulated time, lossy delivery."""
+"""Simulates the load broadcast of a fleet: real classes, simulated time, a lossy network."""
 
 import collections
 import itertools
@@ -18,15 +18,15 @@
 SAME_HALL_DELAY_S = 0.0005
 OTHER_HALL_DELAY_S = 0.0014
 AGE_POLL_INTERVAL_S = 0.005
-"""Pause between two looks at whether news has arrived."""
+"""Interval between checks whether an update has arrived."""
 HEADER_BYTES = 28
-"""What a datagram takes besides its payload."""
+"""IP and UDP headers of a datagram."""
 
 
 class Process:
-    """A process's place in the network.
+    """Network endpoint of a process.
 
-    :ivar is_up: it takes and sends datagrams.
+    :ivar is_up: whether it sends and receives datagrams.
     """
 
     def __init__(self, net, name, hall, address):
@@ -47,7 +47,7 @@
 
 
 class Net:
-    """Delivers datagrams, or loses, delays and swaps them."""
+    """Delivers datagrams with loss, delay and reordering."""
 
     def __init__(self, clock, rng, loss):
         self.clock = clock
@@ -77,14 +77,14 @@
 
 
 class FakeContext:
-    """What news need of an entry without requests."""
+    """The context that upstream events need at an entry without requests."""
 
     def query_end_if_abandoned(self, upstream):
         pass
 
 
 class SharingProxy:
-    """Tells by the sharing that an entry has by then."""
+    """Forwards to the sharing of an entry, which is created later."""
 
     def __init__(self, entry):
         self.entry = entry
@@ -94,7 +94,7 @@
 
 
 class Entry:
-    """One entry: its book, its sharing and the ages of what it knows."""
+    """One entry with its registries, load sharing and permits."""
 
     def __init__(self, fleet_, process, known, listed):
         self.process = process
@@ -166,13 +166,13 @@
 
 
 class LoadFleet:
-    """Entries in halls, each hall with so many keepers.
+    """Entries and keepers in several halls.
 
     :param entries: number of entries.
     :param halls: number of halls.
     :param keepers: number of keepers, spread over the first halls.
     :param instances: number of instances.
-    :param loss: part of the datagrams that is lost.
+    :param loss: fraction of the datagrams that are lost.
     """
 
     def __init__(self, *, entries, halls, keepers, instances, loss=0.01, seed=1):
@@ -221,7 +221,7 @@
         self.clock.run(for_s)
 
     def kill(self, *names):
-        """End processes without a word; connections to keepers end, as their kernel resets them."""
+        """Kill processes. Entries notice a lost keeper, since its kernel resets connections."""
         for process in self.net.processes.values():
             if process.name in names:
                 process.is_up = False
@@ -229,12 +229,12 @@
                     self._lose_keeper(process)
 
     def restart_entry(self, number, *, is_listed=True):
-        """Have an entry end and start anew, knowing nothing; returns it.
+        """Restart an entry with empty state and return it.
 
-        :param is_listed: it has read the list of instances already.
+        :param is_listed: whether it has already read the instance list.
         """
         previous = self.entries[number]
-        # What still runs of the previous one reaches nobody.
+        # Pending timers of the previous entry must have no effect.
         previous.process.is_up = False
         previous.sharing.handle_datagram = lambda message, sender: None
         previous.permits.handle_datagram = lambda message, sender: None
@@ -252,7 +252,10 @@
             entry.sharing.record_keeper_lost(address)
 
     def begin_load(self, requests_per_s, *, duration_s, tokens=3_500):
-        """Have requests begin at random entries and instances from now on."""
+        """Start requests at random entries and instances from now on.
+
+        :param duration_s: mean duration of a request.
+        """
         numbers = itertools.count()
 
         def _begin():
@@ -269,9 +272,9 @@
         _begin()
 
     def _measure_age(self, entry, name):
-        """Measure when another entry's book shows what an entry has just begun.
+        """Measure the time until another entry's registry shows a request that just started.
 
-        Given up if the truth changes before that.
+        Stops without a result if the actual load changes before that.
         """
         observer = self.rng.choice(self.entries)
         if observer is entry:
@@ -289,7 +292,7 @@
         self.clock.call_later(AGE_POLL_INTERVAL_S, _poll)
 
     def get_tokens_in_flight(self, name, *, excluding=None):
-        """Return the memory that entries truly hold at an instance."""
+        """Return the actual memory of the requests in flight at an instance, in tokens."""
         return sum(
             entry.registry.get(name).own_tokens
             for entry in self.entries
@@ -297,7 +300,7 @@
         )
 
     def is_consistent(self):
-        """Tell whether every living entry knows exactly what the others hold."""
+        """Return whether every running entry knows the exact load of the others."""
         return all(
             entry.registry.get(name).others.tokens
             == self.get_tokens_in_flight(name, excluding=entry)
@@ -307,7 +310,7 @@
         )
 
     def get_traffic(self, processes, seconds):
-        """Return mean bytes a second and the largest burst within 5 ms, of any one process."""
+        """Return the maxima over processes of mean bytes per second and of bytes within 5 ms."""
         means = [sum(size for _, size in item.sent) / seconds for item in processes]
         return max(means), max(_get_burst(item.sent) for item in processes)
 
@@ -317,7 +320,7 @@
             process.receivers.clear()
 
     def get_receivers(self, entry):
-        """Return where an entry has sent datagrams."""
+        """Return the addresses to which an entry has sent datagrams."""
         return entry.process.receivers
 
     @property
@@ -327,14 +330,14 @@
 
 def _get_burst(sent):
     window = collections.deque()
-    most = total = 0
+    largest = total = 0
     for at_s, size in sent:
         window.append((at_s, size))
         total += size
         while window[0][0] < at_s - 0.005:
             total -= window.popleft()[1]
-        most = max(most, total)
-    return most
+        largest = max(largest, total)
+    return largest
 
 
 def _describe(process):
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -1,7 +1,7 @@
-"""Engines under a load pattern, driven by the real choice of instances; simulated time, no network.
+"""Simulates engines under a load pattern with the real choice of instances, without a network.
 
-What is left out: news is as fresh as the choice, memory is counted at its full length from the
-beginning, and an engine reads prompts one after another beside its runs.
+Simplifications: loads are known without delay, a run takes the memory of its full length from the
+start, and an engine processes prompts one after another in parallel to its runs.
 """
 
 import heapq
@@ -20,10 +20,10 @@
 class Kind:
     """A kind of generation.
 
-    :ivar per_s: how many begin in a second, in the whole fleet.
-    :ivar prompt_tokens: its prompt.
-    :ivar output_tokens: tokens made, in the mean; the real ones spread by half.
-    :ivar token_ms: time for each of them.
+    :ivar per_s: number of generations that start per second in the whole fleet.
+    :ivar prompt_tokens: length of the prompt.
+    :ivar output_tokens: mean length of the output; actual lengths differ by up to half.
+    :ivar token_ms: time per output token.
     """
 
     def __init__(self, per_s, *, prompt_tokens, output_tokens, token_ms=10):
@@ -34,7 +34,7 @@
 
 
 class Run:
-    """One generation: where it was taken in and where it runs."""
+    """One generation with the hall in which it arrived and the instance that runs it."""
 
     def __init__(self, hall, kind, upstream, began_s):
         self.hall = hall
@@ -49,11 +49,11 @@
 
 
 class PlacementLoad:
-    """A pattern played on engines.
+    """A load pattern applied to engines.
 
-    :param halls: number of halls; generations arrive at all alike.
-    :param engines: number of engines, spread over the halls.
-    :param kinds: the load.
+    :param halls: number of halls; generations arrive at all halls at the same rate.
+    :param engines: number of engines, distributed evenly over the halls.
+    :param kinds: kinds of generations that make up the load.
     """
 
     def __init__(self, *, halls, engines, kinds, seed=1):
@@ -78,7 +78,7 @@
         self._prefill_end_s = {}
 
     def run(self, for_s):
-        """Play the pattern."""
+        """Simulate the load pattern."""
         for kind in self.kinds:
             self._schedule(self.rng.expovariate(kind.per_s), lambda kind=kind: self._arrive(kind))
         until_s = self.now_s + for_s
@@ -146,15 +146,15 @@
         self._schedule(prefill_end_s - self.now_s + output_tokens * run.kind.token_ms / 1000, _end)
 
     def get_cross_hall_fraction(self):
-        """Return the part of all runs that stood in another hall than their entry."""
+        """Return the fraction of runs in another hall than their entry."""
         runs = [*self.ended, *self.running]
         return sum(run.is_cross_hall for run in runs) / len(runs)
 
-    def get_first_token_ms(self, part):
+    def get_first_token_ms(self, quantile):
         """Return a quantile of the time to the first token."""
         times_ms = sorted(run.first_ms for run in self.ended)
-        return times_ms[int(part * (len(times_ms) - 1))]
+        return times_ms[int(quantile * (len(times_ms) - 1))]
 
-    def get_fill(self, part):
-        """Return a quantile of the fill that begun runs brought their engine to."""
-        return sorted(self.fills)[int(part * (len(self.fills) - 1))]
+    def get_fill(self, quantile):
+        """Return a quantile of the engines' memory use right after the start of a run."""
+        return sorted(self.fills)[int(quantile * (len(self.fills) - 1))]
--- a/tests/lib/simulated_clock.py
+++ b/tests/lib/simulated_clock.py
@@ -1,4 +1,4 @@
-"""Simulated time, and timers that run as it passes."""
+"""Simulated time with timers."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """A clock with timers; it can be called for the time."""
+    """A scheduler on simulated time; calling it returns the time in seconds."""
 
     def __init__(self):
         self.now_s = 1_000.0
--- a/tests/lib/table_fleet.py
+++ b/tests/lib/table_fleet.py
@@ -1,8 +1,7 @@
-"""Keepers that agree and entries that follow them, in one process, driven by hand.
+"""Simulates keepers and the entries that follow them in one process, step by step.
 
-The keepers are a :class:`consensus_group.Group` whose table is the list of changes; what they
-tell the entries and how entries take it are the programs' own feeds. Streams keep their order
-and are lost as a whole.
+The keepers are a :class:`consensus_group.Group` whose table is the list of changes. Keepers and
+entries use the real feeds. Streams preserve the order of messages and are lost as a whole.
 """
 
 from lib import consensus_group, gateway_setting, simulated_clock
@@ -17,7 +16,7 @@
 
 
 def get_evacuations(changes):
-    """Return what holds for halls after some changes."""
+    """Return the state of the halls after some changes."""
     machine = consensus_group.ListMachine()
     for data in changes:
         machine.apply(data)
@@ -25,7 +24,7 @@
 
 
 class KeeperIncarnation:
-    """What one life of a keeper tells its followers."""
+    """The feed of a keeper to its followers, from its start until it stops."""
 
     def __init__(self, group, node):
         self.node = node
@@ -65,7 +64,7 @@
 
 
 class Stream:
-    """A stream of an entry to one life of a keeper, and both its ends."""
+    """A stream between an entry and a keeper, with the messages in transit."""
 
     def __init__(self, entry, followed, keeper):
         self.name = entry.name
@@ -82,7 +81,7 @@
         self.to_entry.extend(messages.MessageReader().feed(data))
 
     def deliver(self):
-        """Hand on the oldest message of each direction."""
+        """Deliver the oldest message of each direction."""
         if self.to_keeper:
             self.keeper.handle_message(self, self.to_keeper.pop(0))
         if self.to_entry:
@@ -111,7 +110,7 @@
         self.end()
 
     def end(self):
-        """Lose the stream, and with it what is on its way."""
+        """Lose the stream and the messages in transit."""
         stream, self.stream = self.stream, None
         if stream is not None:
             stream.keeper.feed.remove_follower(stream)
@@ -132,10 +131,11 @@
 
 
 class Entry:
-    """One life of an entry.
+    """One entry from its start until it stops.
 
-    :ivar acknowledged_before: changes acknowledged before its start.
-    :ivar failures: tables that fail on their way into force from now on.
+    :ivar acknowledged_before: number of changes acknowledged before its start.
+    :ivar failures: number of next tables that it fails to put in force.
+    :ivar order_revision_before: revision of the orders on halls acknowledged before its start.
     """
 
     def __init__(self, fleet, name):
@@ -156,8 +156,10 @@
         if self.failures:
             self.failures -= 1
             raise RuntimeError("cannot be put in force")
-        assert version > self.version, "an entry went back"
-        assert document == make_document(self.fleet.group.longest[:version]), "another table"
+        assert version > self.version, "an entry returned to an older table"
+        assert document == make_document(
+            self.fleet.group.longest[:version]
+        ), "the table differs from the committed one"
         self.version = version
         return True
 
@@ -183,7 +185,7 @@
 
 
 class _Group(consensus_group.Group):
-    """Tells the fleet when time passes."""
+    """Calls the fleet after each step of time."""
 
     def __init__(self, fleet, seed, size):
         self.on_advance = fleet.on_advance
@@ -198,9 +200,9 @@
 class Fleet:
     """Keepers and entries.
 
-    :param seed: seed of every choice.
-    :param size: founding keepers.
-    :ivar cut_links: pairs of an entry's name and a keeper's address between which nothing passes.
+    :param seed: seed of all random choices.
+    :param size: number of initial keepers.
+    :ivar cut_links: pairs of an entry's name and a keeper's address that are not connected.
     """
 
     def __init__(self, seed, size):
@@ -213,14 +215,14 @@
             self.start_entry(name)
 
     def get_s(self):
-        """Stand for the clock of the modules under test."""
+        """Return the time; replaces the clock of the modules under test."""
         return self.group.now_s
 
     def draw_seeds(self):
         return self.group.draw_seeds()
 
     def start_entry(self, name):
-        """Start an entry, or start it again with an empty memory."""
+        """Start an entry, or restart it with empty state."""
         if name in self.entries:
             self.entries[name].stop()
         self.entries[name] = Entry(self, name)
@@ -240,7 +242,7 @@
             self.deliver_all()
 
     def _update_incarnations(self):
-        """End the streams of keepers that died, and begin the lives of those that started."""
+        """End the streams of crashed keepers and create the feeds of started ones."""
         up = {node.address: node for node in self.group.up()}
         for address, keeper in list(self.keeper_incarnations.items()):
             node = up.get(address)
@@ -274,7 +276,7 @@
             followed.on_peer_ready()
 
     def deliver(self, entry):
-        """Hand on one message of each of an entry's streams."""
+        """Deliver one message in each direction of each of an entry's streams."""
         for stream in entry.get_streams():
             stream.deliver()
 
@@ -296,12 +298,16 @@
         for entry in self.entries.values():
             assert entry.version == entry.feed.version
             if entry.feed.is_sure:
-                assert entry.version >= entry.acknowledged_before, "sure of an old table"
+                assert (
+                    entry.version >= entry.acknowledged_before
+                ), "an older table counts as confirmed"
                 known = entry.feed.evacuation_revision
-                assert known >= entry.order_revision_before, "sure without an order on a hall"
+                assert (
+                    known >= entry.order_revision_before
+                ), "counts as confirmed without an order on a hall"
 
     def settle(self, seconds):
-        """Let everything be reached and time pass."""
+        """Remove all cuts and let time pass."""
         self.cut_links.clear()
         self.group.settle(seconds)
         self.check()
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -33,7 +33,9 @@
 def test_entries_started_behind_a_cut_do_not_break_the_bound(entries, halls, is_own_hall):
     """They consider themselves the whole fleet until the cut ends and they learn of the others."""
     lost = ["hall-0"] if is_own_hall else ["hall-1"]
-    fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S, lost=lost)
+    fleet = cold_fleet.ColdFleet(
+        entries=entries, halls=halls, cold_per_s=COLD_PER_S, isolated_halls=lost
+    )
     assert cold_fleet.get_max_per_second(fleet.play(seconds=3.0)) <= ALLOWED
 
 
