--- a/benchmarks/entry.py
+++ b/benchmarks/entry.py
@@ -2,8 +2,8 @@
 
 Usage: .venv/bin/python benchmarks/entry.py [--rounds N] [--json]
 
-Each round runs the same load directly against the engine's stand-in and through the entry, in
-turn, so that the machine's speed cancels out. Every figure is a median over the rounds.
+Each round runs the same load directly against the fake engine and then through the entry, so that
+the machine's speed cancels out. Every result is a median over the rounds.
 """
 
 import argparse
--- a/tests/lib/cold_fleet.py
+++ b/tests/lib/cold_fleet.py
@@ -59,7 +59,7 @@
                 known = [item for item in processes if item.hall == process.hall]
             self.entries.append(Entry(process, known, instance))
 
-    def play(self, *, seconds, wanted_per_s=None):
+    def simulate(self, *, seconds, wanted_per_s=None):
         """Simulate entries that send as many requests as their quotas allow.
 
         :param wanted_per_s: requests per second that arrive at each entry; None for an unlimited
--- a/tests/lib/consensus_group.py
+++ b/tests/lib/consensus_group.py
@@ -14,7 +14,7 @@
 
 STEP_S = 0.05
 SEEDS_PER_PROCESS = 3
-"""Number of addresses that a process receives to find the group, whatever the group's size."""
+"""Number of addresses that a process receives to find the group, independent of its size."""
 TIMING = consensus_types.Timing()
 
 
@@ -83,7 +83,7 @@
             random.Random(self.group.rng.random()),
             self.group.now_s,
         )
-        # As in the program, a start writes the file anew, from the records that restore the log.
+        # Like the real program, a start rewrites the file with the records that restore the log.
         self.disk = list(log.get_records())
         self.is_up = True
 
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -91,15 +91,11 @@
             self._run(number, content_id, duration_s, is_isolated=True)
 
     def _run(self, number, content_id, duration_s, *, is_isolated):
-        simulated_instances = [instance for instance in self.simulated_instances if instance.is_up]
-        if not simulated_instances:
+        available = [instance for instance in self.simulated_instances if instance.is_up]
+        if not available:
             return
-        self.rng.shuffle(simulated_instances)
-        instance = (
-            min(simulated_instances, key=lambda item: len(item.runs))
-            if is_isolated
-            else simulated_instances[0]
-        )
+        self.rng.shuffle(available)
+        instance = min(available, key=lambda item: len(item.runs)) if is_isolated else available[0]
         run = Run(number, content_id, self.clock.now_s)
         instance.runs.append(run)
         self.sent.append(run)
--- a/tests/lib/limit_fleet.py
+++ b/tests/lib/limit_fleet.py
@@ -92,7 +92,7 @@
         for name in names or self.instances:
             self.upstreams[name].limit_per_s = limit_per_s
 
-    def play(self, *, requests_per_s, for_s):
+    def run_traffic(self, *, requests_per_s, for_s):
         """Run traffic; return the time from which limits stated before are in force."""
         self.begin_traffic(requests_per_s)
         self.run(CONTACT_S)
--- a/tests/patterns/test_cold_instance.py
+++ b/tests/patterns/test_cold_instance.py
@@ -23,7 +23,7 @@
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
 def test_all_entries_together_send_no_more_than_it_bears(entries, halls):
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S)
-    sent_s = fleet.play(seconds=3.0)
+    sent_s = fleet.simulate(seconds=3.0)
     assert cold_fleet.get_max_per_second(sent_s) <= COLD_PER_S
     assert len(sent_s) >= MIN_USED_FRACTION * COLD_PER_S * 3.0
 
@@ -36,21 +36,21 @@
     fleet = cold_fleet.ColdFleet(
         entries=entries, halls=halls, cold_per_s=COLD_PER_S, isolated_halls=lost
     )
-    assert cold_fleet.get_max_per_second(fleet.play(seconds=3.0)) <= ALLOWED
+    assert cold_fleet.get_max_per_second(fleet.simulate(seconds=3.0)) <= ALLOWED
 
 
 @pytest.mark.parametrize(("entries", "halls"), SIZES)
 def test_behind_a_cut_the_own_hall_still_uses_what_it_may(entries, halls):
     fleet = cold_fleet.ColdFleet(entries=entries, halls=halls, cold_per_s=COLD_PER_S)
     fleet.entries = [item for item in fleet.entries if item.process.hall == "hall-0"]
-    sent_s = fleet.play(seconds=3.0)
+    sent_s = fleet.simulate(seconds=3.0)
     senders = min(len(fleet.entries), COLD_PER_S)
     assert len(sent_s) >= 3 * senders
 
 
 def test_an_instance_that_bears_less_than_one_request_a_second_gets_that():
     fleet = cold_fleet.ColdFleet(entries=24, halls=3, cold_per_s=0.5)
-    assert len(fleet.play(seconds=9.0)) == 5
+    assert len(fleet.simulate(seconds=9.0)) == 5
 
 
 @pytest.mark.parametrize("kind", [route_table.RequestKind.STREAM, route_table.RequestKind.ONCE])
--- a/tests/patterns/test_deadly_content.py
+++ b/tests/patterns/test_deadly_content.py
@@ -1,4 +1,4 @@
-"""A series of one deadly request under normal load: the cost of each way to hold it.
+"""A series of one deadly request under normal load: the cost of each rule for holding it.
 
 The pattern: a request that crashes each engine which runs it is sent every 1.5 s for 15 s, to any
 of eight entries. Nine engines run four generations each on average, of some four seconds; those
@@ -30,7 +30,7 @@
         self.refused = sum(content_id != DEADLY for content_id, _, _ in fleet.refused)
 
 
-def _play(seed):
+def _simulate(seed):
     fleet = content_fleet.ContentFleet(entries=8, simulated_instances=9, seed=seed)
     fleet.deadly.add(DEADLY)
     fleet.run(2.0)
@@ -42,33 +42,33 @@
     return Outcome(fleet)
 
 
-def _play_all(monkeypatch, *, waves, ends):
+def _simulate_all(monkeypatch, *, waves, ends):
     monkeypatch.setattr(quarantine, "WAVES_TO_HOLD", waves)
     monkeypatch.setattr(quarantine, "ENDS_TO_HOLD", ends)
-    return [_play(seed) for seed in SEEDS]
+    return [_simulate(seed) for seed in SEEDS]
 
 
 @pytest.fixture(scope="module")
-def kept():
-    return [_play(seed) for seed in SEEDS]
+def current():
+    return [_simulate(seed) for seed in SEEDS]
 
 
-def test_a_series_ends_two_engines_and_no_sound_request_is_refused(kept):
-    assert [outcome.ends for outcome in kept] == [2] * len(SEEDS)
-    assert sum(outcome.refused for outcome in kept) == 0
+def test_a_series_ends_two_engines_and_no_sound_request_is_refused(current):
+    assert [outcome.ends for outcome in current] == [2] * len(SEEDS)
+    assert sum(outcome.refused for outcome in current) == 0
 
 
-def test_holding_at_the_third_end_costs_the_others_more(kept, monkeypatch):
-    third = _play_all(monkeypatch, waves=3, ends=3)
-    assert sum(item.cut for item in kept) < sum(item.cut for item in third)
+def test_holding_at_the_third_end_costs_the_others_more(current, monkeypatch):
+    third = _simulate_all(monkeypatch, waves=3, ends=3)
+    assert sum(item.cut for item in current) < sum(item.cut for item in third)
 
 
-def test_running_it_apart_alone_does_not_do(kept, monkeypatch):
-    never = _play_all(monkeypatch, waves=NEVER, ends=NEVER)
-    assert sum(item.cut for item in kept) < sum(item.cut for item in never)
-    assert min(item.ends for item in never) > max(item.ends for item in kept)
+def test_running_it_apart_alone_does_not_do(current, monkeypatch):
+    never = _simulate_all(monkeypatch, waves=NEVER, ends=NEVER)
+    assert sum(item.cut for item in current) < sum(item.cut for item in never)
+    assert min(item.ends for item in never) > max(item.ends for item in current)
 
 
 def test_holding_at_the_first_end_refuses_sound_requests(monkeypatch):
-    first = _play_all(monkeypatch, waves=1, ends=1)
+    first = _simulate_all(monkeypatch, waves=1, ends=1)
     assert sum(item.refused for item in first) > 0
--- a/tests/patterns/test_hall_cut.py
+++ b/tests/patterns/test_hall_cut.py
@@ -17,7 +17,7 @@
 SECONDS = 60
 
 
-def _play(halls, engines, long_per_s, short_per_s):
+def _simulate(halls, engines, long_per_s, short_per_s):
     kinds = (
         placement_load.Kind(long_per_s, prompt_tokens=3_079, output_tokens=950),
         placement_load.Kind(short_per_s, prompt_tokens=2_550, output_tokens=12),
@@ -32,17 +32,17 @@
 
 
 def test_with_many_engines_at_home_few_runs_stand_across_halls():
-    assert _play(*LARGE).get_cross_hall_fraction() < 0.1
+    assert _simulate(*LARGE).get_cross_hall_fraction() < 0.1
 
 
 @pytest.mark.parametrize("fleet", [LARGE, SMALL], ids=["large", "small"])
 def test_first_tokens_come_as_soon_as_when_halls_are_nearly_one(fleet, monkeypatch):
-    now = _play(*fleet)
+    now = _simulate(*fleet)
     monkeypatch.setattr(upstream_choice, "MAX_OTHER_HALL_FACTOR", 1)
-    nearly_one = _play(*fleet)
+    nearly_one = _simulate(*fleet)
     assert now.get_first_token_ms(0.95) < 1.1 * nearly_one.get_first_token_ms(0.95)
     assert now.get_fill(0.99) < 0.8
 
 
 def test_with_one_or_two_engines_a_hall_the_others_still_help():
-    assert _play(*SMALL).get_cross_hall_fraction() > 0.2
+    assert _simulate(*SMALL).get_cross_hall_fraction() > 0.2
--- a/tests/patterns/test_lifted_limit.py
+++ b/tests/patterns/test_lifted_limit.py
@@ -8,7 +8,7 @@
 from lib import limit_fleet
 
 SIZES = [(8, 3), (24, 3), (65, 4), (350, 15)]
-PLAY_S = 8.0
+DURATION_S = 8.0
 RECOVERY_S = 3.0
 """Time after which an instance that lifts its limit gets its usual share again."""
 
@@ -18,7 +18,7 @@
     fleet = limit_fleet.LimitFleet(entries=entries, halls=halls)
     name = fleet.instances[0]
     fleet.set_limit(2.0, name)
-    fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
+    fleet.run_traffic(requests_per_s=max(50, entries), for_s=DURATION_S)
     fleet.set_limit(None, name)
     fleet.run(RECOVERY_S)
     assert fleet.get_entries_with_limit(name) == []
@@ -30,7 +30,7 @@
     fleet = limit_fleet.LimitFleet(entries=350, halls=15, seed=seed)
     name = fleet.instances[0]
     fleet.set_limit(2.0, name)
-    fleet.play(requests_per_s=350, for_s=PLAY_S)
+    fleet.run_traffic(requests_per_s=350, for_s=DURATION_S)
     fleet.set_limit(None, name)
     fleet.run(RECOVERY_S)
     assert fleet.get_entries_with_limit(name) == []
@@ -42,7 +42,7 @@
     fleet = limit_fleet.LimitFleet(entries=24)
     name = fleet.instances[0]
     fleet.set_limit(limit_per_s, name)
-    bound_s = fleet.play(requests_per_s=50, for_s=12.0)
+    bound_s = fleet.run_traffic(requests_per_s=50, for_s=12.0)
     assert limit_fleet.get_max_in_window(fleet.upstreams[name].get_times_s(bound_s)) <= 1
     fleet.set_limit(None, name)
     fleet.run(5.0 + 1.0)
@@ -52,5 +52,5 @@
 def test_a_limit_beyond_all_load_changes_nothing():
     fleet = limit_fleet.LimitFleet(entries=8)
     fleet.set_limit(1e9, fleet.instances[0])
-    fleet.play(requests_per_s=50, for_s=PLAY_S)
+    fleet.run_traffic(requests_per_s=50, for_s=DURATION_S)
     assert fleet.get_entries_with_limit(fleet.instances[0]) == []
--- a/tests/patterns/test_limited_instance.py
+++ b/tests/patterns/test_limited_instance.py
@@ -14,10 +14,10 @@
 
 SIZES = [(8, 3), (24, 3), (65, 4), (350, 15)]
 MIN_USED_FRACTION = 0.8
-PLAY_S = 8.0
+DURATION_S = 8.0
 
 
-def _check(fleet, name, bound_s, limit_per_s, *, for_s=PLAY_S):
+def _check(fleet, name, bound_s, limit_per_s, *, for_s=DURATION_S):
     times_s = fleet.upstreams[name].get_times_s(bound_s)
     assert limit_fleet.get_max_in_window(times_s) <= max(
         limit_fleet.get_max_allowed(limit_per_s) - 5, 3
@@ -32,7 +32,7 @@
     fleet = limit_fleet.LimitFleet(entries=entries, halls=halls)
     name = fleet.instances[0]
     fleet.set_limit(limit_per_s, name)
-    bound_s = fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
+    bound_s = fleet.run_traffic(requests_per_s=max(50, entries), for_s=DURATION_S)
     _check(fleet, name, bound_s, limit_per_s)
     assert not fleet.refused
 
@@ -42,7 +42,7 @@
     """Guards against requests that wait for a limited instance until their deadline."""
     fleet = limit_fleet.LimitFleet(entries=entries, halls=halls)
     fleet.set_limit(2.0)
-    bound_s = fleet.play(requests_per_s=max(50, entries), for_s=PLAY_S)
+    bound_s = fleet.run_traffic(requests_per_s=max(50, entries), for_s=DURATION_S)
     for name in fleet.instances:
         _check(fleet, name, bound_s, 2.0)
     waited_s = sorted(at_s - request.arrived_s for request, at_s, _ in fleet.refused)
--- a/tests/patterns/test_scarce_permits.py
+++ b/tests/patterns/test_scarce_permits.py
@@ -30,7 +30,7 @@
     fleet = limit_fleet.LimitFleet(entries=24)
     fleet.set_limit(2.0)
     fleet.begin_traffic(5, workspace="small")
-    bound_s = fleet.play(requests_per_s=100, for_s=20.0)
+    bound_s = fleet.run_traffic(requests_per_s=100, for_s=20.0)
     assert _count(fleet, bound_s, workspace="small") >= 0.25 * _count(fleet, bound_s)
 
 
@@ -58,14 +58,12 @@
     bound_s = fleet.clock()
     fleet.run(20.0)
     urgent = [
-        item
-        for item, came_s in fleet.served
-        if item.request_priority.rank == 0 and came_s >= bound_s
+        item for item, at_s in fleet.served if item.request_priority.rank == 0 and at_s >= bound_s
     ]
     refused = [
         item
-        for item, came_s, _ in fleet.refused
-        if item.request_priority.rank == 0 and came_s >= bound_s
+        for item, at_s, _ in fleet.refused
+        if item.request_priority.rank == 0 and at_s >= bound_s
     ]
     assert len(urgent) >= 0.5 * (len(urgent) + len(refused))
 
--- a/tests/unit/test_clocks.py
+++ b/tests/unit/test_clocks.py
@@ -76,8 +76,8 @@
 
 
 def test_a_leader_that_was_suspended_leads_no_more_before_it_is_asked_anything():
-    """Its timer runs first. By the monotonic clock it would seem to have heard from the others
-    just now.
+    """The timer runs first. The monotonic clock does not count the suspension, so the leader would
+    seem to have heard from its followers just now.
     """
     group = consensus_group.Group(1)
     group.settle(2.0)
--- a/tests/unit/test_cold_start.py
+++ b/tests/unit/test_cold_start.py
@@ -36,7 +36,7 @@
     registry = upstream_registry.UpstreamRegistry()
     upstream = _update_list(registry, 100.0)
     assert upstream.record_cold(900, 100.0)
-    assert not upstream.record_cold(700, 100.2), "the same start is no news"
+    assert not upstream.record_cold(700, 100.2), "the same start is recorded twice"
     assert _update_list(registry, 100.3, cold_ms=0).is_cold(100.8)
 
 
@@ -49,4 +49,4 @@
     fleet.run(0.1)
     others = [entry for entry in fleet.entries if entry is not reporter]
     assert all(entry.registry.get(name).is_cold(fleet.clock()) for entry in others)
-    assert all(entry.alarms == [] for entry in others), "a cold start empties nothing"
+    assert all(entry.alarms == [] for entry in others), "a cold start moved runs away"
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -56,7 +56,7 @@
                 fleet.Process(name=n, hall="hall-a", address="") for n in watchers
             ],
             get_silent_halls=lambda: self.silent,
-            on_alarm=lambda upstream, is_said: self.alarms.append(upstream),
+            on_alarm=lambda upstream, kind: self.alarms.append(upstream),
             on_cold=lambda upstream, cold_ms: self.cold_reports.append(cold_ms),
             on_replaced=self.replaced_ids.append,
             on_answer=lambda upstream, head: self.heads.append(head),
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -201,13 +201,13 @@
 
 
 class QueryingEntry:
-    """An entry that queries an instance which has lost a request."""
+    """An entry that queries an instance at which a request was lost."""
 
     def __init__(self, clock):
         self.contents = _make_contents(clock)
         self.calls = gateway_setting.GatewayCalls()
         self.timers = gateway_setting.FakeTimers()
-        self.told = []
+        self.ended = []
         setting = gateway_setting.Setting(STREAM, contents=self.contents, names=("i-1",))
         self.content_id = setting.exchange.job.content_id
         setting.last.send()
@@ -220,13 +220,13 @@
             read_instance_id=lambda status, headers: dialect.Dialect()
             .read_answer(status, headers)
             .instance_id,
-            on_ended=self.told.append,
+            on_ended=self.ended.append,
         )
-        self.ask()
+        self.query()
 
-    def ask(self):
-        asked = end_watch.EndQuery("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
-        self.watch.query(asked)
+    def query(self):
+        query = end_watch.EndQuery("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
+        self.watch.query(query)
 
     @property
     def is_suspect(self):
@@ -239,7 +239,7 @@
     assert query.fresh and query.target == "/healthz"
     query.lose(links.REFUSED)
     assert entry.is_suspect
-    assert entry.told == ["i-1"]
+    assert entry.ended == ["i-1"]
 
 
 def test_an_instance_at_whose_address_another_answers_has_ended(clock):
@@ -253,7 +253,7 @@
     entry.calls.made[0].answer(503, [("x-replica-id", "i-1")])
     entry.contents.record_ended("i-1", "no longer listed")
     assert not entry.is_suspect
-    assert not entry.told
+    assert not entry.ended
 
 
 @pytest.mark.parametrize("reason", ["Connection reset by peer", links.CONNECT_TIMEOUT])
@@ -293,8 +293,8 @@
     entry.timers.run_due(end_watch.ANSWER_TIMEOUT_S)
     assert entry.calls.made[0].is_over
     assert not entry.is_suspect
-    entry.ask()
-    entry.ask()
+    entry.query()
+    entry.query()
     assert len(entry.calls.made) == 2
 
 
--- a/tests/unit/test_instance_announcements.py
+++ b/tests/unit/test_instance_announcements.py
@@ -210,21 +210,21 @@
     entry.events.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
-@pytest.mark.parametrize("said_to", [0, 1])
-def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(said_to):
+@pytest.mark.parametrize("receiver", [0, 1])
+def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(receiver):
     """Guards against announcements that reach only entries that were running at the time."""
     fleet, name = _make_fleet()
-    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, receiver, name, 200, server_leaving="1")
     fleet.run(5.0)
     started = fleet.restart_entry(0)
     fleet.run(0.5)
     assert started.registry.get(name).is_leaving
 
 
-@pytest.mark.parametrize("said_to", [0, 1])
-def test_so_it_is_where_the_list_comes_after_the_word(said_to):
+@pytest.mark.parametrize("receiver", [0, 1])
+def test_so_it_is_where_the_list_comes_after_the_word(receiver):
     fleet, name = _make_fleet()
-    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, receiver, name, 200, server_leaving="1")
     fleet.run(1.0)
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
--- a/tests/unit/test_limit_fleet.py
+++ b/tests/unit/test_limit_fleet.py
@@ -19,10 +19,10 @@
     return fleet
 
 
-def _check(fleet, since_s, *, used_part=0.0):
+def _check(fleet, since_s, *, min_used_fraction=0.0):
     times_s = fleet.upstreams[fleet.instances[0]].get_times_s(since_s)
     assert limit_fleet.get_max_in_window(times_s) <= limit_fleet.get_max_allowed(LIMIT_PER_S)
-    assert len(times_s) >= used_part * LIMIT_PER_S * (fleet.clock() - since_s)
+    assert len(times_s) >= min_used_fraction * LIMIT_PER_S * (fleet.clock() - since_s)
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2])
@@ -30,7 +30,7 @@
     fleet = _make(loss=loss)
     began_s = fleet.clock()
     fleet.run(8.0)
-    _check(fleet, began_s, used_part=0.6)
+    _check(fleet, began_s, min_used_fraction=0.6)
 
 
 def test_another_entry_stands_in_for_a_granter_that_dies():
@@ -44,7 +44,7 @@
     name = fleet.entries[fleet.find_granter(fleet.instances[0])].process.name
     fleet.kill(name)
     fleet.run(6.0)
-    _check(fleet, began_s, used_part=0.2)
+    _check(fleet, began_s, min_used_fraction=0.2)
     left = tuple(item for item in fleet.known.entries if item.name != name)
     known = models_fleet.Fleet(keepers=fleet.known.keepers, entries=left)
     for entry in fleet.entries:
@@ -52,7 +52,7 @@
     fleet.run(1.0)
     notified_s = fleet.clock()
     fleet.run(6.0)
-    _check(fleet, notified_s, used_part=0.8)
+    _check(fleet, notified_s, min_used_fraction=0.8)
     _check(fleet, began_s)
 
 
@@ -81,7 +81,7 @@
 
 
 def test_entries_that_see_different_fleets_keep_within_what_is_allowed():
-    """Each half uses another entry as primary granter, as while the start of an entry spreads."""
+    """Each half uses another entry as primary granter, as happens shortly after an entry starts."""
     fleet = _make()
     first = fleet.entries[fleet.find_granter(fleet.instances[0])].process.name
     entries = tuple(item for item in fleet.known.entries if item.name != first)
@@ -102,7 +102,7 @@
     began_s = fleet.clock()
     fleet.run(8.0)
     # The instance is in the first hall, where a third of the requests arrive.
-    _check(fleet, began_s, used_part=0.6)
+    _check(fleet, began_s, min_used_fraction=0.6)
 
 
 def test_hubs_that_were_cut_from_each_other_make_good_what_was_said_meanwhile():
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -325,7 +325,7 @@
     assert not rows.get_all()
 
 
-class _EntrySide:
+class _ReportingEntry:
     """An entry's view and the hub it reports to."""
 
     def __init__(self):
@@ -339,7 +339,7 @@
     def upstream(self):
         return self.registry.get("i-1")
 
-    def hold(self, tokens):
+    def begin_request(self, tokens):
         self.upstream.in_flight["r"] = upstream_registry.InFlightRequest(
             "r", tokens, prefill_tokens=0
         )
@@ -359,49 +359,49 @@
 
 
 def test_what_an_entry_itself_holds_is_not_counted_twice_whatever_the_order():
-    side = _EntrySide()
-    _handle_report(side.hub, sender="other", tokens=100)
-    side.hold(11)
-    side.report()
-    first = side.update()
-    side.hold(70)
-    side.report()
+    entry = _ReportingEntry()
+    _handle_report(entry.hub, sender="other", tokens=100)
+    entry.begin_request(11)
+    entry.report()
+    first = entry.update()
+    entry.begin_request(70)
+    entry.report()
     # The first update arrives after the second report was sent.
-    assert side.view.handle_update(first, 0.0)
-    assert side.upstream.tokens == 170
-    assert side.view.handle_update(side.update(), 0.0)
-    assert side.upstream.tokens == 170
+    assert entry.view.handle_update(first, 0.0)
+    assert entry.upstream.tokens == 170
+    assert entry.view.handle_update(entry.update(), 0.0)
+    assert entry.upstream.tokens == 170
 
 
 def test_an_update_that_counts_an_unknown_report_is_of_no_use():
-    side = _EntrySide()
-    _handle_report(side.hub, sender="other", tokens=100)
-    assert not side.view.handle_update(side.update(counted=99), 0.0)
-    assert side.upstream.others == shared_load.InstanceLoad()
+    entry = _ReportingEntry()
+    _handle_report(entry.hub, sender="other", tokens=100)
+    assert not entry.view.handle_update(entry.update(counted=99), 0.0)
+    assert entry.upstream.others == shared_load.InstanceLoad()
 
 
 def test_an_instance_listed_later_gets_what_was_told_before():
-    side = _EntrySide()
-    side.report()
+    entry = _ReportingEntry()
+    entry.report()
     key = shared_load.get_key("i-9")
     report = _make_report(sender="other")
     report.rows = {key: shared_load.InstanceLoad(70, 1, 0)}
-    side.hub.handle_report(report, ADDRESS, 0.0)
-    side.view.handle_update(side.update(), 0.0)
-    side.registry.update_instances([gateway_setting.make_instance("i-9")], 0.0)
-    side.view.rebuild(0.1)
-    assert side.registry.get("i-9").tokens == 70
+    entry.hub.handle_report(report, ADDRESS, 0.0)
+    entry.view.handle_update(entry.update(), 0.0)
+    entry.registry.update_instances([gateway_setting.make_instance("i-9")], 0.0)
+    entry.view.rebuild(0.1)
+    assert entry.registry.get("i-9").tokens == 70
 
 
 def test_what_was_told_expires_without_updates():
-    side = _EntrySide()
-    side.report()
-    _handle_report(side.hub, sender="other", tokens=100)
-    side.view.handle_update(side.update(), 0.0)
-    side.view.rebuild(load_view.UPDATE_TTL_S - 0.1)
-    assert side.upstream.tokens == 100
-    side.view.rebuild(load_view.UPDATE_TTL_S + 0.1)
-    assert side.upstream.tokens == 0
+    entry = _ReportingEntry()
+    entry.report()
+    _handle_report(entry.hub, sender="other", tokens=100)
+    entry.view.handle_update(entry.update(), 0.0)
+    entry.view.rebuild(load_view.UPDATE_TTL_S - 0.1)
+    assert entry.upstream.tokens == 100
+    entry.view.rebuild(load_view.UPDATE_TTL_S + 0.1)
+    assert entry.upstream.tokens == 0
 
 
 @hypothesis.given(
--- a/tests/unit/test_messages.py
+++ b/tests/unit/test_messages.py
@@ -50,10 +50,10 @@
     challenge = messages.Challenge(protocol=1, nonce=b"n" * 16)
     hello = handshake.make_hello(KEY, challenge, role="entry", name="e", nonce=b"m" * 16)
     assert handshake.check_hello(KEY, b"n" * 16, hello)
-    assert not handshake.check_hello(KEY, b"o" * 16, hello), "an old exchange played again"
+    assert not handshake.check_hello(KEY, b"o" * 16, hello), "a replayed handshake was accepted"
     assert not handshake.check_hello("another-shared-key", b"n" * 16, hello)
     hello.role = "operator"
-    assert not handshake.check_hello(KEY, b"n" * 16, hello), "a role changed on the way"
+    assert not handshake.check_hello(KEY, b"n" * 16, hello), "a modified role was accepted"
     welcome = handshake.make_welcome(KEY, hello, "k")
     assert handshake.check_welcome(KEY, b"m" * 16, welcome)
     assert not handshake.check_welcome("another-shared-key", b"m" * 16, welcome)
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures served as text."""
+"""Metrics served as text."""
 
 from spoolhead._internal.gateway import entry_metrics
 from spoolhead._internal.models import route_table
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -235,16 +235,16 @@
         entry.record_crash(b"%016d" % number, 7, NOW_S, NOW_S)
     broadcast = content_registry.ContentBroadcast(entry.registry)
     broadcast.record_digest("hub", 1, NOW_S)
-    assert not broadcast.has_pending, "it may be on its way"
+    assert not broadcast.has_pending, "the datagram may be in transit"
     broadcast.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S)
     sent = set()
     while broadcast.has_pending:
         sent |= {item.record.content_id for item in broadcast.pop_batch(NOW_S)}
     assert len(sent) == 20
     broadcast.record_digest("hub", 1, NOW_S + content_registry.DIGEST_MISMATCH_S + 0.1)
-    assert not broadcast.has_pending, "not again at once"
+    assert not broadcast.has_pending, "sent again too early"
     broadcast.record_digest("hub", 0, NOW_S + 8.0)
-    assert broadcast.has_pending, "it has just started"
+    assert broadcast.has_pending, "the receiver has just started"
     broadcast.clear()
     broadcast.record_digest("hub", entry.registry.digest, NOW_S + 9.0)
     broadcast.record_digest("hub", 1, NOW_S + 9.1)
--- a/tests/unit/test_restarted_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -37,7 +37,7 @@
     assert present is not previous
     assert (present.tokens, present.count, present.count_sent(0.0)) == (0, 0, 0)
     assert present.is_usable(100.1)
-    assert present.key != previous.key, "news of the former would count for it"
+    assert present.key != previous.key, "reports about the previous incarnation would apply to it"
 
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
@@ -49,7 +49,7 @@
     assert not present.is_leaving and not present.is_gone
     _update_list(registry)
     assert _update_list(registry, _make(1_000)) == []
-    assert registry.get_all() == [], "a former run came back"
+    assert registry.get_all() == [], "a previous incarnation is listed again"
 
 
 def test_a_start_that_is_not_told_any_more_names_no_run():
@@ -85,7 +85,7 @@
     _restart(setting, "i-1")
     assert setting.caller.is_finished
     assert setting.ended == [setting.exchange]
-    assert len(setting.calls.attempts) == 1, "the stream went on as if it still ran"
+    assert len(setting.calls.attempts) == 1, "the stream was resumed at the new incarnation"
 
 
 @pytest.mark.parametrize(("kind", "status"), [(ONCE, 502), (STREAM, 502)])
@@ -167,7 +167,9 @@
     def nothing_of_a_former_run(self):
         for upstream in self.registry.get_all():
             item = upstream.instance
-            assert item.started_ms == self.seen_ms[item.instance_id], "a former run is taken"
+            assert (
+                item.started_ms == self.seen_ms[item.instance_id]
+            ), "a previous incarnation is used"
             assert all(self.began[int(key)] == item.incarnation_id for key in upstream.in_flight)
             assert not upstream.has_restarted
             assert self.registry.get_by_key(upstream.key) is upstream
@@ -284,7 +286,7 @@
     _update_list(registry, _make(0))
     (upstream,) = registry.get_all()
     assert upstream.record_replaced(100.0)
-    assert not upstream.record_replaced(100.5), "no news"
+    assert not upstream.record_replaced(100.5), "the same replacement is recorded twice"
     assert not upstream.is_usable(104.4)
     assert upstream.is_usable(104.6)
 
@@ -297,4 +299,4 @@
     fleet.run(0.1)
     for entry in fleet.entries[1:]:
         assert entry.registry.get(name).is_replaced(fleet.clock())
-        assert entry.alarms == [], "its runs are not moved: there are none any more"
+        assert entry.alarms == [], "a replaced instance has no runs to migrate"
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -228,11 +228,11 @@
 def test_a_table_is_fetched_from_one_keeper_at_a_time(feed):
     for address in ("a:1", "b:1", "c:1"):
         _deliver(feed, address, route_messages.RouteTableVersion(version=5, is_confirmed=True))
-    asked = [
+    requested = [
         _client(feed, address).count(route_messages.GetRouteTable)
         for address in ("a:1", "b:1", "c:1")
     ]
-    assert asked == [1, 0, 0]
+    assert requested == [1, 0, 0]
     _deliver(feed, "b:1", route_messages.RouteTableVersion(version=6, is_confirmed=True))
     assert _client(feed, "b:1").count(route_messages.GetRouteTable) == 1
 
@@ -243,13 +243,13 @@
     later_s = clocks.get_s() + table_feed.PENDING_FETCH_TTL_S
     monkeypatch.setattr(table_feed.clocks, "get_s", lambda: later_s)
     feed._loop.later.pop()()
-    asked = [
+    requested = [
         _client(feed, address).count(route_messages.GetRouteTable)
         for address in ("a:1", "b:1", "c:1")
     ]
     # Either of the other two may be asked next, but only one, and not the stalled keeper.
-    assert asked[0] == 1
-    assert sorted(asked[1:]) == [0, 1]
+    assert requested[0] == 1
+    assert sorted(requested[1:]) == [0, 1]
 
 
 def test_a_difference_is_put_on_the_table_that_is_there(feed):
@@ -269,10 +269,10 @@
     _deliver(feed, "a:1", route_messages.RouteTableDocument(version=6, packed=delta, base_digest=1))
     assert feed.version == 0
     feed._check()
-    asked = [
+    requested = [
         item for item in _client(feed, "a:1").sent if isinstance(item, route_messages.GetRouteTable)
     ]
-    assert asked[-1].digest == 0
+    assert requested[-1].digest == 0
 
 
 def _deliver_version(feed, address, version, *, is_confirmed=True):
--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -170,25 +170,25 @@
 
 def test_duties_are_worked_out_again_only_where_something_changed(monkeypatch):
     """Guards against a cost of instances times entries at each check."""
-    asked = []
+    checked = []
     decide = watch_duty.is_watcher
 
     def _record(own_name, watchers, instance):
-        asked.append(instance.instance_id)
+        checked.append(instance.instance_id)
         return decide(own_name, watchers, instance)
 
     monkeypatch.setattr(watch_duty, "is_watcher", _record)
     watchers, listed = _make_fleet_of_two_halls(6, 30)
     duties = watch_duty.WatchDuties("e1")
     duties.update(watchers, listed)
-    assert len(asked) == 30
+    assert len(checked) == 30
     duties.update(list(watchers), list(listed))
-    assert len(asked) == 30
+    assert len(checked) == 30
     came = gateway_setting.make_instance("i-new", hall="hall-b")
     duties.update(watchers, [*listed[1:], came])
-    assert asked[30:] == ["i-new"]
+    assert checked[30:] == ["i-new"]
     duties.update(watchers[:-1], listed[1:])
-    assert len(asked) == 31 + 29
+    assert len(checked) == 31 + 29
 
 
 @hypothesis.given(
--- a/tests/unit/test_word_fleet.py
+++ b/tests/unit/test_word_fleet.py
@@ -1,4 +1,4 @@
-"""Departures and rests that one entry hears of reach all entries.
+"""Departures and rests reported to one entry reach all entries.
 
 Meanwhile entries restart, halls are cut off and datagrams are lost.
 """
