--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -144,7 +144,9 @@
         requested[item.workspace] += item.length
         got[item.workspace] += item.length if outcome.is_done else 0
     fractions = [got[name] / requested[name] for name in traces.WORKSPACES if requested[name]]
-    return sum(fractions) ** 2 / (len(fractions) * sum(item * item for item in fractions))
+    return sum(fractions) ** 2 / (
+        len(fractions) * sum(fraction * fraction for fraction in fractions)
+    )
 
 
 def get_goodput(trace: list[traces.Item], outcomes: list[load_client.Outcome]) -> float:
