--- a/tests/unit/test_examples.py
+++ b/tests/unit/test_examples.py
@@ -1,3 +1,5 @@
+"""The examples in docs/ are valid, and docs/METRICS.md lists every metric."""
+
 import pathlib
 import subprocess
 import sys
--- a/tests/unit/test_load_reports.py
+++ b/tests/unit/test_load_reports.py
@@ -1,3 +1,5 @@
+"""Load reports of engines: parsing, and their exchange between the entries of a hall."""
+
 import hypothesis
 import pytest
 from hypothesis import strategies
--- a/tests/unit/test_policy.py
+++ b/tests/unit/test_policy.py
@@ -1,3 +1,5 @@
+"""Admission, placement, length prediction, retries, health and pace of an entry."""
+
 import random
 
 import hypothesis
--- a/tests/unit/test_reporting.py
+++ b/tests/unit/test_reporting.py
@@ -1,3 +1,5 @@
+"""Which entry of a hall fetches the load report of an upstream."""
+
 import hypothesis
 from hypothesis import strategies
 
