--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -45,6 +45,6 @@
 
 @pytest.fixture
 def held_clock(monkeypatch):
-    """Hold the time, for tests that would fail where a busy machine pauses them for 0.1 s."""
+    """Freeze the clock, for tests that would fail if a busy machine paused them for 0.1 s."""
     now_s = clocks.get_s()
     monkeypatch.setattr(clocks, "get_s", lambda: now_s)
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory):
-    """A fleet for tests that leave it as they find it."""
+    """A fleet for tests that do not change its state."""
     with fleet.Fleet(tmp_path_factory.mktemp("fleet")) as made:
         fleets.start_fleet(made, engine_options=("--step-ms", "5"))
         yield made
--- a/tests/lib/calls.py
+++ b/tests/lib/calls.py
@@ -1,4 +1,4 @@
-"""Requests of callers, as tests send them."""
+"""HTTP client helpers for tests: plain requests, streamed chats and raw bytes."""
 
 import http.client
 import json
@@ -12,7 +12,7 @@
 
 
 class Answer:
-    """A whole answer."""
+    """An HTTP answer whose body was read."""
 
     def __init__(self, answer: http.client.HTTPResponse) -> None:
         self.status = answer.status
@@ -51,12 +51,20 @@
 
 
 def make_chat(length: int, *, stream: bool = True, **fields: object) -> dict:
+    """Return a chat request; the simulated engine generates the given number of tokens."""
     messages = [{"role": "user", "content": f"which bird? [len={length}]"}]
     return {"model": MODEL, "messages": messages, "stream": stream, **fields}
 
 
 class ChatStream:
-    """A streamed chat answer, read event by event."""
+    """A streamed chat answer, read event by event.
+
+    With a token, the request resumes an existing stream after ``last_event_id``.
+
+    :ivar generations: ids of the generations that the events belong to.
+    :ivar error: error that ended the stream, or None.
+    :ivar is_done: whether the end of the stream was received.
+    """
 
     def __init__(
         self,
@@ -82,7 +90,7 @@
         self.is_done = False
 
     def __iter__(self) -> Iterator[int]:
-        """Yield the tokens, which are numbers."""
+        """Yield the tokens of the stream as numbers."""
         for line in self.answer:
             text = line.decode().strip()
             if text.startswith("id: "):
@@ -109,7 +117,7 @@
 
 
 def send_raw(address: str, data: bytes, *, parts: int = 1) -> bytes:
-    """Send bytes and return everything that comes back until the other side closes."""
+    """Send bytes in parts and return all received bytes once the server has closed."""
     host, _, port = address.rpartition(":")
     with socket.create_connection((host, int(port)), TIMEOUT_S) as sock:
         size = max(1, len(data) // parts)
@@ -128,8 +136,10 @@
 
 
 def get_counts(address: str) -> dict:
+    """Return the counters of a simulated engine."""
     return send(address, "GET", "/counts").json
 
 
 def get_runs(address: str) -> list[dict]:
+    """Return the requests that a simulated service ran, oldest first."""
     return send(address, "GET", "/_runs").json
--- a/tests/lib/fleets.py
+++ b/tests/lib/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of real processes for tests."""
+"""Starts fleets of real processes with a table for tests."""
 
 import pathlib
 
@@ -16,7 +16,7 @@
     entry_changes: dict | None = None,
     workspace: dict | None = None,
 ) -> None:
-    """Start a fleet with two workspaces and put its table in force."""
+    """Start a fleet and apply a table with two workspaces."""
     for name in engines:
         running.start_engine(name, "--model", calls.MODEL, *engine_options)
     for name in services:
@@ -33,7 +33,10 @@
     services: tuple[str, ...],
     workspace: dict | None = None,
 ) -> dict:
-    """Return the table of :func:`start_fleet`."""
+    """Return the table that :func:`start_fleet` applies.
+
+    Workspace ``trial`` may call the services; workspace ``other`` only models.
+    """
     table = fleet.make_table(
         running.addresses,
         api_key=calls.API_KEY,
--- a/tests/lib/known_red.py
+++ b/tests/lib/known_red.py
@@ -1,17 +1,17 @@
-"""Tests that are known to fail for a real fault, as KNOWN-RED.txt at the root lists them."""
+"""Reads KNOWN-RED.txt at the root, the list of tests that fail because of a known fault."""
 
 import pathlib
 
 PATH = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 SEPARATOR = " | "
 
 
 class KnownRed:
-    """One listed test.
+    """One entry of the list.
 
-    :ivar test: its node id.
-    :ivar line: the whole line.
+    :ivar test: node id of the test.
+    :ivar line: the whole line of the entry.
     """
 
     __slots__ = ("line", "test")
@@ -22,7 +22,7 @@
 
 
 def read():
-    """Return the listed tests; none without the file."""
+    """Return the listed tests; an empty list if the file does not exist."""
     if not PATH.exists():
         return []
     lines = PATH.read_text().splitlines()
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -19,7 +19,7 @@
 
 
 def test_few_are_listed():
-    assert len(known_red.read()) <= known_red.MOST
+    assert len(known_red.read()) <= known_red.MAX_ENTRIES
 
 
 def test_a_line_without_cause_and_issue_is_an_error():
