--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a numbered 4xx with a clear text, and runs nothing."""
+"""Invalid requests get a 4xx answer with a result code and run nothing."""
 
 import json
 import socket
@@ -9,13 +9,13 @@
 from lib import calls, fleets
 
 
-def _make_head(first: str, *headers: str, key: str = calls.API_KEY) -> bytes:
-    lines = [first, "Host: x", f"Authorization: Bearer {key}", *headers, "", ""]
+def _make_head(request_line: str, *headers: str, key: str = calls.API_KEY) -> bytes:
+    lines = [request_line, "Host: x", f"Authorization: Bearer {key}", *headers, "", ""]
     return "\r\n".join(lines).encode("latin-1")
 
 
-CHAT = "POST /v1/chat/completions HTTP/1.1"
-CONFLICTS = {
+CHAT_REQUEST_LINE = "POST /v1/chat/completions HTTP/1.1"
+LENGTH_CONFLICTS = {
     "two ways": (b"0\r\n\r\n", "Content-Length: 3", "Transfer-Encoding: chunked"),
     "two ways, other order": (b"0\r\n\r\n", "Transfer-Encoding: chunked", "Content-Length: 3"),
     "twice": (b"abc", "Content-Length: 3", "Content-Length: 3"),
@@ -32,16 +32,18 @@
     return int(head.split()[1]), json.loads(body)["error"]
 
 
-@pytest.mark.parametrize("case", CONFLICTS)
+@pytest.mark.parametrize("case", LENGTH_CONFLICTS)
 def test_conflicting_lengths_are_refused(shared, case):
-    body, *headers = CONFLICTS[case]
-    received = calls.send_raw(shared.addresses["entry-1"], _make_head(CHAT, *headers) + body)
+    body, *headers = LENGTH_CONFLICTS[case]
+    received = calls.send_raw(
+        shared.addresses["entry-1"], _make_head(CHAT_REQUEST_LINE, *headers) + body
+    )
     status, error = _get_error(received)
     assert (status, error["result_code"], error["ran"]) == (400, 1002, "no")
 
 
 def test_a_refused_caller_is_not_read_for_ever(shared):
-    """It gets its refusal, and the rest of what it sends is not taken in."""
+    """Guards against an entry that keeps reading what a refused caller sends."""
     host, _, port = shared.addresses["entry-1"].rpartition(":")
     chunk = b"x" * 1_048_576
     sent = 0
@@ -100,9 +102,9 @@
     size = 5_000_000
     if chunked:
         body = b"%x\r\n%b\r\n0\r\n\r\n" % (size, b"x" * size)
-        data = _make_head(CHAT, "Transfer-Encoding: chunked") + body
+        data = _make_head(CHAT_REQUEST_LINE, "Transfer-Encoding: chunked") + body
     else:
-        data = _make_head(CHAT, f"Content-Length: {size}") + b"x" * size
+        data = _make_head(CHAT_REQUEST_LINE, f"Content-Length: {size}") + b"x" * size
     status, error = _get_error(calls.send_raw(shared.addresses["entry-1"], data, parts=50))
     assert (status, error["result_code"], error["ran"]) == (413, 1004, "no")
 
@@ -233,7 +235,7 @@
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         sock.connect((host, int(port)))
-        sock.sendall(_make_head(CHAT, f"Content-Length: {len(body)}") + body)
+        sock.sendall(_make_head(CHAT_REQUEST_LINE, f"Content-Length: {len(body)}") + body)
         entry = running.processes["entry-1"]
         fleet.wait_for(
             lambda: [item for item in entry.get_records() if item.get("result_code") == 3010],
--- a/tests/functional/test_callers.py
+++ b/tests/functional/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers see: the published API through its own client, and plain services."""
+"""The API as callers use it: models through the OpenAI client library, and plain services."""
 
 import json
 import re
--- a/tests/functional/test_programs.py
+++ b/tests/functional/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs as an operator meets them: settings, logs, metrics, damage, the trial."""
+"""The programs as operators use them: settings, logs, metrics, damaged data, the trial."""
 
 import json
 import pathlib
@@ -12,8 +12,8 @@
 from spoolhead.coordination import changelog
 
 TOOLS = pathlib.Path(fleet.__file__).parent
-TRIAL_STARTS = 6
-"""Programs that it starts one after the other: two engines, a service, a keeper, two entries."""
+TRIAL_PROGRAM_COUNT = 6
+"""Programs that the trial starts in sequence: two engines, a service, a keeper, two entries."""
 
 
 def _run_daemon(module, *arguments):
@@ -116,7 +116,9 @@
     command = [sys.executable, "-m", "spoolhead._internal.cli.entry", "--settings", str(path)]
     process = fleet.Process("entry-1", command, running.folder)
     running.processes["entry-1"] = process
-    fleet.wait_for(lambda: " entry entry-1 serves callers=127.0.0.1:" in process.get_output(), "it")
+    fleet.wait_for(
+        lambda: " entry entry-1 serves callers=127.0.0.1:" in process.get_output(), "the log line"
+    )
 
 
 def test_explain_tells_why_a_request_was_decided(shared):
@@ -146,7 +148,7 @@
                 if line.startswith("ready ")
             ],
             "the ready line",
-            TRIAL_STARTS * fleet.START_TIMEOUT_S,
+            TRIAL_PROGRAM_COUNT * fleet.START_TIMEOUT_S,
         )[0]
         fields = dict(item.split("=", 1) for item in line.split()[1:])
         address = fields["entries"].split(",")[1]
--- a/tests/functional/test_stop.py
+++ b/tests/functional/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops: nothing in flight is cut, nothing new is taken."""
+"""Planned stops: requests in flight are completed and new ones refused."""
 
 import signal
 import threading
@@ -72,15 +72,19 @@
         thread.start()
     entry = running.processes["entry-1"]
     fleet.wait_for(lambda: [r for r in entry.get_records() if r.get("action") == "run"], "a run")
-    fleet.wait_for(lambda: _get_held(running) == 3, "all three to be held")
+    fleet.wait_for(lambda: _count_requests(running) == 3, "all three to run or wait")
     assert entry.stop() == 0
     for thread in threads:
         thread.join()
     assert results == [list(range(200))] * 3
 
 
-def _get_held(running):
-    """Ask the entry itself: the operators' program may take as long to start as an answer lasts."""
+def _count_requests(running):
+    """Return the number of running and waiting requests, as the entry reports it.
+
+    Asks the entry directly, because the operators' program may take as long to start as an answer
+    lasts.
+    """
     config = settings.read_settings(
         settings.OperatorSettings, str(running.write_operator_settings())
     )
--- a/tests/functional/test_streams.py
+++ b/tests/functional/test_streams.py
@@ -1,4 +1,4 @@
-"""Tokens once, in order, from one generation, whatever happens on the way."""
+"""Streams deliver each token once, in order and from one generation, despite failures."""
 
 import json
 import signal
@@ -108,7 +108,7 @@
 
 
 def test_restarted_engine_does_not_splice(running):
-    """A generation that a restarted engine no longer knows ends with an error."""
+    """A stream ends with an error if its engine restarted and lost the generation."""
     _start_behind_proxy(running, "--step-ms", "5")
     stream = calls.ChatStream(running.addresses["entry-1"], calls.make_chat(2_000))
     first, rest = _read_some(stream, 10)
--- a/tests/functional/test_table.py
+++ b/tests/functional/test_table.py
@@ -1,4 +1,4 @@
-"""The table through the operators' program: edits, conflicts, restarts, leaving upstreams."""
+"""The table, changed by the operators' program: edits, conflicts, restarts, leaving upstreams."""
 
 import json
 import time
@@ -11,7 +11,7 @@
     return calls.send(running.addresses[entry], "GET", "/readyz").json["version"]
 
 
-def _report(done):
+def _read_report(done):
     return json.loads(done.stdout)
 
 
@@ -22,7 +22,7 @@
 def test_edit_is_in_force_everywhere_and_survives_restarts(running):
     fleets.start_fleet(running, entry_changes=None)
     edited = running.run_operator("edit", "workspaces", "trial", "max_output_tokens=3", "--json")
-    report = _report(edited)
+    report = _read_report(edited)
     assert (edited.returncode, report["version"]) == (0, 2)
     assert [item["is_in_force"] for item in report["entries"]] == [True, True]
     for entry in ("entry-1", "entry-2"):
@@ -31,12 +31,12 @@
     port = int(running.addresses["keeper-1"].rpartition(":")[2])
     running.processes["keeper-1"].kill()
     running.start_keeper(port=port)
-    shown = _report(running.run_operator("show", "workspaces", "trial", "--json"))
+    shown = _read_report(running.run_operator("show", "workspaces", "trial", "--json"))
     assert shown["version"] == 2
     assert shown["table"]["workspaces"]["trial"]["max_output_tokens"] == 3
     again = running.run_operator("edit", "workspaces", "trial", "max_output_tokens=4", "--json")
     fleet.wait_for(lambda: _get_version(running) == 3, "the entry to follow the new keeper")
-    assert _report(again)["version"] == 3
+    assert _read_report(again)["version"] == 3
 
 
 def test_bad_edit_is_refused_whole_with_every_fault(running):
@@ -51,12 +51,12 @@
     assert done.returncode == 2
     for name in ("trial.weight", "trial.wieght", "trial.max_running", "engine-1.address"):
         assert name in done.stderr
-    # What a keeper is asked directly, past the program's own check, is refused as well.
+    # The keeper itself also refuses an invalid edit that the program does not check.
     done = running.run_operator(
         "edit", "workspaces", "trial", "weight=0", 'models=["no-such"]', "priority=12", "--json"
     )
     assert done.returncode == 2
-    assert {item["path"] for item in _report(done)["faults"]} == {
+    assert {item["path"] for item in _read_report(done)["faults"]} == {
         "workspaces.trial.weight",
         "workspaces.trial.priority",
     }
@@ -72,7 +72,7 @@
         "edit", "workspaces", "trial", "weight=3.0", "--expected-version", "1", "--json"
     )
     assert (first.returncode, second.returncode) == (0, 3)
-    conflict = _report(second)["conflicts"][0]
+    conflict = _read_report(second)["conflicts"][0]
     assert (conflict["row"], conflict["version"]) == ("workspaces.trial", 2)
     assert conflict["value"]["weight"] == 2.0
 
@@ -80,7 +80,7 @@
 def test_resent_edit_is_harmless_after_a_restart(running):
     fleets.start_fleet(running, entries=("entry-1",))
     command = ("edit", "workspaces", "trial", "weight=2.0", "--edit-id", "e1", "--json")
-    assert _report(running.run_operator(*command))["version"] == 2
+    assert _read_report(running.run_operator(*command))["version"] == 2
     running.run_operator("edit", "workspaces", "trial", "priority=7")
     port = int(running.addresses["keeper-1"].rpartition(":")[2])
     running.processes["keeper-1"].kill()
@@ -90,7 +90,7 @@
     )
     assert again.returncode == 3
     assert "4003" in again.stderr
-    shown = _report(running.run_operator("show", "--json"))
+    shown = _read_report(running.run_operator("show", "--json"))
     assert shown["version"] == 3
 
 
@@ -109,7 +109,7 @@
 
 
 def test_entry_that_no_keeper_confirms_refuses_nothing_for_good(running):
-    """Its saved copy may be old: a key or model that it lacks may have come since."""
+    """Its saved table may be outdated: a key or model may have been added since."""
     changes = {"data_dir": str(running.folder / "entry-1.data")}
     fleets.start_fleet(running, entries=("entry-1",), entry_changes=changes)
     address = running.addresses["entry-1"]
@@ -186,7 +186,7 @@
     used = explained[0]["upstream"]
     begun_s = time.monotonic()
     edited = running.run_operator("edit", "upstreams", used, "state=leaving", "--json")
-    assert _report(edited)["result"] == "OK"
+    assert _read_report(edited)["result"] == "OK"
     assert time.monotonic() - begun_s < 10
     before = calls.get_counts(running.addresses[used])["generations"]
     for number in range(12):
@@ -222,7 +222,7 @@
     fleets.start_fleet(running, entries=("entry-1",))
     running.run_operator("edit", "workspaces", "trial", "weight=2.0", "--author", "night duty")
     running.run_operator("edit", "workspaces", "other", "--remove", "--author", "day duty")
-    history = _report(running.run_operator("history", "--json"))
+    history = _read_report(running.run_operator("history", "--json"))
     assert [item["version"] for item in history] == [3, 2, 1]
     assert [item["author"] for item in history[:2]] == ["day duty", "night duty"]
     assert history[0]["rows"] == [{"row": "workspaces.other", "value": None}]
@@ -258,23 +258,23 @@
 
 
 def test_full_disk_is_an_error_and_no_acceptance(running):
-    """The log's folder is on the disk; a limit on file sizes stands for a full one."""
+    """A limit on the size of files simulates a full disk."""
     fleets.start_fleet(running, entries=("entry-1",))
     keeper = running.processes["keeper-1"]
     size = (running.folder / "keeper-1.data" / "table.log").stat().st_size
     fleet.limit_file_size(keeper.pid, size + 10)
     done = running.run_operator("edit", "workspaces", "trial", "weight=2.0", "--json")
     assert done.returncode == 1
-    assert _report(done)["result_code"] == 6002
-    shown = _report(running.run_operator("show", "--json"))
+    assert _read_report(done)["result_code"] == 6002
+    shown = _read_report(running.run_operator("show", "--json"))
     assert shown["version"] == 1
     fleet.limit_file_size(keeper.pid, None)
     done = running.run_operator("edit", "workspaces", "trial", "weight=3.0", "--json")
-    assert (done.returncode, _report(done)["version"]) == (0, 2)
+    assert (done.returncode, _read_report(done)["version"]) == (0, 2)
     port = int(running.addresses["keeper-1"].rpartition(":")[2])
     keeper.kill()
     running.start_keeper(port=port)
-    shown = _report(running.run_operator("show", "workspaces", "trial", "--json"))
+    shown = _read_report(running.run_operator("show", "workspaces", "trial", "--json"))
     assert shown["table"]["workspaces"]["trial"]["weight"] == 3.0
 
 
@@ -286,7 +286,7 @@
     for _ in range(2):
         done = running.run_operator("evacuate", hall, "--json")
         assert done.returncode == 0
-        assert all(item["is_in_force"] for item in _report(done)["entries"])
+        assert all(item["is_in_force"] for item in _read_report(done)["entries"])
     path = running.folder / "again.json"
     path.write_text(json.dumps(table))
     assert running.run_operator("apply", str(path)).returncode == 0
@@ -297,7 +297,7 @@
         assert (answer.status, answer.error["ran"]) == (503, "no")
     states = running.run_operator("status").stdout
     assert "evacuated" in states
-    assert stream.read_all() == list(range(60)), "what ran there ends undisturbed"
+    assert stream.read_all() == list(range(60)), "the stream that ran there was not completed"
     assert running.run_operator("evacuate", hall, "--withdraw").returncode == 0
     stream = calls.ChatStream(running.addresses["entry-2"], calls.make_chat(3))
     assert stream.read_all() == [0, 1, 2]
