--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -12,7 +12,9 @@
 ANSWER_TIMEOUT_S = 9.0
 """Socket timeout while an answer is read; longer than the timeout of any route."""
 STREAM_EVENTS = (5, 20, 120)
+"""Lengths of streams, in events."""
 PAUSE_S = 0.02
+"""Pause of a caller between two requests."""
 
 
 class Caller(threading.Thread):
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -11,8 +11,11 @@
 from standins import platform
 
 FIRST_VERSION = 3
+"""Version of the first table of a run."""
 FULL_DISK_BYTES = 1
+"""Limit on the size of files that simulates a full disk."""
 DEADLY_PAUSE_S = 0.3
+"""Pause between two repeats of a request that crashes instances."""
 HASTY_TIMEOUT_S = 0.06
 """Time after which an impatient caller disconnects: before the instance crashes."""
 TORN_BYTES = b"\x93\x01torn"
@@ -32,6 +35,7 @@
         "cold_remaining_ms": 0,
     },
 ]
+"""Invalid entries, as another writer may add them to the instance list."""
 _LINK_ORDERS = {
     "delay": {"direction": "down", "delay_ms": 150},
     "reset": {"cut": True},
@@ -39,6 +43,7 @@
     "stall_down": {"direction": "down", "stall": True},
     "refuse": {"cut": True, "refuse": True},
 }
+"""Order to the proxy of an instance for each kind of fault of its link."""
 _STATEMENTS = {
     "limit": ({"limit": str(plan.LIMIT_PER_S)}, {"limit": ""}),
     "rest": ({"rest": str(plan.REST_S)}, {"rest": ""}),
@@ -48,6 +53,7 @@
 _RESTART_KINDS = ("stop", "kill", "wipe", "tear")
 """Faults that end a process and start it again; at most one at a time per process."""
 _LINK_REPAIR_ORDERS = ({"direction": "up"}, {"direction": "down"}, {"refuse": False})
+"""Orders to a proxy that end all faults of its link."""
 
 
 class FaultInjector:
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -4,6 +4,7 @@
 import random
 
 RUN_DURATION_S = 10.0
+"""Time from the start of traffic in which steps begin."""
 KEEPERS = ("keeper-1", "keeper-2", "keeper-3")
 ENTRIES = ("entry-1", "entry-2")
 MODEL_INSTANCES = ("m-1", "m-2", "m-3")
@@ -28,7 +29,9 @@
 """Seeds from here on have instances that state rate limits, ask for rest and say that they leave.
 With an even seed, the entries have no faults meanwhile."""
 LIMIT_PER_S = 2.0
+"""Requests per second that a limited instance accepts."""
 REST_S = 1.5
+"""Duration of each rest that an instance asks for."""
 FAR_HALL_INSTANCES = ("m-3", "p-2")
 """Instances in the other hall."""
 FAR_HALL = "hall-b"
