--- a/src/spoolhead/_internal/discovery/list_reader.py
+++ b/src/spoolhead/_internal/discovery/list_reader.py
@@ -11,7 +11,7 @@
 logger = logging.getLogger(__name__)
 
 READ_TIMEOUT_S = 1.5
-"""Time limit for all pages of a read; a page takes some milliseconds, so a longer read is stuck."""
+"""Time limit for all pages of a read. A page takes some milliseconds, so a longer read is stuck."""
 MAX_PAGES = 200
 """Maximum pages of a read; 1,600 instances at 50 a page are 32 pages."""
 
@@ -19,7 +19,7 @@
 
 
 class ListReader:
-    """Reads the whole list on demand, one read at a time.
+    """Reads the complete list of instances on demand, one read at a time.
 
     :param loop: the program's event loop.
     :param calls: sends the HTTP requests.
--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -291,7 +291,7 @@
 
 
 def _apply_output_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
-    """Cap the body's output limit at the workspace's maximum and return the limit in tokens."""
+    """Cap the output limit in the body at the workspace's maximum; return the limit in tokens."""
     names = [name for name in _LIMIT_NAMES if isinstance(body.get(name), int)]
     limit = min([row.max_output_tokens, *(body[name] for name in names)])
     for name in names or _LIMIT_NAMES[:1]:
@@ -320,8 +320,8 @@
 ) -> expression.Result[bool, fault.Fault]:
     """Return whether a request must run at most once.
 
-    The request's header can only add to the table's default: a caller must not override an
-    operator's setting that a method is not repeatable.
+    The request's header can only add this requirement: a caller must not override an operator's
+    setting that requests of a method must not be repeated.
     """
     word = (wire.get_header(ONCE_HEADER) or "no").lower()
     if word not in _TRUE_WORDS | _FALSE_WORDS:
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -28,13 +28,14 @@
 
 CHECK_INTERVAL_S = 0.1
 MAX_WORKSPACES_TRIED = 4
-"""Workspaces whose next request is tried when no upstream has room for the one before it."""
+"""Maximum number of workspaces whose next request is tried, in turn, while no upstream has room for
+the request tried before."""
 
 NO_UPSTREAM_TIMEOUT_S = 3.0
 """Time without an available upstream after which a service's waiting requests are refused."""
 
 
-class _Job:
+class _QueuedRequest:
     """A waiting request with its caller, and its flow if an earlier attempt was made."""
 
     __slots__ = ("caller", "request", "existing_flow")
@@ -94,7 +95,7 @@
         self._pools = upstream_pools.UpstreamPools(calls.forget)
         self._flows: set[flow.Flow] = set()
         self._decisions = decisions
-        self._on_end: dict[str, Callable[[flow_context.FlowResult], None]] = {}
+        self._end_callbacks: dict[str, Callable[[flow_context.FlowResult], None]] = {}
         self._last_available_s: dict[str, float] = {}
         self._started_s = clocks.get_s()
         self._context = flow_context.FlowContext(
@@ -123,7 +124,7 @@
 
     @property
     def upstreams(self) -> list[replicas.Replica]:
-        """All upstreams in the table, including those that are leaving."""
+        """All upstreams in the table, including leaving ones."""
         return self._pools.get_all()
 
     def get_upstream(self, name: str) -> replicas.Replica | None:
@@ -135,7 +136,7 @@
         self._placement.entry_count = max(1, count)
 
     def update_upstreams(self) -> None:
-        """Apply the table's current upstreams; one that is leaving receives no new requests."""
+        """Apply the table's current upstreams; leaving upstreams receive no new requests."""
         now_s = clocks.get_s()
         is_new = now_s - self._started_s > replicas.REPORT_STALE_S
         self._pools.update(self._table.upstreams, self._table.halls, now_s, is_new=is_new)
@@ -152,7 +153,7 @@
         :param on_end: called with the result once the request has ended or was refused.
         """
         if on_end is not None:
-            self._on_end[request.request_id] = on_end
+            self._end_callbacks[request.request_id] = on_end
         now_s = request.arrived_s
         self._context.budget.record_request()
         if request.resume is not None:
@@ -161,7 +162,7 @@
         request.content_id = request_content.get_content_id(request, "", request.workspace)
         match self._contents.evaluate(request.content_id):
             case quarantine.Verdict.REFUSE:
-                self._refuse(_Job(request, caller), _make_held_refusal())
+                self._refuse(_QueuedRequest(request, caller), _make_held_refusal())
             case quarantine.Verdict.CLAIM:
                 self._claim_trial(request, caller)
             case _:
@@ -175,7 +176,7 @@
                 request.is_trial = True
                 self._admit(request, caller, clocks.get_s())
             else:
-                self._refuse(_Job(request, caller), _make_held_refusal())
+                self._refuse(_QueuedRequest(request, caller), _make_held_refusal())
 
         self._contents.claim_trial(request.content_id, _on_settled)
 
@@ -193,7 +194,7 @@
         if refusal is None:
             refusal = self._offer(request, caller, now_s)
         if refusal is not None:
-            self._refuse(_Job(request, caller), refusal)
+            self._refuse(_QueuedRequest(request, caller), refusal)
             return
         self._start_waiting_of(request.service_name)
 
@@ -227,7 +228,7 @@
         self._decisions.record(
             request, "wait", code, text="no upstream has room for another attempt"
         )
-        waiting = self._make_waiting(_Job(request, running_flow.caller, running_flow))
+        waiting = self._make_waiting(_QueuedRequest(request, running_flow.caller, running_flow))
         self._admission.put_back(waiting, clocks.get_s())
         running_flow.caller.on_gone = lambda: self._withdraw(waiting)
         return True
@@ -265,7 +266,7 @@
     def _offer(
         self, request: requests.CallerRequest, caller: caller_front.Caller, now_s: float
     ) -> admission.Refusal | None:
-        waiting = self._make_waiting(_Job(request, caller))
+        waiting = self._make_waiting(_QueuedRequest(request, caller))
         offered = self._admission.offer(waiting, now_s)
         if offered.is_error():
             return offered.error
@@ -273,15 +274,15 @@
         return None
 
     @staticmethod
-    def _make_waiting(job: _Job) -> admission.WaitingRequest:
-        request = job.request
+    def _make_waiting(queued: _QueuedRequest) -> admission.WaitingRequest:
+        request = queued.request
         return admission.WaitingRequest(
             request_id=request.request_id,
             workspace=request.workspace,
             service=request.service_name,
             arrived_s=request.arrived_s,
             deadline_s=request.deadline_s,
-            owner=job,
+            owner=queued,
         )
 
     def _withdraw(self, waiting: admission.WaitingRequest) -> None:
@@ -346,13 +347,13 @@
     def _start(
         self, waiting: admission.WaitingRequest, choice: placement.Choice, now_s: float
     ) -> None:
-        job: _Job = waiting.owner
-        request = job.request
+        queued: _QueuedRequest = waiting.owner
+        request = queued.request
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
         self._metrics.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
         self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
-        running_flow = job.existing_flow or flow.Flow(request, job.caller, self._context)
+        running_flow = queued.existing_flow or flow.Flow(request, queued.caller, self._context)
         self._flows.add(running_flow)
         running_flow.start(choice)
 
@@ -378,11 +379,11 @@
             running_flow.check_timeouts()
         now_s = clocks.get_s()
         for waiting in self._admission.pop_overdue(now_s):
-            job: _Job = waiting.owner
+            queued: _QueuedRequest = waiting.owner
             text = "the deadline passed while the request was waiting"
             cause = fault.Fault(codes.ResultCode.DEADLINE_BEFORE_START, text)
             retry_after_ms = self._admission.get_retry_after_ms(waiting.service, now_s)
-            self._refuse(job, admission.Refusal(cause, retry_after_ms))
+            self._refuse(queued, admission.Refusal(cause, retry_after_ms))
         self._refuse_without_upstream(now_s)
         self._start_waiting()
 
@@ -401,14 +402,14 @@
             for waiting in self._admission.pop_all(service):
                 self._refuse(waiting.owner, refusal)
 
-    def _refuse(self, job: _Job, refused: admission.Refusal) -> None:
-        request = job.request
+    def _refuse(self, queued: _QueuedRequest, refused: admission.Refusal) -> None:
+        request = queued.request
         self._decisions.record(request, "refuse", refused.fault.code, text=refused.fault.text)
-        self._call_on_end(request, flow_context.FlowResult(refused.fault.code, job.ran, 0))
+        self._call_on_end(request, flow_context.FlowResult(refused.fault.code, queued.ran, 0))
         answers.send_error(
-            job.caller,
+            queued.caller,
             refused.fault,
-            ran=job.ran,
+            ran=queued.ran,
             request_id=request.request_id,
             retry_after_ms=refused.retry_after_ms,
         )
@@ -416,7 +417,7 @@
     def _call_on_end(
         self, request: requests.CallerRequest, result: flow_context.FlowResult
     ) -> None:
-        on_end = self._on_end.pop(request.request_id, None)
+        on_end = self._end_callbacks.pop(request.request_id, None)
         if on_end is not None:
             on_end(result)
 
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -1,9 +1,9 @@
 """Runs one request, from its first attempt at an upstream to the end of its answer.
 
-A flow makes attempts, relays their answers to the caller, and asks
-:mod:`~spoolhead._internal.policy.retry` what to do after a failed one. It reaches sockets and the
-clock only through :class:`~spoolhead._internal.entry.flow_context.FlowContext`, so that tests can
-replace them with fakes.
+A flow makes attempts and relays their answers to the caller. After a failed attempt,
+:mod:`~spoolhead._internal.policy.retry` decides the next step. A flow uses sockets and the clock
+only through :class:`~spoolhead._internal.entry.flow_context.FlowContext`, so that tests can replace
+them with fakes.
 """
 
 import logging
@@ -21,8 +21,8 @@
 """``Retry-After`` of a request that upstreams failed before they could act on it."""
 
 _OK = 200
-_SERVER_ERRORS = range(500, 600)
-_REFUSALS = frozenset({429, 503})
+_SERVER_ERROR_STATUSES = range(500, 600)
+_REFUSAL_STATUSES = frozenset({429, 503})
 
 
 class Flow:
@@ -112,7 +112,8 @@
         if self.is_over or self._relay.order.has_delivered or self.request.resume is not None:
             return
         held, ran = fault.make_held_fault(), self._get_ran_now()
-        # REQUEST_HELD states that the request did not run, so it must not be sent otherwise.
+        # REQUEST_HELD states that the request did not run, so it must not be sent if the request
+        # may have run.
         code = held.code if ran is codes.Ran.NO else codes.ResultCode.UPSTREAM_LOST
         self._give_up(code, held.text, ran, may_retry=False)
 
@@ -129,22 +130,22 @@
         self._pace.last_s = self._context.clock()
         attempt.status = status
         attempt.headers = headers
-        if status in _REFUSALS:
+        if status in _REFUSAL_STATUSES:
             self._record_rest(attempt)
         if not self.request.is_model or status == _OK:
             return
         if self.request.resume is not None or self._relay.order.has_delivered:
             text = f"the upstream no longer has the generation (status {status})"
             self._fail_attempt(codes.ResultCode.GENERATION_LOST, text, is_final=True)
-        elif status in _REFUSALS:
+        elif status in _REFUSAL_STATUSES:
             text = f"the upstream refused with status {status}"
             self._fail_attempt(codes.ResultCode.UPSTREAM_REFUSED, text, refused=True)
-        elif status in _SERVER_ERRORS:
+        elif status in _SERVER_ERROR_STATUSES:
             text = f"the upstream failed with status {status}"
             self._fail_attempt(codes.ResultCode.UPSTREAM_LOST, text)
 
     def _record_rest(self, attempt: flow_attempt.Attempt) -> None:
-        """Stop sending to an upstream for the time that its ``Retry-After`` asks for."""
+        """Send no requests to an upstream for the time stated in its ``Retry-After``."""
         text = dict(attempt.headers).get("retry-after", "")
         rest_s = decimals.parse(text)
         if rest_s is None:
@@ -193,7 +194,7 @@
                 attempt.replica, attempt.incarnation_id, self.request.content_id, attempt.sent_s
             )
         if attempt is not self._attempt:
-            # Recording the loss got the content held, and that aborted this attempt.
+            # The recorded loss caused the content to be held, which aborted this attempt.
             return
         self._fail_attempt(code, f"upstream {attempt.replica.name}: {reason}")
 
@@ -292,7 +293,7 @@
         )
 
     def _record_whole_answer(self, status: int) -> None:
-        """Mark the content as harmless if the status of a complete answer shows it."""
+        """Record the content as harmless if the status of a complete answer shows that it is."""
         if quarantine.shows_harmless(status, is_trial=self.request.is_trial):
             self._context.contents.record_harmless(self.request.content_id)
 
@@ -389,8 +390,8 @@
         excluded = frozenset(self._failed_upstreams)
         choice = self._context.host.choose_upstream(self, excluded)
         if choice.replica is None:
-            # An upstream that lost one connection may be healthy, and an unhealthy one has been
-            # ejected by now. So all of them may be tried again after a wait.
+            # An upstream that lost one connection may be healthy, and an unhealthy upstream has
+            # been ejected by now. So all upstreams may be tried again after a wait.
             self._failed_upstreams.clear()
             return self._context.host.requeue(self, code)
         self._context.host.record_attempt(self, "retry", choice, code)
@@ -449,8 +450,8 @@
             self._cancel_generation(attempt)
 
     def _cancel_generation(self, attempt: flow_attempt.Attempt) -> None:
-        # Closing the connection is not enough: an engine that supports resuming keeps a
-        # generation for some time after that, and it would take memory from others unread.
+        # Closing the connection is not enough: an engine that supports resuming keeps the
+        # generation for some time, and its memory would be missing to other requests.
         address = attempt.replica.row.address
         target = f"{api.STREAMS_PATH}{attempt.generation}/cancel"
         request = upstream_calls.make_request("POST", target, address, [], b"")
--- a/src/spoolhead/_internal/entry/flow_attempt.py
+++ b/src/spoolhead/_internal/entry/flow_attempt.py
@@ -30,7 +30,7 @@
     :ivar flow: the flow that made the attempt.
     :ivar replica: the upstream.
     :ivar generation: id of the generation at the upstream.
-    :ivar incarnation_id: incarnation of the upstream that the request was sent to.
+    :ivar incarnation_id: id of the upstream's incarnation to which the request was sent.
     :ivar sent_s: monotonic time at which the request was sent, in seconds.
     :ivar call: the call; None until it is made.
     :ivar status: HTTP status of the answer; 0 before it arrives.
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -1,9 +1,9 @@
-"""Quarantines request contents that crash the upstreams which run them, for the OpenAI interface.
+"""Quarantines request contents that crash upstreams, for the OpenAI interface.
 
 :mod:`spoolhead._internal.policy.quarantine` makes the decisions. An entry sends its records to the
-keeper, which relays them to all other entries and sends all its records to each entry that
+keeper, which relays them to all other entries and sends all known records to each entry that
 connects. An entry with a data folder can serve from its saved table while no keeper answers, so it
-saves the records there as well.
+saves the records in that folder too.
 """
 
 import pathlib
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -26,7 +26,7 @@
     """Result of a claim.
 
     :ivar state: state of the key; None if no keeper answered in time.
-    :ivar outcome: answer of the first run, if it is known.
+    :ivar outcome: stored answer of the first run; None if it is unknown.
     """
 
     __slots__ = ("outcome", "state")
@@ -93,11 +93,11 @@
         self._followed = following.FollowedTable()
         self._saved_copy: saved_copy.SavedCopy | None = None
         self._folder_lock: files.FolderLock | None = None
-        self._numbers = itertools.count(1)
+        self._claim_numbers = itertools.count(1)
         self._claims: dict[int, _PendingClaim] = {}
         self._unconfirmed: dict[str, messages.FinishOnce] = {}
         self._unconfirmed_since_s: float | None = clocks.get_s()
-        self._save_scheduled = False
+        self._is_save_scheduled = False
         if config.data_dir is not None:
             self._load_saved_copy(pathlib.Path(config.data_dir))
         self._client = peer_client.PeerClient(
@@ -139,7 +139,7 @@
         :param fingerprint: digest of the request.
         :param on_answer: called exactly once, never before this method returns.
         """
-        number = next(self._numbers)
+        number = next(self._claim_numbers)
         pending = _PendingClaim(key, on_answer)
         self._claims[number] = pending
         message = messages.ClaimOnce(request=number, key=key, fingerprint=fingerprint)
@@ -169,13 +169,13 @@
     def send_contents(self, records: held_contents.Records) -> None:
         """Send records of contents for the keeper to relay.
 
-        Nothing is queued without a keeper: on connecting, all records are sent anyway.
+        Without a connected keeper, nothing is queued: all records are sent on connecting anyway.
         """
         if records:
             self._client.send(messages.Contents(items=content_record.pack(records)))
 
     def on_peer_ready(self) -> None:
-        """Introduce this entry, request newer versions and resend unconfirmed ends of claims."""
+        """Introduce this entry, request newer versions and resend unconfirmed claim results."""
         logger.info("connected to keeper at %s", self._client.address)
         self._client.send(messages.Introduce(hall=self._hall, address=self._control_address))
         self._client.send(
@@ -257,19 +257,19 @@
             reason.value,
             extra={"fields": {"offered": version, "in_force": self._followed.version}},
         )
-        self._client.reconnect(f"its table is not taken: {reason.value}")
+        self._client.reconnect(f"its table was rejected: {reason.value}")
 
     def _activate_version(self) -> None:
         self._table.version = self._followed.version
         self._user.on_table()
         logger.info("table in force", extra={"fields": {"version": self._table.version}})
-        if self._saved_copy is not None and not self._save_scheduled:
+        if self._saved_copy is not None and not self._is_save_scheduled:
             # Changes arrive in bursts; one write covers all that arrive in the same loop iteration.
-            self._save_scheduled = True
+            self._is_save_scheduled = True
             self._scheduler.call_later(0, self._save)
 
     def _save(self) -> None:
-        self._save_scheduled = False
+        self._is_save_scheduled = False
         if self._saved_copy is not None:
             self._saved_copy.save(self._followed)
 
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -24,10 +24,11 @@
 FETCH_TIMEOUT_INTERVALS = 8
 
 OTHER_HALL_INTERVAL_TURNS = 4
-"""Intervals between two fetches from an upstream of another hall."""
+"""Fetch intervals between two fetches from an upstream of another hall."""
 
 MAX_MISSED_TURNS = 3
-"""Intervals without a neighbour's report after which an entry fetches it itself."""
+"""Fetch intervals without a report from the responsible neighbour after which an entry fetches the
+report itself."""
 
 _RUNNING = "vllm:num_requests_running"
 _WAITING = "vllm:num_requests_waiting"
@@ -118,7 +119,7 @@
     ) -> None:
         self._neighbours = neighbours
         self._hall = hall
-        self._turn = 0
+        self._interval_number = 0
         self._fetched: list[entry_neighbours.NamedReport] = []
         self.fetched_counts: dict[str, int] = {}
         self._interval_s = config.report_interval_ms / 1000
@@ -146,7 +147,7 @@
         self._dispatcher.handle_report(replica, report)
 
     def handle_neighbour_report(self, reports: Sequence[entry_neighbours.NamedReport]) -> None:
-        """Apply reports fetched by a neighbour that are newer than the known ones."""
+        """Apply a neighbour's reports that are newer than the known reports."""
         for item in reports:
             replica = self._dispatcher.get_upstream(item.upstream)
             if replica is None:
@@ -164,7 +165,7 @@
         self._cancel_overdue(now_s)
         self._neighbours.broadcast_reports(self._fetched)
         self._fetched = []
-        self._turn += 1
+        self._interval_number += 1
         live_entries = self._neighbours.get_live_entries(now_s)
         for replica in self._dispatcher.upstreams:
             if replica.name not in self._fetches and self._is_due(replica, live_entries, now_s):
@@ -175,7 +176,7 @@
         is_near = replica.row.hall == self._hall
         interval = 1 if is_near else OTHER_HALL_INTERVAL_TURNS
         if reporting.get_fetcher(replica.name, live_entries) == live_entries[0]:
-            return self._turn % interval == 0
+            return self._interval_number % interval == 0
         if replica.report is None:
             return True
         age_s = now_s - replica.report.received_s
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -53,7 +53,7 @@
         """Do nothing: the peer sends reports without being asked."""
 
     def on_peer_lost(self) -> None:
-        """Do nothing: a neighbour is judged by the time of its last message."""
+        """Do nothing: :meth:`Neighbours.get_live_entries` skips a lost or silent neighbour."""
 
     def on_peer_message(self, message: messages.Message) -> None:
         """Handle a message with reports."""
@@ -85,7 +85,7 @@
         self._sessions: set[peer_server.PeerSession] = set()
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Connect to the entries of this hall and close connections to those that have left."""
+        """Connect to new entries of this hall, and close connections to entries that have left."""
         wanted = {
             item.name: item
             for item in members
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -19,7 +19,7 @@
 REPLAYED_HEADER = "x-spoolhead-replayed"
 CLAIM_RETRY_AFTER_MS = 2_000
 
-_REFUSALS = {
+_REFUSAL_CODES = {
     once_journal.ClaimState.IN_PROGRESS: codes.ResultCode.ONCE_IN_PROGRESS,
     once_journal.ClaimState.UNKNOWN: codes.ResultCode.ONCE_OUTCOME_UNKNOWN,
     once_journal.ClaimState.KEY_REUSED: codes.ResultCode.ONCE_KEY_REUSED,
@@ -27,7 +27,7 @@
 
 
 class OnceRequests:
-    """Runs requests whose keys were claimed successfully.
+    """Claims the keys of requests, and runs the requests whose claims are granted.
 
     :param dispatcher: runs the requests.
     :param decisions: records refusals.
@@ -110,7 +110,7 @@
             state = result.state
             if state is once_journal.ClaimState.FINISHED:
                 state = once_journal.ClaimState.UNKNOWN
-            code, ran = _REFUSALS[state], codes.Ran.UNKNOWN
+            code, ran = _REFUSAL_CODES[state], codes.Ran.UNKNOWN
         if code is codes.ResultCode.ONCE_KEY_REUSED:
             ran = codes.Ran.NO
         cause = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -33,8 +33,8 @@
 
 STOP_RETRY_AFTER_MS = 1_000
 UNCONFIRMED_RETRY_AFTER_MS = 1_000
-"""``Retry-After`` while no keeper confirms the table; a running keeper is found within the maximum
-reconnect delay of two seconds."""
+"""``Retry-After`` while no keeper confirms the table. The entry finds a running keeper within the
+maximum reconnect delay of two seconds."""
 STOP_CHECK_S = 0.05
 STOP_CONFIRM_S = 2.0
 """Maximum wait, after all requests have ended, for a keeper to confirm finished claims."""
--- a/src/spoolhead/_internal/entry/upstream_pools.py
+++ b/src/spoolhead/_internal/entry/upstream_pools.py
@@ -18,7 +18,7 @@
         self._replicas: dict[str, replicas.Replica] = {}
 
     def get_all(self) -> list[replicas.Replica]:
-        """Return all upstreams, including those that are leaving."""
+        """Return all upstreams, including leaving ones."""
         return list(self._replicas.values())
 
     def get(self, name: str) -> replicas.Replica | None:
@@ -26,7 +26,7 @@
         return self._replicas.get(name)
 
     def get_pool(self, service: str) -> placement.Pool | None:
-        """Return the usable upstreams of a service; None if it never had any."""
+        """Return the usable upstreams of a service; None if the service never had any."""
         return self._pools.get(service)
 
     def update(
--- a/src/spoolhead/_internal/table/checking.py
+++ b/src/spoolhead/_internal/table/checking.py
@@ -7,7 +7,7 @@
 
 
 class TableChecker:
-    """Validates whole tables incrementally: checks only rows changed since the last valid table."""
+    """Validates tables incrementally: only rows changed since the last valid table are checked."""
 
     def __init__(self) -> None:
         self._parsed: dict[versioned_table.RowKey, _ParsedRow] = {}
--- a/src/spoolhead/_internal/table/documents.py
+++ b/src/spoolhead/_internal/table/documents.py
@@ -99,7 +99,7 @@
 
 
 def get_differences(table_rows: packing.Rows, document: Document) -> list[Difference]:
-    """Return the changes that a document makes to a table, sorted by row key.
+    """Return the changes that turn a table into a document, sorted by row key.
 
     Halls missing from the document stay unchanged: a file written before a hall was evacuated must
     not undo the evacuation.
--- a/src/spoolhead/_internal/table/view.py
+++ b/src/spoolhead/_internal/table/view.py
@@ -37,7 +37,7 @@
         self.services: dict[str, rows.ServiceRow] = {}
         self.upstreams: dict[str, rows.UpstreamRow] = {}
         self.halls: dict[str, rows.HallRow] = {}
-        self._owners: dict[str, str] = {}
+        self._workspaces_by_digest: dict[str, str] = {}
         self._sheets = {
             rows.Sheet.WORKSPACES: self.workspaces,
             rows.Sheet.SERVICES: self.services,
@@ -68,7 +68,7 @@
         self._sheets[sheet][key.name] = parsed.ok
         if isinstance(parsed.ok, rows.WorkspaceRow):
             for digest in parsed.ok.key_sha256:
-                self._owners[digest] = key.name
+                self._workspaces_by_digest[digest] = key.name
 
     def replace(self, table_rows: Iterable[tuple[versioned_table.RowKey, object]]) -> None:
         """Replace the whole table."""
@@ -84,7 +84,7 @@
     def get_workspace_of(self, api_key: str) -> str | None:
         """Return the workspace that owns an API key, or None."""
         digest = get_key_digest(api_key)
-        owner = self._owners.get(digest)
+        owner = self._workspaces_by_digest.get(digest)
         if owner is None:
             return None
         row = self.workspaces[owner]
@@ -93,5 +93,5 @@
 
     def _remove_keys(self, name: str, row: rows.WorkspaceRow) -> None:
         for digest in row.key_sha256:
-            if self._owners.get(digest) == name:
-                del self._owners[digest]
+            if self._workspaces_by_digest.get(digest) == name:
+                del self._workspaces_by_digest[digest]
