--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -11,12 +11,13 @@
 logger = logging.getLogger(__name__)
 
 FLEET_INTERVAL_S = 0.25
-"""Interval between messages about the fleet, which go to all entries. One message per entry that
-joins would be quadratic in number when all start within 0.3 s."""
+"""Interval between messages about the fleet, which go to all entries. If each joining entry caused
+a message to all others, the number of messages would be quadratic when all entries start within
+0.3 s."""
 
 MAX_DOCUMENTS = 8
-"""Number of documents that are kept to send differences. Entries are behind by a change or two, by
-a dozen in a storm of changes; the largest document that operators may send is 4 MB."""
+"""Number of documents that are kept to send differences. Entries lag by one or two changes, and by
+a dozen during a burst of changes. The largest document that operators may send is 4 MB."""
 
 
 class CommittedTable:
@@ -89,13 +90,13 @@
             "is_confirmed": table.is_confirmed,
         }
         logger.info("entry follows", extra={"fields": fields})
-        # An entry that receives a table must know by then which halls are evacuated.
+        # The evacuated halls are sent first: an entry must know them before it applies a table.
         session.send(self._make_evacuated_halls(table))
         session.send(_make_table_version(table))
         if self._sequence:
             session.send(self._make_instance_list())
-        # The same list that the others received last, so that the next difference applies to it
-        # too.
+        # Send the list that the other followers received last, so that the next difference applies
+        # to this follower's list too.
         session.send(self._make_fleet(self._sent_entries, [], is_whole=True))
         self._is_fleet_changed = True
 
@@ -137,7 +138,7 @@
         self._reader_term = term
         self._sequence += 1
         # Streams are lossless, so a follower has the previous list and needs only the difference.
-        # Before the first list nothing was sent.
+        # Before the first list nothing was sent, so the first list is whole.
         message = route_messages.InstanceList(
             reader_term=term,
             sequence=self._sequence,
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -1,4 +1,4 @@
-"""The keeper program that agrees with other keepers on the route table."""
+"""The keeper program that replicates the route table with other keepers by consensus."""
 
 import logging
 import pathlib
@@ -38,7 +38,7 @@
 """Time after which an operator should retry at a keeper that could not confirm an operation: about
 the length of an election."""
 STOP_CHECK_INTERVAL_S = 0.05
-"""Interval between checks whether the last operator has been answered."""
+"""Interval between checks, when stopping, whether all operators have been answered."""
 STOP_SYNC_TIMEOUT_S = 0.5
 """Longest wait, when stopping, until records of contents are synced: many times the length of a
 sync. Without this wait, records of the last quarter of a second would exist only at other
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -94,7 +94,7 @@
 
     @property
     def has_caught_up(self) -> bool:
-        """Whether this keeper has applied, since its start, what a leader had committed."""
+        """Whether this keeper has applied, since its start, all changes that a leader committed."""
         return self._consensus.has_caught_up
 
     @property
@@ -216,7 +216,7 @@
         logger.info("join request received", extra={"fields": fields})
 
     def _apply_effects(self) -> None:
-        """Write the records and send the messages that the consensus has produced."""
+        """Write the records that the consensus has produced, and send its messages."""
         while True:
             effects = self._consensus.take_effects()
             if not effects.records and not effects.envelopes:
@@ -255,7 +255,7 @@
         self._report_state()
 
     def _report_state(self) -> None:
-        """Report new committed state, and catching up: after either, entries must be notified."""
+        """Log new committed state and the end of catching up, and notify the entries of either."""
         has_new_table = self._reported_version != self.register.version
         has_new_evacuations = self._reported_revision != self.state.evacuations.revision
         has_just_caught_up = self.has_caught_up and not self._reported_caught_up
--- a/src/spoolhead/_internal/quorum/mesh.py
+++ b/src/spoolhead/_internal/quorum/mesh.py
@@ -10,8 +10,8 @@
 TIMING = peer_client.PeerTiming(
     connect_ms=500, first_retry_ms=50, longest_retry_ms=500, heartbeat_ms=250, silence_ms=1_000
 )
-"""A cut connection, and its end, must be noticed well within the second or so that operators wait.
-All the times are about ten to a hundred round trips between halls."""
+"""A cut connection and its recovery must be detected well within the second or so for which
+operators wait. All times are about ten to a hundred round trips between halls."""
 IDLE_TIMEOUT_S = 10.0
 """Time after which a stream on which nothing was sent is closed: far longer than an election."""
 
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -84,8 +84,8 @@
 class PendingOperations:
     """Pending orders and reads of one keeper.
 
-    An order is done once its own version or a higher one is committed here, whoever proposed it. It
-    can therefore be sent to several leaders without harm.
+    A table order is complete once its version or a higher version is committed here, regardless of
+    which keeper proposed it. So it can be sent to several leaders without harm.
 
     :param timers: scheduler for periodic checks.
     :param peers: streams to other keepers.
@@ -102,8 +102,8 @@
     ) -> None:
         self._peers = peers
         self._member = own_member
-        self._answer_s = config.answer_ms / 1000
-        self._numbers = itertools.count(1)
+        self._answer_timeout_s = config.answer_ms / 1000
+        self._request_numbers = itertools.count(1)
         self._table_orders: list[_TableOrder] = []
         self._hall_orders: list[_HallOrder] = []
         self._reads: list[_Read] = []
@@ -119,7 +119,7 @@
 
         :param answer: called with whether this or a higher version is committed.
         """
-        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_s)
+        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_timeout_s)
         self._table_orders.append(order)
         self._check()
 
@@ -143,7 +143,7 @@
 
         :param answer: called with whether it does.
         """
-        read = _Read(next(self._numbers), answer, clocks.get_s() + self._answer_s)
+        read = _Read(next(self._request_numbers), answer, clocks.get_s() + self._answer_timeout_s)
         self._reads.append(read)
         self._check()
 
--- a/src/spoolhead/_internal/quorum/replicated_state.py
+++ b/src/spoolhead/_internal/quorum/replicated_state.py
@@ -9,10 +9,10 @@
 
 MAX_OUTCOMES = 256
 """Number of orders on halls whose outcome is remembered for the operations that wait for it. An
-operator has at most eight under way."""
+operator has at most eight orders in progress."""
 _TABLE_FIELD_COUNT = 2
-"""Number of fields of a table in the log. An order on a hall has more, which distinguishes the
-two."""
+"""Number of fields of a table in the log. An order on a hall has more fields, which distinguishes
+the two kinds of change."""
 
 
 class ReplicatedState:
--- a/src/spoolhead/_internal/quorum/storage.py
+++ b/src/spoolhead/_internal/quorum/storage.py
@@ -1,8 +1,8 @@
-"""A keeper's part of the replicated log on its disk.
+"""Stores a keeper's copy of the replicated log on disk.
 
 Records are appended to one file in batches. A separate thread syncs each batch, so a slow disk
 delays only the operations that depend on the records. After a power failure, each record after the
-last sync may be present, missing or torn, independently of the others. None of them was
+last sync may be present, missing or torn, independently of the others. None of these records was
 acknowledged, so reading stops at the first invalid record.
 """
 
@@ -85,7 +85,7 @@
 
 
 class Storage:
-    """Writes records in a thread of its own and reports which of them are synced.
+    """Writes records in a separate thread and reports up to which number they are synced.
 
     :param folder: the keeper's data folder.
     :param member_id: id under which the records are written.
@@ -116,7 +116,7 @@
         except OSError as error:
             raise exceptions.DiskError(f"{folder}: {error.strerror}") from error
         self._create_file(self._encode_file(records))
-        self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
+        self._thread = threading.Thread(target=self._run_writer, name="storage", daemon=True)
         self._thread.start()
 
     @property
@@ -159,7 +159,7 @@
     def _encode_file(self, records: Sequence[replicated_log.Record]) -> bytes:
         return self._identity + b"".join(_pack(record) for record in records)
 
-    def _run(self) -> None:
+    def _run_writer(self) -> None:
         while True:
             with self._condition:
                 while not self._pending and self._rewrite is None:
