--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -257,7 +257,7 @@
             reason.value,
             extra={"fields": {"offered": version, "in_force": self._followed.version}},
         )
-        self._client.reconnect(f"its table was rejected: {reason.value}")
+        self._client.reconnect(f"its table is not taken: {reason.value}")
 
     def _activate_version(self) -> None:
         self._table.version = self._followed.version
