--- a/src/spoolhead/_internal/cli/exit_codes.py
+++ b/src/spoolhead/_internal/cli/exit_codes.py
@@ -18,7 +18,7 @@
     DIFFERENT = 7
 
 
-_BY_CODE = {
+_EXIT_CODES = {
     codes.ResultCode.SETTINGS_UNREADABLE: ExitCode.BAD_INPUT,
     codes.ResultCode.SETTINGS_INVALID: ExitCode.BAD_INPUT,
     codes.ResultCode.EDIT_INVALID: ExitCode.BAD_INPUT,
@@ -35,4 +35,4 @@
     """Return the exit code for a result code."""
     if code is codes.ResultCode.OK:
         return ExitCode.OK
-    return _BY_CODE.get(code, ExitCode.FAILED)
+    return _EXIT_CODES.get(code, ExitCode.FAILED)
--- a/src/spoolhead/_internal/commands/edit.py
+++ b/src/spoolhead/_internal/commands/edit.py
@@ -14,7 +14,7 @@
 
     :ivar sheet: sheet of the row.
     :ivar name: name of the row.
-    :ivar assignments: list of ``COLUMN=VALUE``; a value is JSON, or else taken as text.
+    :ivar assignments: list of ``COLUMN=VALUE``; a value that is not valid JSON is text.
     :ivar is_removal: whether the row is to be removed.
     :ivar expected_version: version that the row must have; None for its current version.
     """
--- a/src/spoolhead/_internal/commands/held.py
+++ b/src/spoolhead/_internal/commands/held.py
@@ -1,4 +1,4 @@
-"""``spoolhead held``: lists and changes which contents are held because they crash instances."""
+"""``spoolhead held``: lists, holds and releases contents that crash instances."""
 
 from spoolhead._internal.cli import exit_codes, output
 from spoolhead._internal.models import content_record, settings
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -1,4 +1,4 @@
-"""Relays between entries what they learn about contents that crash instances."""
+"""Relays records of contents that crash instances between entries."""
 
 import logging
 import pathlib
@@ -42,7 +42,7 @@
             session.send(messages.Contents(items=items))
 
     def handle_contents(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
-        """Merge the records of an entry and relay those that changed."""
+        """Merge the records of an entry, and relay the changed records."""
         try:
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
--- a/src/spoolhead/_internal/keeper/records.py
+++ b/src/spoolhead/_internal/keeper/records.py
@@ -19,7 +19,7 @@
 
 
 def make_log_id(log_id: str) -> bytes:
-    """Return the record that names the log; it is the first record of a log."""
+    """Return the record of the log's id, which is the first record of a log."""
     return msgpack.packb([RecordKind.LOG_ID, log_id])
 
 
@@ -45,7 +45,7 @@
 
 
 def parse(payload: bytes) -> Sequence[object]:
-    """Return the elements of a record, its kind first.
+    """Return the elements of a record; the first is its kind.
 
     :raises ValueError: if the payload is not a record of this program.
     """
--- a/src/spoolhead/_internal/keeper/service.py
+++ b/src/spoolhead/_internal/keeper/service.py
@@ -52,7 +52,7 @@
     :param log: the opened log file.
     :param timers: scheduler for delayed calls.
     :raises exceptions.LogDamagedError: if the records of the log contradict each other.
-    :ivar contents: relays what entries learn about contents that crash instances.
+    :ivar contents: relays records of contents that crash instances.
     """
 
     def __init__(
@@ -263,7 +263,9 @@
             try:
                 self._log.append(records.make_change(change))
             except exceptions.DiskError as error:
-                logger.error("edit %s refused, it cannot be recorded: %s", message.edit_id, error)
+                logger.error(
+                    "edit %s refused because it cannot be recorded: %s", message.edit_id, error
+                )
                 faults = [["", str(error)]]
                 return self._refuse(message, codes.ResultCode.DISK_FAILED, faults=faults)
             self._state.apply_change(change)
@@ -333,7 +335,7 @@
         try:
             self._log.append(records.make_claim(message.key, message.fingerprint, owner, time_ms))
         except exceptions.DiskError as error:
-            logger.error("claim refused, it cannot be recorded: %s", error)
+            logger.error("claim refused because it cannot be recorded: %s", error)
             return "failed"
         self._state.once.claim(message.key, message.fingerprint, owner, time_ms)
         return once_journal.ClaimState.GRANTED.value
--- a/src/spoolhead/_internal/keeper/state.py
+++ b/src/spoolhead/_internal/keeper/state.py
@@ -1,8 +1,8 @@
 """The keeper's state: the table and the once journal, rebuilt from the log; performs no I/O.
 
-Each operation has two steps. A ``prepare_*`` or ``get_*`` method returns what must be made durable;
-the matching ``apply`` method then makes it part of the state. Readers therefore never see anything
-that is not on disk.
+Each operation has two steps. A ``prepare_*`` or ``get_*`` method returns the change that must be
+made durable. Once it is durable, the matching ``apply`` method makes it part of the state. Readers
+therefore never see anything that is not on disk.
 """
 
 import collections
