--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -30,8 +30,8 @@
 DEADLINE_CHECK_INTERVAL_S = 0.25
 LINGER_TIMEOUT_S = 1.0
 MAX_LINGER_BYTES = 2_097_152
-"""Limits on reading from a caller after its request was refused. Both leave ample room for the
-bytes that were in flight when the refusal was sent."""
+"""Limits on time and bytes for reading from a caller after its request was refused. Both leave
+ample room for the bytes that were in flight when the refusal was sent."""
 SEND_BUFFER_BYTES = 131_072
 """Socket send buffer: bytes that the kernel buffers for a caller that does not read. Only bytes
 beyond it are buffered, and counted, in this process."""
@@ -176,7 +176,7 @@
     :ivar waiting: complete requests that are not being served yet.
     :ivar waiting_bytes: size of their bodies.
     :ivar current: request that is being served.
-    :ivar phase: part of a request that the deadline is for.
+    :ivar phase: part of a request to which the deadline applies.
     :ivar deadline_s: monotonic time by which the awaited bytes must arrive; None while a request
         is being served.
     :ivar is_closing: no further requests are served.
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -80,7 +80,7 @@
         self.sent_bytes = 0
 
     def send(self, data: bytes) -> None:
-        """Send bytes; those that cannot be written immediately are buffered.
+        """Send bytes; bytes that cannot be written immediately are buffered.
 
         :param data: the bytes; ignored on a closed link.
         """
@@ -161,7 +161,7 @@
         link.user.on_lost(reason)
 
     def abort_later(self, link: Link, reason: str) -> None:
-        """Abort a link in the next turn of the loop: its user must not be called while it sends."""
+        """Abort a link in the next loop iteration: its user must not be called while it sends."""
         self._scheduler.call_later(0, lambda: self.abort(link, reason))
 
     def drop(self, link: Link) -> None:
--- a/src/spoolhead/_internal/network/loop.py
+++ b/src/spoolhead/_internal/network/loop.py
@@ -39,7 +39,7 @@
         signal.signal(signal.SIGHUP, self._signal_handler)
 
     def finish(self) -> None:
-        """End the program after the current turn of the loop, with exit code 0."""
+        """End the program after the current loop iteration, with exit code 0."""
         self.stop()
 
     @circuits.handler("signal", channel="*", priority=10)
--- a/src/spoolhead/_internal/network/messages.py
+++ b/src/spoolhead/_internal/network/messages.py
@@ -68,7 +68,7 @@
 
 @_message
 class Heartbeat:
-    """Sent at intervals, so that the other side notices a broken connection."""
+    """Sent at intervals, so that the other side detects a broken connection."""
 
 
 @_message
@@ -121,7 +121,7 @@
 
 @_message
 class Current:
-    """Tells a follower that it has received the newest version.
+    """Confirms to a follower that it has received the newest version.
 
     :ivar version: the version.
     """
@@ -450,7 +450,7 @@
 
 
 def decode(value: object) -> Message:
-    """Return the message that an unpacked array stands for.
+    """Return the message that an unpacked array encodes.
 
     :raises MessageError: if it is not a message of this protocol.
     """
--- a/src/spoolhead/_internal/network/peer_server.py
+++ b/src/spoolhead/_internal/network/peer_server.py
@@ -43,7 +43,7 @@
         self._server.send(self, messages.encode(message))
 
     def send_encoded(self, data: bytes) -> None:
-        """Send an encoded message; saves encoding it for each session."""
+        """Send an encoded message, which avoids encoding a broadcast once for each session."""
         self._server.send(self, data)
 
 
@@ -102,8 +102,8 @@
         try:
             unsent_bytes = self._server.send_now(session.sock, data)
         except Exception:
-            # A failure with one peer must not keep a broadcast from the other peers. This peer
-            # reconnects and requests the current state.
+            # A failure with one peer must not prevent a broadcast to the other peers. The failed
+            # peer reconnects and requests the current state.
             logger.exception("cannot send to peer %s; its connection is closed", session.name)
             self._server.close_now(session.sock)
             return
--- a/src/spoolhead/_internal/network/request_reader.py
+++ b/src/spoolhead/_internal/network/request_reader.py
@@ -2,7 +2,7 @@
 
 The HTTP library's own parser is too lenient: it accepts conflicting lengths and heads of any size,
 loses pipelined requests, and turns escapes in header values into line ends. So bytes from callers
-are parsed here first, and only complete requests that were checked are passed on.
+are parsed here first, and only complete and checked requests are passed on.
 """
 
 import enum
--- a/src/spoolhead/_internal/network/route_messages.py
+++ b/src/spoolhead/_internal/network/route_messages.py
@@ -46,8 +46,8 @@
     """Version of the newest route table that a keeper knows to be committed.
 
     :ivar version: the version; 0 for none.
-    :ivar is_confirmed: since the keeper's start, a leader has confirmed that there was no newer
-        version; otherwise the version comes from the keeper's disk and may be outdated.
+    :ivar is_confirmed: whether, since the keeper's start, a leader has confirmed that there was no
+        newer version. If not, the version comes from the keeper's disk and may be outdated.
     """
 
     version: int
@@ -138,7 +138,7 @@
 
 @_message
 class ConfirmRead:
-    """A keeper asks the leading keeper for the version that a read beginning now must return.
+    """A keeper asks the leading keeper which version a read that begins now must return.
 
     :ivar request: number that the answer repeats.
     """
@@ -151,7 +151,7 @@
     """Answer of the leading keeper to another keeper.
 
     :ivar request: number of the question.
-    :ivar is_sure: the table is committed, or the version is confirmed.
+    :ivar is_sure: whether the table is committed or the version is confirmed.
     :ivar version: committed version.
     """
 
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -18,11 +18,11 @@
 logger = logging.getLogger(__name__)
 
 STALL_THRESHOLD_S = 0.5
-"""Delay of a timer from which it is logged: many times the delay in a busy loop, and long enough to
+"""Minimum delay of a timer that is logged: many times the delay in a busy loop, and long enough to
 affect the processes that rely on this one."""
 
 SUSPENSION_THRESHOLD_S = 0.05
-"""Suspended time between two checks from which it is logged. Without a suspension, both clocks run
+"""Minimum suspended time between two checks that is logged. Without a suspension, both clocks run
 at the same rate."""
 
 
@@ -93,7 +93,7 @@
     def call_later(self, delay_s: float, call: Callable[[], None]) -> Timer:
         """Schedule a call after a delay.
 
-        :param delay_s: seconds from now; 0 for the next turn of the loop.
+        :param delay_s: seconds from now; 0 for the next loop iteration.
         :param call: function to call; the loop logs exceptions that it raises.
         """
         timer = Timer(clocks.get_s() + delay_s, call)
@@ -127,9 +127,9 @@
 
     def _record_suspension(self) -> None:
         suspended_s = clocks.get_s() - clocks.get_running_s()
-        for_s = suspended_s - self._suspended_s
-        if for_s > SUSPENSION_THRESHOLD_S:
-            fields = {"for_ms": int(for_s * 1000)}
+        added_s = suspended_s - self._suspended_s
+        if added_s > SUSPENSION_THRESHOLD_S:
+            fields = {"for_ms": int(added_s * 1000)}
             logger.warning("machine was suspended", extra={"fields": fields})
         self._suspended_s = suspended_s
 
--- a/src/spoolhead/_internal/network/small_server.py
+++ b/src/spoolhead/_internal/network/small_server.py
@@ -53,7 +53,7 @@
     ) -> None:
         super().__init__(channel=channel)
         self._limits = limits
-        self._answer = answer
+        self._make_answer = answer
         self._readers: dict[socket.socket, request_reader.RequestReader] = {}
         self._server = direct_server.DirectServer(bind, channel=channel).register(self)
 
@@ -75,6 +75,6 @@
             self._server.close_now(sock)
             return
         for request in result.ok:
-            self._server.send_now(sock, self._answer(request).pack())
+            self._server.send_now(sock, self._make_answer(request).pack())
             if not request.keep_alive:
                 self._server.close_after_send(sock)
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -2,7 +2,7 @@
 
 The HTTP library's client returns only complete answers, one at a time, so answers are parsed here
 with httptools. A connection is reused only after an answer that ended exactly where its framing
-says. Otherwise it is closed, so that late bytes of one answer cannot be taken for the next one.
+says. Otherwise it is closed, so that late bytes of one answer cannot be read as the next answer.
 """
 
 import collections
@@ -118,7 +118,7 @@
 
     @property
     def is_reused(self) -> bool:
-        """Whether it was sent on a connection that was used by a call before.
+        """Whether the request was sent on a connection that an earlier call had used.
 
         The upstream may have closed such a connection unnoticed, so its loss does not show that
         the upstream is unhealthy.
@@ -243,6 +243,8 @@
 
 
 class _IdleLink:
+    """A link in the pool and the time at which it became idle."""
+
     __slots__ = ("link", "since_s")
 
     def __init__(self, link: links.Link, since_s: float) -> None:
@@ -251,6 +253,8 @@
 
 
 class _BackgroundCall:
+    """A call that finishes in the background, and the time at which that began."""
+
     __slots__ = ("call", "since_s")
 
     def __init__(self, call: UpstreamCall, since_s: float) -> None:
