--- a/src/spoolhead/_internal/utils/decimals.py
+++ b/src/spoolhead/_internal/utils/decimals.py
@@ -6,6 +6,6 @@
 
 
 def parse(text: str) -> float | None:
-    """Return the number that a text holds; None if it is not a non-negative decimal number."""
+    """Return a text as a number; None if it is not a non-negative decimal number."""
     value = text.strip()
     return float(value) if _DECIMAL.fullmatch(value) else None
--- a/src/spoolhead/_internal/utils/disk_refusals.py
+++ b/src/spoolhead/_internal/utils/disk_refusals.py
@@ -8,7 +8,7 @@
 logger = logging.getLogger(__name__)
 
 RETRY_S = 0.25
-"""Interval between retries of a refused write: short, and a few retries a second cost little."""
+"""Interval between retries of a refused write: a few cheap retries a second."""
 
 
 class DiskRefusals:
--- a/src/spoolhead/_internal/utils/endpoints.py
+++ b/src/spoolhead/_internal/utils/endpoints.py
@@ -3,7 +3,7 @@
 import ipaddress
 
 Endpoint = tuple[str, int]
-"""IP address and port, as sockets take them."""
+"""IP address and port, as passed to sockets."""
 MAX_PORT = 65_535
 
 
--- a/src/spoolhead/_internal/utils/log_losses.py
+++ b/src/spoolhead/_internal/utils/log_losses.py
@@ -43,7 +43,7 @@
     """Number of requests of one route with one cause.
 
     :ivar requests: number of requests.
-    :ivar events: stream events that they had passed on.
+    :ivar events: stream events that were passed on to their callers.
     :ivar examples: ids of the first requests.
     """
 
@@ -63,26 +63,26 @@
 
 
 class _ObservedState:
-    """When departures of instances were first noticed, and when each process saw silent halls."""
+    """Times of the first notices of departing instances, and of silent halls by process."""
 
     def __init__(self) -> None:
-        self._noticed_s: dict[str, float] = {}
-        self._silent_s: dict[str, list[tuple[float, bool]]] = {}
+        self._departure_noticed_s: dict[str, float] = {}
+        self._silence_changes: dict[str, list[tuple[float, bool]]] = {}
 
     def record_line(self, line: log_trace.Line) -> None:
         if line.text in _DEPARTURE_TEXTS:
-            self._noticed_s.setdefault(str(line.fields.get("upstream")), line.time_s)
+            self._departure_noticed_s.setdefault(str(line.fields.get("upstream")), line.time_s)
         elif line.text in ("hall is silent", "hall is heard again"):
-            changes = self._silent_s.setdefault(line.process, [])
+            changes = self._silence_changes.setdefault(line.process, [])
             changes.append((line.time_s, line.text == "hall is silent"))
 
     def may_be_leaving(self, instance_id: str, now_s: float) -> bool:
-        noticed_s = self._noticed_s.get(instance_id)
+        noticed_s = self._departure_noticed_s.get(instance_id)
         return noticed_s is not None and 0 <= now_s - noticed_s <= DEPARTURE_WINDOW_S
 
     def is_any_hall_silent(self, process: str, now_s: float) -> bool:
         is_silent = False
-        for time_s, silent in self._silent_s.get(process, []):
+        for time_s, silent in self._silence_changes.get(process, []):
             if time_s <= now_s:
                 is_silent = silent
         return is_silent
@@ -101,29 +101,33 @@
         if request_id:
             requests[str(request_id)].append(line)
     counts: dict[tuple[str, Cause], Count] = collections.defaultdict(Count)
-    for request_id, own in requests.items():
-        route = next((str(x.fields[ROUTE_FIELD]) for x in own if ROUTE_FIELD in x.fields), "")
-        counts[route, _get_cause(own, observed)].add(request_id, _get_event_count(own))
+    for request_id, request_lines in requests.items():
+        route = next(
+            (str(x.fields[ROUTE_FIELD]) for x in request_lines if ROUTE_FIELD in x.fields), ""
+        )
+        counts[route, _get_cause(request_lines, observed)].add(
+            request_id, _get_event_count(request_lines)
+        )
     return dict(counts)
 
 
-def _get_cause(own: Sequence[log_trace.Line], observed: _ObservedState) -> Cause:
-    end = next((line for line in own if line.text in log_trace.END_TEXTS), None)
+def _get_cause(request_lines: Sequence[log_trace.Line], observed: _ObservedState) -> Cause:
+    end = next((line for line in request_lines if line.text in log_trace.END_TEXTS), None)
     if end is None:
         return Cause.NO_END
     if end.text == "answered":
-        return _get_answer_cause(own, end)
+        return _get_answer_cause(request_lines, end)
     if observed.is_any_hall_silent(end.process, end.time_s):
         return Cause.CUT_HALL
     if end.text == "refused":
         return Cause.REFUSED
     if end.text == "caller left":
         return Cause.LEFT
-    return _get_failure_cause(own, end, observed)
+    return _get_failure_cause(request_lines, end, observed)
 
 
-def _get_answer_cause(own: Sequence[log_trace.Line], end: log_trace.Line) -> Cause:
-    texts = {line.text for line in own}
+def _get_answer_cause(request_lines: Sequence[log_trace.Line], end: log_trace.Line) -> Cause:
+    texts = {line.text for line in request_lines}
     if end.fields.get("is_late"):
         return Cause.LATE_AFTER_WAIT if "waits for room" in texts else Cause.LATE_FIRST
     if end.fields.get("has_long_pause"):
@@ -132,20 +136,20 @@
 
 
 def _get_failure_cause(
-    own: Sequence[log_trace.Line], end: log_trace.Line, observed: _ObservedState
+    request_lines: Sequence[log_trace.Line], end: log_trace.Line, observed: _ObservedState
 ) -> Cause:
-    attempts = [line for line in own if line.text in ("attempt", "run goes on elsewhere")]
+    attempts = [line for line in request_lines if line.text in ("attempt", "run goes on elsewhere")]
     if not attempts:
         return Cause.LOST
     last = attempts[-1]
     if not observed.may_be_leaving(str(last.fields.get("upstream")), end.time_s):
         return Cause.LOST
-    later_texts = {line.text for line in own if line.time_s >= last.time_s}
+    later_texts = {line.text for line in request_lines if line.time_s >= last.time_s}
     if "copy failed" in later_texts:
         return Cause.CUT_COPY_REFUSED
     return Cause.CUT_COPY_LATE if "copy ordered" in later_texts else Cause.CUT_NOT_COPIED
 
 
-def _get_event_count(own: Sequence[log_trace.Line]) -> int:
-    events = [line.fields["events"] for line in own if "events" in line.fields]
+def _get_event_count(request_lines: Sequence[log_trace.Line]) -> int:
+    events = [line.fields["events"] for line in request_lines if "events" in line.fields]
     return max((item for item in events if isinstance(item, int)), default=0)
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -30,8 +30,8 @@
     }
 )
 LASTING_STATE_TEXT = "evacuated halls are known"
-"""The state that a line with this text gives holds until the process writes the next one, so it
-is collected regardless of its age."""
+"""Text of a line whose state holds until the process writes the next such line. The latest line
+before a request is therefore collected regardless of its age."""
 _INSTANCE_FIELDS = ("upstream", "holder", "source", "target")
 _COMMON_FIELDS = frozenset({"time", "level", "logger", "text"})
 
@@ -58,8 +58,8 @@
     """Log lines that explain a request.
 
     :ivar own: lines of the request itself, by time.
-    :ivar beliefs: lines of the same processes about instances, halls and keepers that influenced
-        it, by time; after the lasting state of each process.
+    :ivar beliefs: lines of the same processes about the instances, halls and keepers that
+        influenced the request: first the lasting state of each process, then other lines by time.
     """
 
     __slots__ = ("beliefs", "own")
@@ -77,8 +77,8 @@
 def read_line(process: str, text: str) -> Line | None:
     """Parse a line; None if it is not a log line of this system.
 
-    :param process: process that wrote it, unless a log collector put a name before the JSON
-        object.
+    :param process: process that wrote the line; a name that a log collector has put before the JSON
+        object takes precedence.
     """
     prefix, brace, rest = text.partition("{")
     try:
--- a/src/spoolhead/coordination/consensus.py
+++ b/src/spoolhead/coordination/consensus.py
@@ -71,8 +71,8 @@
         self._term_start_index = 0
         self._next_broadcast_s = now_s
         self._leader_heard_s = now_s
-        # After a start no leader is known, so there is none to wait for. If there is one, the
-        # others refuse the trial vote.
+        # After a start no leader is known, so the first election need not wait for one. If there is
+        # a leader, the other members refuse the trial vote.
         self._election_due_s = now_s + self._draw_election_timeout_s() * FIRST_ELECTION_PART
         if log.snapshot.state:
             machine.load(log.snapshot.state)
@@ -353,9 +353,9 @@
             self._broadcast(now_s)
 
     def _update_caught_up(self, leader_index: int) -> None:
-        """Set ``has_caught_up`` once this member has applied what the current leader has committed.
+        """Set ``has_caught_up`` once this member has applied all that the leader has committed.
 
-        An entry of the leader's own term must be among the applied ones. A new leader starts from
+        An entry of the leader's own term must be among these entries. A new leader starts from
         its own disk, which may be as old as a follower's; a committed entry of its term shows that
         no acknowledged change is missing.
         """
--- a/src/spoolhead/coordination/consensus_messages.py
+++ b/src/spoolhead/coordination/consensus_messages.py
@@ -36,8 +36,8 @@
     :ivar candidate: id of the candidate.
     :ivar last_index: index of the candidate's last log entry.
     :ivar last_term: term of the candidate's last log entry.
-    :ivar is_trial: whether this is a trial vote (Raft's pre-vote): it binds nobody and only finds
-        out whether a real election could be won.
+    :ivar is_trial: whether this is a trial vote (Raft's pre-vote), which is not binding and only
+        shows whether a real election could be won.
     """
 
     term: int
--- a/src/spoolhead/coordination/once_journal.py
+++ b/src/spoolhead/coordination/once_journal.py
@@ -71,8 +71,7 @@
 
         :param key: the key, unique to its workspace and service.
         :param fingerprint: digest of the request.
-        :param owner_is_gone: whether the owner of an unfinished claim will not report its end any
-            more.
+        :param owner_is_gone: whether the owner of an unfinished claim can no longer report its end.
         """
         claim = self.claims.get(key)
         if claim is None:
@@ -121,7 +120,7 @@
     def drop_expired(self, now_ms: int) -> int:
         """Remove claims that are older than the retention time.
 
-        :returns: how many were removed.
+        :returns: the number of removed claims.
         """
         dropped = 0
         while self.claims:
--- a/src/spoolhead/coordination/peer_progress.py
+++ b/src/spoolhead/coordination/peer_progress.py
@@ -55,7 +55,7 @@
         return [peer.match_index for peer in self._select(members)]
 
     def find_lost(self, members: Sequence[str], since_s: float) -> str | None:
-        """Return the member that has been silent longest; None if it has replied since then."""
+        """Return the member that has been silent longest; None if all have replied since then."""
         heard = [
             (self._peers[member].heard_s, member) for member in members if member in self._peers
         ]
--- a/src/spoolhead/coordination/replicated_log.py
+++ b/src/spoolhead/coordination/replicated_log.py
@@ -11,8 +11,8 @@
 import msgpack
 
 KEPT_APPLIED_ENTRIES = 16
-"""Applied entries that are kept for followers slightly behind. It limits the memory for entries,
-which may have 100 KiB each, and still avoids that most lagging followers need a whole snapshot."""
+"""Number of applied entries that are kept for followers that lag slightly. It limits the memory for
+entries, which may have 100 KiB each, and still spares most lagging followers a whole snapshot."""
 
 
 class EntryKind(enum.IntEnum):
--- a/src/spoolhead/coordination/sync_progress.py
+++ b/src/spoolhead/coordination/sync_progress.py
@@ -2,7 +2,7 @@
 
 
 class SyncProgress:
-    """Numbers of the records that a member has written, and of those that are synced.
+    """Counts the records that a member has written and the records that are synced.
 
     :param durable_index: index of the last log entry that was on disk at the start.
     :ivar written: number of the last record written; the first is 1.
--- a/src/spoolhead/platform/dialect.py
+++ b/src/spoolhead/platform/dialect.py
@@ -142,7 +142,7 @@
         return dialects.UpstreamOrder(method="POST", target=names.MOVE_PATH, body=body)
 
     def read_move(self, status: int, body: bytes) -> dialects.MoveAnswer:
-        """Decode the answer to such an order."""
+        """Decode the answer to an order to copy the memory of a run."""
         try:
             value = json.loads(body) if body else {}
         except ValueError:
--- a/src/spoolhead/platform/node_file.py
+++ b/src/spoolhead/platform/node_file.py
@@ -11,8 +11,8 @@
 from spoolhead.platform import names
 
 SHARED_KEY = "spoolhead-on-the-platform"
-"""Not a secret, since the platform provides none; it only keeps processes of other systems from
-connecting by mistake."""
+"""Not a secret, since the platform provides none. The key only prevents processes of other systems
+from connecting by mistake."""
 CONNECT_MS = 400
 """Timeout for connecting to an instance: a hundred round trips between halls, and less than half of
 the shortest objective, so that after an unreachable instance there is time for another."""
@@ -77,7 +77,7 @@
         peer_port=fields["internal_ports"][0],
         keepers=_get_keepers(fields),
         shared_key=SHARED_KEY,
-        instance_list=_make_list(fields),
+        instance_list=_make_list_settings(fields),
         metrics_port=METRICS_PORT,
         hub_bytes_per_s=_get_hub_bytes_per_s(fields),
         stop_ms=int(bounds.get("grace_period_s", 8) * 1000),
@@ -101,7 +101,7 @@
         data_dir=fields["data_dir"],
         is_first_start=fields["bootstrap"],
         shared_key=SHARED_KEY,
-        instance_list=_make_list(fields),
+        instance_list=_make_list_settings(fields),
         metrics_port=METRICS_PORT,
         hub_bytes_per_s=_get_hub_bytes_per_s(fields),
         log=_LOG,
@@ -113,7 +113,7 @@
     return int(link_mbps * BYTES_PER_MBIT * HUB_LINK_FRACTION)
 
 
-def _make_list(fields: dict[str, Any]) -> settings.InstanceListSettings:
+def _make_list_settings(fields: dict[str, Any]) -> settings.InstanceListSettings:
     return settings.InstanceListSettings(address=fields["cloud"]["address"])
 
 
--- a/src/spoolhead/platform/pages.py
+++ b/src/spoolhead/platform/pages.py
@@ -8,8 +8,8 @@
 _ENTRY_START = re.compile(r'\{\s*"')
 _NEXT_TOKEN = re.compile(r'"next_token"\s*:\s*("(?:[^"\\]|\\.)*"|null)')
 _MAX_INTEGER_DIGITS = 20
-"""Maximum number of digits of an integer; longer ones are valid in no field and read as infinity.
-"""
+"""Maximum number of digits of an integer. Longer integers are valid in no field and are read as
+infinity."""
 
 
 def _read_int(text: str) -> float:
--- a/src/spoolhead/platform/tables.py
+++ b/src/spoolhead/platform/tables.py
@@ -17,7 +17,7 @@
 MAX_TEXT_LENGTH = 256
 """Maximum length of a name in the list, in characters. Names in use have about a dozen."""
 MS_PER_S = 1_000
-_STATES = {"ready": False, "draining": True}
+_IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 """States of an instance, and whether it is leaving."""
 _KINDS = {
     "safe": route_table.RequestKind.REPEATABLE,
@@ -230,15 +230,15 @@
         address=fields.get_address("address"),
         hall=fields.get_text("zone"),
         slots=fields.get_positive_int("slots"),
-        is_leaving=_read_state(fields),
+        is_leaving=_read_is_leaving(fields),
         cold_ms=math.ceil(fields.get_non_negative_float("cold_remaining_ms")),
         started_ms=fields.get_positive_int("born") if fields.has("born") else 0,
     )
 
 
-def _read_state(fields: _Fields) -> bool:
+def _read_is_leaving(fields: _Fields) -> bool:
     """Return whether an instance is leaving; an entry with an unknown state is not valid."""
-    is_leaving = _STATES.get(fields.get("state", str))
+    is_leaving = _IS_LEAVING_BY_STATE.get(fields.get("state", str))
     if is_leaving is None:
         raise _FieldError("an instance is in an unknown state")
     return is_leaving
