--- a/src/spoolhead/_internal/entry/answers.py
+++ b/src/spoolhead/_internal/entry/answers.py
@@ -38,7 +38,7 @@
     request_id: str,
     retry_after_ms: int | None = None,
 ) -> None:
-    """Answer a request with an error, or end an already started stream with one.
+    """Answer a request with an error; a stream that has already started ends with the error.
 
     :param caller: connection that receives the error.
     :param cause: the error.
--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -166,8 +166,8 @@
     if wire.method != "GET":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{STREAMS_PATH} takes GET")
     token = stream_token.parse_token(context.shared_key, path.removeprefix(STREAMS_PATH))
-    # A token of another workspace gets the same answer as an invalid one, so that callers
-    # cannot probe for the streams of others.
+    # A token of another workspace gets the same answer as an invalid token, so that callers
+    # cannot probe for streams of other workspaces.
     if token is None or token.workspace != workspace or token.service not in table.services:
         return _refuse(codes.ResultCode.UNKNOWN_PATH, "no such stream")
     match = _LAST_EVENT.match(wire.get_header(LAST_EVENT_HEADER) or "")
--- a/src/spoolhead/_internal/entry/decision_history.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -1,4 +1,4 @@
-"""Logs the decisions on each request and keeps the most recent ones in memory."""
+"""Logs the decisions on each request and keeps the latest decisions in memory."""
 
 import collections
 import logging
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -18,7 +18,7 @@
 logger = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 1_000
-"""``Retry-After`` of a request that upstreams failed before they could act on it."""
+"""``Retry-After`` of a request that failed before any upstream could run it."""
 
 _OK = 200
 _SERVER_ERROR_STATUSES = range(500, 600)
@@ -346,9 +346,9 @@
         order = self._relay.order
         has_begun = order.has_delivered or self.request.resume is not None
         if not arrived:
-            # An attempt that did not reach an upstream cost it nothing, so it is not counted.
-            # Attempts to resume are counted: a generation can be resumed at one upstream only,
-            # which may be gone for good.
+            # An attempt that did not reach an upstream caused no load there, so it is not counted.
+            # Attempts to resume are counted: a generation can be resumed only at the upstream that
+            # runs it, which may be gone for good.
             self._attempts_made -= 0 if has_begun else 1
             attempt.replica.health.record_unreachable(now_s)
         elif not refused:
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -24,8 +24,8 @@
     :param name: the entry's name.
     :param calls: sends requests to upstreams.
     :param timers: the program's scheduler.
-    :param probe_path: path requested from an upstream that lost a request, to learn whether it
-        crashed.
+    :param probe_path: path requested from an upstream that lost a request, to find out whether the
+        upstream crashed.
     :param send_records: called with records that the keeper should relay.
     :param on_held: called with the id of a content that has become held.
     :param folder: the entry's data folder; None if it has none.
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -117,12 +117,12 @@
 
     @property
     def keeper_address(self) -> str:
-        """``IP:PORT`` of the connected keeper, or of the last one tried."""
+        """``IP:PORT`` of the connected keeper, or of the keeper that was tried last."""
         return self._client.address
 
     @property
     def unconfirmed_ms(self) -> int:
-        """Milliseconds since a keeper last confirmed the table; 0 while one does."""
+        """Milliseconds without a keeper that confirms the table; 0 while a keeper confirms it."""
         if self._unconfirmed_since_s is None:
             return 0
         return int((clocks.get_s() - self._unconfirmed_since_s) * 1000)
@@ -150,7 +150,7 @@
         )
 
     def finish(self, key: str, ran: codes.Ran, outcome: once_journal.Outcome | None) -> None:
-        """Report the end of a claimed request; resent until a keeper has stored it on disk.
+        """Report the end of a claimed request; the report is resent until a keeper has stored it.
 
         :param outcome: the answer; its body is not sent if it exceeds
             :data:`MAX_STORED_BODY_BYTES`.
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -50,7 +50,7 @@
         self.client = owner.make_client(member, self)
 
     def on_peer_ready(self) -> None:
-        """Do nothing: the peer sends reports without being asked."""
+        """Do nothing: the peer sends its reports without a request."""
 
     def on_peer_lost(self) -> None:
         """Do nothing: :meth:`Neighbours.get_live_entries` skips a lost or silent neighbour."""
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -1,8 +1,8 @@
 """Requests with an idempotency key, which run at most once across all entries.
 
 An entry claims the key from a keeper before it sends the request, and the keeper stores the claim
-on disk before granting it. A resend through any entry finds the claim: it gets the first answer or
-an error that the outcome is unknown, and never runs again.
+on disk before granting it. A resend through any entry finds the claim: the caller receives the
+first answer, or an error that the outcome is unknown, and the request does not run again.
 """
 
 import hashlib
--- a/src/spoolhead/_internal/quorum/feed.py
+++ b/src/spoolhead/_internal/quorum/feed.py
@@ -25,8 +25,8 @@
 
     :ivar version: version of the table.
     :ivar document: bytes of the table.
-    :ivar is_confirmed: whether a leader has confirmed, since this keeper's start, that it is the
-        newest.
+    :ivar is_confirmed: whether a leader has confirmed, since this keeper's start, that the table is
+        the newest.
     """
 
     __slots__ = ("document", "is_confirmed", "version")
@@ -161,7 +161,7 @@
         return table
 
     def _pack_table(self, table: CommittedTable, digest: int) -> route_messages.RouteTableDocument:
-        """Return the encoded table; cached, as all entries fetch it at about the same time."""
+        """Return the encoded table; cached, since all entries fetch it at about the same time."""
         packed = self._packed_tables.get(digest)
         if packed is None:
             data = table.document
--- a/src/spoolhead/_internal/quorum/member.py
+++ b/src/spoolhead/_internal/quorum/member.py
@@ -167,8 +167,8 @@
         try:
             self._wake_write.send(b"\0")
         except BlockingIOError:
-            # The socket is full of wake-ups that the loop has not read yet; it will read the new
-            # number with one of them.
+            # The socket is full of wake-ups that the loop has not handled yet. Handling any of them
+            # reads the new number.
             return
 
     def _on_wake(self, sock: socket.socket) -> None:
--- a/src/spoolhead/_internal/quorum/mesh.py
+++ b/src/spoolhead/_internal/quorum/mesh.py
@@ -1,4 +1,4 @@
-"""Streams from one keeper to the others, opened on first use."""
+"""Streams from one keeper to the other keepers, opened on first use."""
 
 from collections.abc import Callable
 
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -63,7 +63,7 @@
 
 
 class _Read:
-    """A read that waits until this keeper is known to hold the newest version.
+    """A read that waits until this keeper is known to have the newest version.
 
     :ivar round_number: if this keeper is the leader, number of the broadcast that must be answered;
         None before it started.
@@ -117,7 +117,8 @@
     def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
-        :param answer: called with whether this or a higher version is committed.
+        :param answer: called with True once this or a higher version is committed, or with False on
+            a timeout.
         """
         order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_timeout_s)
         self._table_orders.append(order)
@@ -126,7 +127,8 @@
     def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
         """Have an order on a hall committed.
 
-        :param answer: called with whether the order had taken effect when it was committed.
+        :param answer: called with whether the order had taken effect when it was committed; with
+            False on a timeout.
         """
         order = evacuations.HallOrder(
             hall=hall,
@@ -139,9 +141,9 @@
         self._check()
 
     def confirm_read(self, answer: AnswerCallback) -> None:
-        """Confirm that this keeper holds the newest committed version.
+        """Confirm that this keeper has the newest committed version.
 
-        :param answer: called with whether it does.
+        :param answer: called with True once this is confirmed, or with False on a timeout.
         """
         read = _Read(next(self._request_numbers), answer, clocks.get_s() + self._answer_timeout_s)
         self._reads.append(read)
