--- a/src/spoolhead/_internal/models/content_record.py
+++ b/src/spoolhead/_internal/models/content_record.py
@@ -26,7 +26,7 @@
         counts as one wave.
     :ivar trials: number of trials, each a single run to find out whether the content is harmless.
     :ivar trier: name of the entry that was assigned the last trial; empty for none.
-    :ivar is_by_hand: an operator has ordered the content to be held.
+    :ivar is_by_hand: whether an operator has ordered the content to be held.
     """
 
     content_id: bytes
--- a/src/spoolhead/_internal/models/decision.py
+++ b/src/spoolhead/_internal/models/decision.py
@@ -1,4 +1,4 @@
-"""Routing and placement decisions, as they are logged and shown to operators."""
+"""Routing and placement decisions, as logged and shown to operators."""
 
 from collections.abc import Sequence
 
--- a/src/spoolhead/_internal/models/rate_limit.py
+++ b/src/spoolhead/_internal/models/rate_limit.py
@@ -22,7 +22,7 @@
 
 
 class AgedLimit:
-    """A stated limit as processes send it to each other.
+    """A stated limit with its age, as processes send it to each other.
 
     :ivar key: key of the instance, see :func:`shared_load.get_key`.
     :ivar limit_per_s: requests a second; None if the instance no longer states a limit.
--- a/src/spoolhead/_internal/models/route_table.py
+++ b/src/spoolhead/_internal/models/route_table.py
@@ -40,12 +40,13 @@
     :ivar host: value of the Host header.
     :ivar path_prefix: prefix of the path; begins and ends with a slash.
     :ivar kind: kind of its requests.
-    :ivar timeout_ms: maximum time for which a request may be held.
+    :ivar timeout_ms: deadline of a request, counted from its arrival; a caller may state an earlier
+        one.
     :ivar objective_ms: target latency: time within which an answer is worth most.
     :ivar priority: rank; 0 is the most urgent.
     :ivar shares: services that its requests are sent to.
     :ivar attempts: maximum number of upstreams that one request is sent to.
-    :ivar is_public: requests need no API key.
+    :ivar is_public: whether requests need no API key.
     :ivar pause_ms: longest acceptable pause between two events of a stream; 0 if not stated.
     """
 
@@ -70,7 +71,7 @@
     :ivar memory_tokens: memory of one instance, in tokens.
     :ivar token_bytes: bytes that are transferred for each token when a run is migrated.
     :ivar link_mbps: bandwidth of an instance's link for migrations.
-    :ivar can_move: the memory of a run can be copied to another instance.
+    :ivar can_move: whether the memory of a run can be copied to another instance.
     :ivar tokens_per_event: tokens in one event of a stream.
     """
 
--- a/src/spoolhead/_internal/models/settings.py
+++ b/src/spoolhead/_internal/models/settings.py
@@ -65,7 +65,7 @@
     :ivar head_ms: maximum time from the first byte of a request to the end of its head.
     :ivar body_ms: maximum time from the end of the head to the end of the body.
     :ivar idle_ms: maximum time that a connection stays open between requests.
-    :ivar connections: maximum number of open connections; further ones are closed at once.
+    :ivar connections: maximum number of open connections; further ones are closed immediately.
     :ivar pipelined: maximum number of pipelined requests on one connection.
     :ivar unread_bytes: maximum number of bytes buffered for a caller that reads slowly.
     """
@@ -114,8 +114,8 @@
     :ivar keepers: ``IP:PORT`` of each keeper.
     :ivar shared_key: secret that the fleet's processes share.
     :ivar data_dir: folder for the last table; None for an entry without a disk.
-    :ivar max_requests: maximum number of requests held at once, waiting and running.
-    :ivar remembered_decisions: number of decisions kept for ``spoolhead explain``.
+    :ivar max_requests: maximum number of waiting and running requests together.
+    :ivar remembered_decisions: number of requests whose decisions ``spoolhead explain`` can print.
     """
 
     name: rows.Name
@@ -165,7 +165,7 @@
 
     :ivar address: ``IP:PORT`` of the server of the list.
     :ivar interval_ms: interval at which one keeper reads the list for the whole fleet.
-    :ivar fallback_ms: age of the newest reading from which an entry reads the list itself.
+    :ivar fallback_ms: age of the newest received list above which an entry reads the list itself.
     """
 
     address: rows.Address
@@ -191,8 +191,8 @@
     :ivar metrics_port: port that serves counters and histograms; None for none.
     :ivar hub_bytes_per_s: maximum rate at which this keeper, as a hub, sends the entries' loads to
         other processes.
-    :ivar answer_ms: maximum wait for the other keepers before an operator is told that the
-        outcome is unknown.
+    :ivar answer_ms: maximum wait for the other keepers before an operator receives the
+        answer that the outcome is unknown.
     """
 
     name: str
