--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -313,7 +313,7 @@
         return self._server.send_now(connection.sock, data)
 
     def close(self, connection: _Connection) -> None:
-        """Close a connection at once."""
+        """Close a connection immediately."""
         self._server.close_now(connection.sock)
 
     def finish(self, connection: _Connection, *, close: bool) -> None:
@@ -393,7 +393,7 @@
     @circuits.handler("read", priority=1.0)
     def _on_library_read(self, event: circuits.Event, sock: socket.socket, _data: bytes) -> None:
         # The caller may have disconnected since the event was fired. The library would then raise
-        # when it asks the socket for its peer. The disconnect event handles the disconnection.
+        # an exception when it gets the socket's peer. The disconnect event handles this case.
         try:
             sock.getpeername()
         except OSError:
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -1,7 +1,7 @@
 """Outgoing TCP connections that share one component.
 
 The event library's client needs a component for each connection and polls while connecting. Each
-registration of a component makes the library look up all handlers again, at a cost that grows with
+registration of a component makes the library collect all handlers again, at a cost that grows with
 the number of connections. Here all connections share one component and one channel, and the poller
 reports when a connection is established.
 """
--- a/src/spoolhead/_internal/network/messages.py
+++ b/src/spoolhead/_internal/network/messages.py
@@ -111,7 +111,7 @@
 
 @_message
 class InForce:
-    """An entry reports the version of the table that it has in force.
+    """An entry reports the version of the table that is in force there.
 
     :ivar version: the version.
     """
--- a/src/spoolhead/_internal/network/route_messages.py
+++ b/src/spoolhead/_internal/network/route_messages.py
@@ -1,6 +1,6 @@
-"""Messages between the keepers of a quorum, and between them and the entries that follow them.
+"""Messages between the keepers of a quorum, and between keepers and the entries that follow them.
 
-They are encoded by :mod:`~spoolhead._internal.network.messages`.
+The messages are encoded by :mod:`~spoolhead._internal.network.messages`.
 """
 
 import dataclasses
@@ -100,7 +100,7 @@
     """Upstream instances as the platform lists them.
 
     :ivar reader_term: term of the keeper that read the list; the list with the higher term wins.
-    :ivar sequence: number of the reading.
+    :ivar sequence: number of the read; increases with each read.
     :ivar is_whole: ``changed`` holds all listed instances; otherwise it holds the changes since
         the previous message on the same stream.
     :ivar changed: packed instances that are new or different.
--- a/src/spoolhead/_internal/network/scheduler.py
+++ b/src/spoolhead/_internal/network/scheduler.py
@@ -148,8 +148,8 @@
         return ran
 
     def _run(self, timer: Timer, event: circuits.Event | None) -> None:
-        # If an exception left the handler, the poller would not learn the time of the next timer,
-        # and the program would sleep until data arrives.
+        # If an exception propagated from the handler, the poller would not be given the time of the
+        # next timer, and the program would sleep until data arrives.
         try:
             timer.run()
         except Exception as error:
--- a/src/spoolhead/_internal/utils/disk_refusals.py
+++ b/src/spoolhead/_internal/utils/disk_refusals.py
@@ -29,7 +29,7 @@
             logger.error("disk refuses writes", extra={"fields": fields})
 
     def record_success(self) -> None:
-        """Record a successful write; the first after refused ones is logged."""
+        """Record a successful write; the first after refused writes is logged."""
         if self._refused_since_s is not None:
             fields = {"lost_ms": int((clocks.get_s() - self._refused_since_s) * 1000)}
             logger.warning("disk takes writes again", extra={"fields": fields})
--- a/src/spoolhead/coordination/once_journal.py
+++ b/src/spoolhead/coordination/once_journal.py
@@ -1,9 +1,9 @@
 """Journal of requests that may run only once, by a key that the caller chose.
 
 A key is claimed before its request is sent to any upstream, and finished with the outcome. A later
-request with a claimed key receives the first outcome or learns that it is unknown; it is never run
-again. The journal is a state machine without I/O: the caller makes each claim durable before acting
-on it.
+request with a claimed key receives the first outcome, or the state that it is unknown, and is not
+run again. The journal is a state machine without I/O: the caller makes each claim durable before
+acting on it.
 """
 
 import collections
