--- a/src/spoolhead/_internal/entry/api.py
+++ b/src/spoolhead/_internal/entry/api.py
@@ -166,8 +166,8 @@
     if wire.method != "GET":
         return _refuse(codes.ResultCode.METHOD_NOT_ALLOWED, f"{STREAMS_PATH} takes GET")
     token = stream_token.parse_token(context.shared_key, path.removeprefix(STREAMS_PATH))
-    # A token of another workspace gets the same answer as an invalid one, so that callers
-    # cannot probe for the streams of others.
+    # A token of another workspace gets the same answer as an invalid token, so that callers
+    # cannot probe for streams of other workspaces.
     if token is None or token.workspace != workspace or token.service not in table.services:
         return _refuse(codes.ResultCode.UNKNOWN_PATH, "no such stream")
     match = _LAST_EVENT.match(wire.get_header(LAST_EVENT_HEADER) or "")
@@ -291,7 +291,7 @@
 
 
 def _apply_output_limit(body: dict[str, object], row: rows.WorkspaceRow) -> int:
-    """Cap the body's output limit at the workspace's maximum and return the limit in tokens."""
+    """Cap the output limit in the body at the workspace's maximum; return the limit in tokens."""
     names = [name for name in _LIMIT_NAMES if isinstance(body.get(name), int)]
     limit = min([row.max_output_tokens, *(body[name] for name in names)])
     for name in names or _LIMIT_NAMES[:1]:
@@ -320,8 +320,8 @@
 ) -> expression.Result[bool, fault.Fault]:
     """Return whether a request must run at most once.
 
-    The request's header can only add to the table's default: a caller must not override an
-    operator's setting that a method is not repeatable.
+    The request's header can only add this requirement: a caller must not override an operator's
+    setting that requests of a method must not be repeated.
     """
     word = (wire.get_header(ONCE_HEADER) or "no").lower()
     if word not in _TRUE_WORDS | _FALSE_WORDS:
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -1,9 +1,9 @@
-"""Quarantines request contents that crash the upstreams which run them, for the OpenAI interface.
+"""Quarantines request contents that crash upstreams, for the OpenAI interface.
 
 :mod:`spoolhead._internal.policy.quarantine` makes the decisions. An entry sends its records to the
-keeper, which relays them to all other entries and sends all its records to each entry that
+keeper, which relays them to all other entries and sends all known records to each entry that
 connects. An entry with a data folder can serve from its saved table while no keeper answers, so it
-saves the records there as well.
+saves the records in that folder too.
 """
 
 import pathlib
@@ -24,8 +24,8 @@
     :param name: the entry's name.
     :param calls: sends requests to upstreams.
     :param timers: the program's scheduler.
-    :param probe_path: path requested from an upstream that lost a request, to learn whether it
-        crashed.
+    :param probe_path: path requested from an upstream that lost a request, to find out whether the
+        upstream crashed.
     :param send_records: called with records that the keeper should relay.
     :param on_held: called with the id of a content that has become held.
     :param folder: the entry's data folder; None if it has none.
--- a/src/spoolhead/_internal/network/route_messages.py
+++ b/src/spoolhead/_internal/network/route_messages.py
@@ -1,6 +1,6 @@
-"""Messages between the keepers of a quorum, and between them and the entries that follow them.
+"""Messages between the keepers of a quorum, and between keepers and the entries that follow them.
 
-They are encoded by :mod:`~spoolhead._internal.network.messages`.
+The messages are encoded by :mod:`~spoolhead._internal.network.messages`.
 """
 
 import dataclasses
@@ -46,8 +46,8 @@
     """Version of the newest route table that a keeper knows to be committed.
 
     :ivar version: the version; 0 for none.
-    :ivar is_confirmed: since the keeper's start, a leader has confirmed that there was no newer
-        version; otherwise the version comes from the keeper's disk and may be outdated.
+    :ivar is_confirmed: whether, since the keeper's start, a leader has confirmed that there was no
+        newer version. If not, the version comes from the keeper's disk and may be outdated.
     """
 
     version: int
@@ -100,7 +100,7 @@
     """Upstream instances as the platform lists them.
 
     :ivar reader_term: term of the keeper that read the list; the list with the higher term wins.
-    :ivar sequence: number of the reading.
+    :ivar sequence: number of the read; increases with each read.
     :ivar is_whole: ``changed`` holds all listed instances; otherwise it holds the changes since
         the previous message on the same stream.
     :ivar changed: packed instances that are new or different.
@@ -138,7 +138,7 @@
 
 @_message
 class ConfirmRead:
-    """A keeper asks the leading keeper for the version that a read beginning now must return.
+    """A keeper asks the leading keeper which version a read that begins now must return.
 
     :ivar request: number that the answer repeats.
     """
@@ -151,7 +151,7 @@
     """Answer of the leading keeper to another keeper.
 
     :ivar request: number of the question.
-    :ivar is_sure: the table is committed, or the version is confirmed.
+    :ivar is_sure: whether the table is committed or the version is confirmed.
     :ivar version: committed version.
     """
 
