--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -14,14 +14,14 @@
 
 
 class ContentWatch:
-    """The knowledge of one entry about contents that may crash instances.
+    """Records and decisions of one entry about contents that may crash instances.
 
     :param name: the entry's name.
     :param clock: monotonic time in seconds.
-    :param request_broadcast: called when something is to be sent at once.
+    :param request_broadcast: called when records are to be sent at once.
     :param on_held: called with the id of a content whose running requests must be cancelled.
-    :ivar is_in_sync: a hub has reported the same digest as this entry's, so nothing is missing
-        here.
+    :ivar is_in_sync: whether a hub has reported the same digest as this entry's, so that no record
+        is missing.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
 
     @property
     def registry(self) -> content_registry.ContentRegistry:
-        """The records."""
+        """The content records that this entry knows."""
         return self._quarantine.registry
 
     @property
@@ -52,11 +52,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether something is left to send."""
+        """Whether any record is left to send."""
         return self._broadcast.has_pending
 
     def evaluate(self, content_id: bytes) -> quarantine.Verdict:
-        """Decide on a new request."""
+        """Decide how to handle a new request with a content."""
         return self._quarantine.evaluate(content_id, self._clock())
 
     def is_held(self, content_id: bytes) -> bool:
@@ -69,7 +69,9 @@
 
     def claim_trial(self, content_id: bytes) -> None:
         """Claim the next trial of a held content."""
-        self._publish(self._quarantine.claim_trial(content_id, self._clock()), "claimed here")
+        self._publish(
+            self._quarantine.claim_trial(content_id, self._clock()), "trial claimed by this entry"
+        )
 
     def may_run_trial(self, content_id: bytes) -> bool:
         """Return whether this entry's claim stands; True only once."""
@@ -79,13 +81,13 @@
         """Record a request that an instance received and lost."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_lost(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "lost after that")
+            self._record_crash(incarnation_id, run, "known before the loss")
 
     def record_abandoned(self, incarnation_id: str, content_id: bytes, sent_s: float) -> None:
         """Record a request that an instance received and this entry has abandoned."""
         run = self._make_run(content_id, sent_s)
         if self._lost_runs.record_abandoned(incarnation_id, run):
-            self._record_crash(incarnation_id, run, "abandoned after that")
+            self._record_crash(incarnation_id, run, "known before the request was abandoned")
 
     def has_abandoned(self, incarnation_id: str) -> bool:
         """Return whether this entry recently abandoned a request at an instance."""
@@ -104,7 +106,7 @@
         """Record that a request was answered, which shows that its content is harmless."""
         record = self._quarantine.record_harmless(content_id, self._clock())
         if record is not None:
-            self._publish(record, "it ended well here")
+            self._publish(record, "answered at this entry")
 
     def handle_update(self, hub: str, update: shared_load.ContentUpdate) -> None:
         """Handle the content records and digest sent by a hub."""
@@ -125,7 +127,7 @@
     def merge_records(self, peer: str, items: list[content_record.AgedRecord]) -> None:
         """Merge records reported by another process."""
         for record in self._quarantine.merge_records(items, self._clock()):
-            self._log(record, f"told by {peer}")
+            self._log(record, f"reported by {peer}")
             self._report_if_held(record)
 
     def make_content_update(self) -> shared_load.ContentUpdate:
@@ -144,7 +146,7 @@
         key = shared_load.get_key(incarnation_id)
         record = self._quarantine.record_crash(run.content_id, key, run.sent_s, run.lost_s)
         if record is not None:
-            self._publish(record, f"{incarnation_id} ended: {evidence}")
+            self._publish(record, f"{incarnation_id} terminated: {evidence}")
 
     def _publish(self, record: content_record.ContentRecord, reason: str) -> None:
         """Broadcast a record that this entry has changed itself."""
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/end_watch.py
@@ -17,12 +17,12 @@
 instance list or another entry has to report the crash."""
 
 RETRY_INTERVAL_S = 0.1
-"""Interval before a query is repeated whose connection was made and then lost: a process that is
-just crashing still accepts connections for a moment, and refuses them by then."""
+"""Delay before a query is repeated whose connection was established and then lost: a crashing
+process still accepts connections for a moment; after this delay it refuses them."""
 MAX_QUERIES = 4
-"""Maximum number of queries about one loss, within 0.3 s. A connection was accepted as late as 3 ms
-after a loss, beside six busy processes; if a crash stays undetected, its requests do not become
-suspects."""
+"""Maximum number of queries about one loss, within 0.3 s. Beside six other busy
+processes, a crashed process accepted a connection as late as 3 ms after the loss. If a crash stays
+undetected, its requests do not become suspects."""
 
 
 class EndQuery:
@@ -46,12 +46,12 @@
 class _Query:
     """One query in flight."""
 
-    __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
+    __slots__ = ("target", "call", "instance_id", "number", "owner", "timer")
 
     def __init__(self, owner: "EndWatch", target: EndQuery, number: int) -> None:
         self.number = number
         self.owner = owner
-        self.asked = target
+        self.target = target
         self.call: upstream_calls.UpstreamCall | None = None
         self.timer: scheduler.Timer | None = None
         self.instance_id = ""
@@ -103,9 +103,9 @@
     def query(self, target: EndQuery) -> None:
         """Query an instance that has just lost a request, unless a query is in flight."""
         if target.path:
-            self._ask(target, 1)
+            self._send_query(target, 1)
 
-    def _ask(self, target: EndQuery, number: int) -> None:
+    def _send_query(self, target: EndQuery, number: int) -> None:
         if target.incarnation_id in self._queries:
             return
         query = self._queries[target.incarnation_id] = _Query(self, target, number)
@@ -114,47 +114,47 @@
         query.call = self._calls.open(target.address, request, query, fresh=True)
 
     def handle_answer(self, query: _Query) -> None:
-        """Handle an answer: the instance is alive, or another one answers at its address."""
+        """Handle an answer, which shows that the instance is alive or was replaced by another."""
         self._remove(query)
-        target = query.asked
+        target = query.target
         if query.instance_id and query.instance_id != target.instance_id:
-            self._handle_end(query, f"{query.instance_id} answers")
+            self._handle_terminated(query, f"{query.instance_id} answers at its address")
         elif query.instance_id or not target.instance_id:
-            self._log(query, "it answers")
+            self._log(query, "instance answered")
             self._contents.record_alive(target.incarnation_id)
         else:
-            self._log(query, "it does not say which instance answers")
+            self._log(query, "answer states no instance id")
 
     def handle_loss(self, query: _Query, reason: str) -> None:
         """Handle a lost query; if its connection was refused, the instance has crashed."""
         self._remove(query)
         if reason == links.REFUSED:
-            self._handle_end(query, reason)
+            self._handle_terminated(query, reason)
             return
         self._log(query, reason)
         if query.number < MAX_QUERIES:
-            target, number = query.asked, query.number + 1
-            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._ask(target, number))
+            target, number = query.target, query.number + 1
+            self._timers.call_later(RETRY_INTERVAL_S, lambda: self._send_query(target, number))
 
     def handle_timeout(self, query: _Query) -> None:
-        """Handle a missing answer, which another query would not change."""
+        """Handle a missing answer; the query is not repeated, since another would time out too."""
         self._remove(query)
         self._log(query, "no answer")
 
-    def _handle_end(self, query: _Query, evidence: str) -> None:
+    def _handle_terminated(self, query: _Query, evidence: str) -> None:
         self._log(query, evidence, has_ended=True)
-        incarnation_id = query.asked.incarnation_id
+        incarnation_id = query.target.incarnation_id
         self._on_ended(incarnation_id)
         self._contents.record_ended(incarnation_id, evidence)
 
     def _remove(self, query: _Query) -> None:
-        self._queries.pop(query.asked.incarnation_id, None)
+        self._queries.pop(query.target.incarnation_id, None)
         if query.timer is not None:
             query.timer.cancel()
 
     def _log(self, query: _Query, outcome: str, *, has_ended: bool = False) -> None:
         fields = {
-            "upstream": query.asked.incarnation_id,
+            "upstream": query.target.incarnation_id,
             "outcome": outcome,
             "has_ended": has_ended,
         }
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -1,9 +1,9 @@
 """Saves a process's content records on its disk.
 
 Few entries have a disk, so without this file all records would be lost if the entries and the
-keepers lost power together, and each deadly request would crash instances again. One keeper with an
-intact disk is enough, since processes exchange their records. A separate thread writes the file, so
-that a slow disk delays nothing else.
+keepers lost power together, and the requests on record would crash instances again. One keeper with
+an intact disk is enough, since processes exchange their records. A separate thread writes the file,
+so that a slow disk delays nothing else.
 """
 
 import logging
@@ -25,8 +25,8 @@
 
 FILE_NAME = "contents"
 FORMAT_VERSION = 1
-"""Version of the file format. A file of another version is not read: that costs two crashed
-instances, but breaks no guarantee."""
+"""Version of the file format. A file of another version is ignored: until its contents are held
+again, that costs two crashed instances, but violates no guarantee."""
 MIN_SAVE_INTERVAL_S = 0.25
 """Minimum interval between two writes. The maximum of a thousand records takes some 60 KB, so
 frequent changes cost the disk 240 KB/s at most; records lost with the power are no older than this
@@ -88,20 +88,20 @@
         self._clock = clock
         self._wall_clock = wall_clock
         self._refusals = disk_refusals.DiskRefusals(self._path)
-        self._read()
+        self._load()
         self._digest = registry.digest
-        self._earliest_s = clock()
+        self._earliest_save_s = clock()
         self._timer: scheduler.Timer | None = None
         self._condition = threading.Condition()
-        self._unwritten: bytes | None = None
+        self._unwritten_data: bytes | None = None
         self._is_synced = True
-        threading.Thread(target=self._run, name="saved-contents", daemon=True).start()
+        threading.Thread(target=self._write_changes, name="saved-contents", daemon=True).start()
 
     def record(self) -> None:
         """Schedule a write of the records if they have changed."""
         if self._registry.digest == self._digest or self._timer is not None:
             return
-        delay_s = self._earliest_s - self._clock()
+        delay_s = self._earliest_save_s - self._clock()
         if delay_s > 0:
             self._timer = self._timers.call_later(delay_s, self._save)
         else:
@@ -125,16 +125,16 @@
             self._timer.cancel()
             self._timer = None
         now_s = self._clock()
-        self._earliest_s = now_s + MIN_SAVE_INTERVAL_S
+        self._earliest_save_s = now_s + MIN_SAVE_INTERVAL_S
         self._digest = self._registry.digest
         items = self._registry.get_all_aged(self._registry.get_ids(), now_s)
         data = encode(items, self._wall_clock())
         with self._condition:
-            self._unwritten = data
+            self._unwritten_data = data
             self._is_synced = False
             self._condition.notify_all()
 
-    def _read(self) -> None:
+    def _load(self) -> None:
         if not self._path.exists():
             return
         fields: dict[str, object] = {"path": str(self._path)}
@@ -147,17 +147,17 @@
         fields["contents"] = len(self._registry.merge(items, self._clock()))
         logger.info("loaded saved contents", extra={"fields": fields})
 
-    def _run(self) -> None:
+    def _write_changes(self) -> None:
         while True:
             with self._condition:
-                self._condition.wait_for(lambda: self._unwritten is not None)
-                data, self._unwritten = self._unwritten, None
+                self._condition.wait_for(lambda: self._unwritten_data is not None)
+                data, self._unwritten_data = self._unwritten_data, None
             assert data is not None
             is_written = self._write(data)
             with self._condition:
-                if not is_written and self._unwritten is None:
-                    self._unwritten = data
-                self._is_synced = self._unwritten is None
+                if not is_written and self._unwritten_data is None:
+                    self._unwritten_data = data
+                self._is_synced = self._unwritten_data is None
                 self._condition.notify_all()
             if not is_written:
                 time.sleep(disk_refusals.RETRY_S)
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -24,12 +24,13 @@
 """Maximum rate for one receiver: half of what a process may use for control traffic. Small
 datagrams, as in small fleets, are then sent every 20 ms, full ones of 300 bytes every 30 ms."""
 HEADER_BYTES = 28
-"""Header bytes of a datagram on the link."""
+"""Size of the IP and UDP headers of a datagram."""
 MAX_COUNTED_BYTES = 9
-"""Maximum size of the sequence of the receiver's own report in an update."""
+"""Maximum encoded size of an update's field ``counted``, the sequence number of the receiver's own
+report that the update includes."""
 HEARTBEAT_INTERVAL_S = 0.1
-"""Interval after which a datagram is sent although nothing has changed, so that a lost hub is
-noticed."""
+"""Interval after which a datagram is sent although nothing has changed, so that receivers detect a
+lost hub."""
 
 
 class _SendSizes:
@@ -52,8 +53,8 @@
     :param timers: schedules callbacks.
     :param hub: state of the hub.
     :param send: sends a datagram.
-    :param get_hubs: returns addresses of possible hubs, in addition to those that sent totals.
-    :param bytes_per_s: rate that the hub may send at, by which its datagrams are delayed.
+    :param get_hubs: returns addresses of possible hubs, in addition to hubs that sent totals.
+    :param bytes_per_s: maximum send rate of the hub; datagrams are delayed to keep it.
     :param clock: monotonic time in seconds.
     """
 
@@ -75,7 +76,7 @@
         self._clock = clock
         self._timer: scheduler.Timer | None = None
         self._due_s = 0.0
-        self._earliest_s = 0.0
+        self._earliest_send_s = 0.0
         self._totals_sent_s = 0.0
         self._updates_sent_s = 0.0
 
@@ -110,7 +111,7 @@
             self._send(shared_load.address_update(encoded, update.counted), sender)
 
     def _schedule(self, now_s: float, delay_s: float) -> None:
-        due_s = max(now_s + delay_s, self._earliest_s)
+        due_s = max(now_s + delay_s, self._earliest_send_s)
         if self._timer is not None:
             if self._due_s <= due_s:
                 return
@@ -135,7 +136,7 @@
             datagram_bytes / MAX_RECEIVER_BYTES_PER_S,
             sent_bytes / self._bytes_per_s,
         )
-        self._earliest_s = now_s + interval_s
+        self._earliest_send_s = now_s + interval_s
         self._schedule(now_s, 0.0 if self._hub.has_unsent_updates else HEARTBEAT_INTERVAL_S)
 
     def _send_totals(self, now_s: float) -> _SendSizes:
--- a/src/spoolhead/_internal/load_broadcast/load_socket.py
+++ b/src/spoolhead/_internal/load_broadcast/load_socket.py
@@ -16,7 +16,7 @@
 class LoadSocket:
     """Sends and receives the datagrams that report load.
 
-    :param loop: root of the program.
+    :param loop: event loop of the program.
     :param address: where to listen.
     :param handle: called with each decoded datagram and its sender.
     """
@@ -34,7 +34,7 @@
         loop.poller.add_direct_reader(loop, self._sock, self._on_readable)
 
     def send(self, data: bytes, address: endpoints.Endpoint) -> None:
-        """Send a datagram; if that fails, the next one makes up for it."""
+        """Send a datagram; a failure is only logged, since later datagrams make up for it."""
         try:
             self._sock.sendto(data, address)
         except OSError as error:
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -385,7 +385,7 @@
         setting.caller.on_gone()
     assert setting.last.is_over
     clock.now_s += 0.2
-    contents.record_ended("i-1", "told by another entry")
+    contents.record_ended("i-1", "reported by another entry")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
