--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -16,19 +16,19 @@
 
 
 class _PendingAlarm:
-    """An alarm and how often it is still to be sent."""
+    """An alarm and the number of datagrams that must still carry it."""
 
-    __slots__ = ("alarm", "left")
+    __slots__ = ("alarm", "sends_left")
 
     def __init__(self, alarm: shared_load.Alarm) -> None:
         self.alarm = alarm
-        self.left = SEND_COUNT
+        self.sends_left = SEND_COUNT
 
 
 class AlarmBroadcast:
-    """The alarms that one group of receivers has not been sent yet, or is sent again.
+    """Alarms to be sent to one group of receivers, for the first time or again.
 
-    :param standing: alarms that hold for a time; only these are repeated.
+    :param standing: alarms that stay in force for some time; only these are repeated.
     """
 
     __slots__ = ("_pending", "_repeats", "_standing")
@@ -40,12 +40,12 @@
 
     @property
     def has_new(self) -> bool:
-        """Whether an alarm has not been sent at all."""
-        return any(item.left == SEND_COUNT for item in self._pending)
+        """Whether any alarm has not been sent yet."""
+        return any(item.sends_left == SEND_COUNT for item in self._pending)
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is left to send that must not wait for the next datagram."""
+        """Whether any alarm is left to send, apart from repetitions, which cause no datagram."""
         return bool(self._pending)
 
     def add(self, alarm: shared_load.Alarm, now_s: float) -> None:
@@ -55,15 +55,15 @@
             self._repeats.add([standing_alarms.get_name(alarm)], now_s)
 
     def send_again(self, names: Iterable[standing_alarms.AlarmName], now_s: float) -> None:
-        """Schedule alarms that were sent before to be sent again."""
+        """Schedule previously sent alarms to be sent again."""
         self._repeats.add_due(names, now_s)
 
     def pop_batch(self, now_s: float) -> list[shared_load.Alarm]:
         """Return the alarms to send next, and count them as sent."""
         alarms = [item.alarm for item in self._pending]
         for item in self._pending:
-            item.left -= 1
-        self._pending = [item for item in self._pending if item.left]
+            item.sends_left -= 1
+        self._pending = [item for item in self._pending if item.sends_left]
         names = self._repeats.pop_due(MAX_REPEATS_PER_DATAGRAM, now_s)
         return alarms + self._standing.get(names, now_s)
 
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -8,18 +8,18 @@
 from spoolhead._internal.models import shared_load
 
 MAX_CHANGED_ROWS_PER_DATAGRAM = 20
-"""Maximum number of changed rows per batch, those that wait longest first: 240 bytes, so that 40
+"""Maximum number of changed rows per batch, the longest waiting first: 240 bytes, so that 40
 datagrams a second stay under 10 KB/s however many instances there are. 195 entries with 80 requests
 a second change an estimated five rows in 25 ms."""
 MAX_REPEATED_ROWS_PER_DATAGRAM = 3
 """Unchanged rows sent in rotation with each batch, to repair lost datagrams: within half a second
 with 37 instances and ten datagrams a second or more."""
 EMPTY_ROW_SEND_COUNT = 3
-"""How often a row without load is still sent before it is removed."""
+"""Number of times that a row without load is sent before it is removed."""
 
 
 class ChangedRows:
-    """Load totals by instance, and which of them are still to be sent."""
+    """Load totals by instance, and the set of rows that are still to be sent."""
 
     __slots__ = ("_changed", "_empty_send_counts", "_rows", "_rotation")
 
--- a/src/spoolhead/_internal/policy/cold_start.py
+++ b/src/spoolhead/_internal/policy/cold_start.py
@@ -1,4 +1,4 @@
-"""How many requests an entry may send to a cold instance.
+"""Limits the number of requests that an entry sends to a cold instance.
 
 Performs no I/O; the current time is passed in.
 
@@ -6,8 +6,8 @@
 crashes well above that. Entries learn of each other's load with a delay, so all of them would
 choose the emptiest instance, which is the new one. Therefore only as many entries send to a cold
 instance as it can take requests in a second, or fewer entries with a larger quota each: first those
-of its own hall, which still reach it during a cut, then others, chosen by rendezvous hashing.
-Entries that see the same fleet compute the same result without communication.
+of its own hall, which still reach it during a network partition, then others, chosen by rendezvous
+hashing. Entries that see the same fleet compute the same result without communication.
 """
 
 import math
@@ -62,7 +62,7 @@
     """Return the entries that may send to a cold instance.
 
     An entry that knows no entry in the instance's hall does not know the whole fleet, as after a
-    start during a cut, and sends nothing there.
+    start during a network partition, and sends nothing there.
     """
     if all(entry.hall != instance.hall for entry in entries):
         return []
--- a/src/spoolhead/_internal/policy/content_registry.py
+++ b/src/spoolhead/_internal/policy/content_registry.py
@@ -1,10 +1,10 @@
-"""Records of contents that may crash instances, as one process knows them, and their broadcast.
+"""Stores and broadcasts the records of contents that may crash instances.
 
 Performs no I/O; the current time is passed in.
 
 A changed record is sent at once. In addition, processes exchange a digest of all their records;
-while two digests differ, each process sends the other all its records in turn. So lost datagrams,
-restarts and cuts need no messages of their own.
+while two digests differ, each process sends the other all its records in turn. This also repairs
+the effects of lost datagrams, restarts and network partitions.
 """
 
 import heapq
@@ -14,8 +14,8 @@
 from spoolhead._internal.models import content_record
 
 RETENTION_S = 86_400.0
-"""Time for which a record is kept after its last change: such a request does not become harmless
-with time, and a day is as long as an operator is on call for it."""
+"""Time for which a record is kept after its last change: the content does not become harmless with
+time, and an operator is on call for a day."""
 EXPIRY_MARGIN_S = 60.0
 """A record this close to its expiry is no longer merged: otherwise processes whose clocks differ
 slightly would return it to each other forever."""
@@ -155,7 +155,7 @@
         return True
 
     def _evict_excess(self) -> None:
-        """Evict the least severe records: those not held, and of these the oldest."""
+        """Evict the least severe records: not held by hand, fewest waves, oldest last change."""
         while len(self._records) > MAX_RECORDS:
             least = min(self._records.items(), key=lambda item: _get_severity(item[1]))
             self._remove(least[0])
@@ -184,12 +184,12 @@
 
     @property
     def has_new(self) -> bool:
-        """Whether a changed record has not been sent at all."""
+        """Whether any changed record has not been sent yet."""
         return any(sends_left == RECORD_SEND_COUNT for sends_left in self._sends_left.values())
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is left to send."""
+        """Whether any record is left to send."""
         return bool(self._sends_left or self._sync_queue)
 
     def record_changed(self, content_id: bytes) -> None:
@@ -200,7 +200,7 @@
     def record_digest(self, peer: str, digest: int, now_s: float) -> None:
         """Compare the digest reported by another process and start a full sync if it differs.
 
-        A process without records has just started and is sent all of them at once.
+        A process without records has just started, so the full sync for it starts at once.
 
         :param peer: name of that process.
         """
--- a/src/spoolhead/_internal/policy/granter_choice.py
+++ b/src/spoolhead/_internal/policy/granter_choice.py
@@ -1,8 +1,8 @@
 """Chooses the entries that grant permits for an instance. Performs no I/O.
 
-Entries of the instance's hall come first, since they can be reached by every entry that reaches the
-instance during a cut. They are chosen by rendezvous hashing: entries that see the same fleet
-compute the same result without communication.
+Entries of the instance's hall come first, since during a network partition every entry that reaches
+the instance can also reach them. They are chosen by rendezvous hashing: entries that see the same
+fleet compute the same result without communication.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import fleet, instances
 
 MAX_GRANTERS = 3
-"""Entries that are asked in turn: the primary granter and its backups."""
+"""Number of entries that are asked in turn: the primary granter and its backups."""
 
 
 def get_granters(
--- a/src/spoolhead/_internal/policy/hall_reach.py
+++ b/src/spoolhead/_internal/policy/hall_reach.py
@@ -2,7 +2,7 @@
 
 Performs no I/O; the current time is passed in.
 
-A cut-off hall shows in two ways: connections to its instances time out, and its entries are silent.
+A cut-off hall has two symptoms: connections to its instances time out, and its entries are silent.
 A single unreachable instance causes timeouts as well, but then other instances of its hall still
 answer.
 """
@@ -15,12 +15,12 @@
 """Time for which a hall is not tried after a connection timeout without a later answer from it: a
 healthy hall answers some entry's plain requests several times in that period."""
 SILENT_HALL_BACKOFF_S = 2.0
-"""The same for a hall whose entries are silent: one request in that period checks whether the cut
-is over, without delaying the others."""
+"""The same for a hall whose entries are silent: one request in that period checks whether the
+partition is over, without delaying the others."""
 
 
 class _Hall:
-    """What was observed of a hall.
+    """Latest observations of a hall.
 
     :ivar timed_out_s: time of the last connection timeout.
     :ivar answered_s: time of the last answer.
@@ -34,7 +34,7 @@
 
 
 class HallReach:
-    """What this entry has observed of each other hall.
+    """This entry's observations of all halls.
 
     :param own_hall: hall of this entry, which is never considered cut off.
     """
@@ -70,8 +70,9 @@
     ) -> frozenset[str]:
         """Return the silent halls that this entry is cut off from.
 
-        :param is_isolated: all other halls are silent, so this entry's own hall is cut off; the
-            silent halls count as unreachable without a timeout, but not while they still answer.
+        :param is_isolated: whether all other halls are silent, which suggests that this entry's own
+            hall is cut off; a silent hall then counts as unreachable even without a timeout, unless
+            it has just answered.
         """
         return frozenset(
             name
@@ -94,13 +95,14 @@
 def is_service_unreachable(
     upstreams: Iterable[upstream_registry.Upstream], unreachable_halls: Collection[str]
 ) -> bool:
-    """Return whether all staying instances of a service are in unreachable or evacuated halls.
+    """Return whether a service has instances only in unreachable or evacuated halls.
 
-    False for a service without instances.
+    Leaving instances are ignored. False for a service without other instances.
 
     :param upstreams: instances of the service.
     """
-    staying = [upstream for upstream in upstreams if not upstream.is_leaving]
-    return bool(staying) and all(
-        upstream.instance.hall in unreachable_halls or upstream.is_evacuated for upstream in staying
+    remaining = [upstream for upstream in upstreams if not upstream.is_leaving]
+    return bool(remaining) and all(
+        upstream.instance.hall in unreachable_halls or upstream.is_evacuated
+        for upstream in remaining
     )
--- a/src/spoolhead/_internal/policy/lengths.py
+++ b/src/spoolhead/_internal/policy/lengths.py
@@ -1,8 +1,8 @@
 """Predicts the remaining length of answers from the lengths of completed ones.
 
 Lengths are heavy-tailed, so a mean is a poor predictor. Planning an engine's memory needs the
-expected memory some tokens from now: an answer that continues needs more by then, one that has
-ended needs none. Each workspace has a length distribution for each model, with the model's overall
+expected memory some tokens from now: an answer that continues needs more by then, a finished answer
+needs none. Each workspace has a length distribution for each model, with the model's overall
 distribution as its prior while it has few answers of its own.
 """
 
--- a/src/spoolhead/_internal/policy/limit_broadcast.py
+++ b/src/spoolhead/_internal/policy/limit_broadcast.py
@@ -15,7 +15,7 @@
 
 
 class LimitBroadcast:
-    """The limits that one group of receivers has not been sent yet, or is sent again.
+    """Limits to be sent to one group of receivers, for the first time or again.
 
     :param registry: the newest stated limit of each instance.
     """
@@ -29,12 +29,12 @@
 
     @property
     def has_new(self) -> bool:
-        """Whether a limit has not been sent at all."""
+        """Whether any limit has not been sent yet."""
         return SEND_COUNT in self._sends_left.values()
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is left to send that must not wait for the next datagram."""
+        """Whether any limit is left to send, apart from repetitions, which cause no datagram."""
         return bool(self._sends_left)
 
     def add(self, keys: Iterable[int], now_s: float) -> None:
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -24,22 +24,24 @@
 """Silence of a reporter after which its load no longer counts: six lost reports in a row."""
 HUB_EXPIRY_S = 1.0
 """Silence of a hub after which its totals no longer count. Its reporters look for another hub after
-a third of that time and are counted twice until then; with a shorter expiry, load behind a cut
-between hubs would seem to have ended."""
+a third of that time and are counted twice until then; with a shorter expiry, load behind a
+partition between hubs would seem to have ended."""
 MIN_SNAPSHOT_INTERVAL_S = 0.05
 """Minimum interval between two snapshots for one reporter; the previous one may be in transit."""
 SEEN_ALARM_TTL_S = 10.0
-"""Time for which a received alarm is stored as seen: longer than reports and hubs together repeat
-it."""
+"""Time for which a received alarm is stored as seen, longer than reports and hubs together repeat
+an alarm."""
 
 
 class Reporter:
     """An entry that reports to this hub.
 
     :ivar address: where its updates are sent.
-    :ivar counted: sequence of its report that is included in the totals.
-    :ivar wants_snapshot: it has not received a snapshot.
-    :ivar snapshot_sent_s: when a snapshot was last sent to it.
+    :ivar counted: sequence number of the report from it that the totals include.
+    :ivar heard_s: monotonic time of its last report.
+    :ivar rows: load in its last report.
+    :ivar wants_snapshot: whether it lacks a snapshot.
+    :ivar snapshot_sent_s: monotonic time at which a snapshot was last sent to it.
     """
 
     __slots__ = ("address", "counted", "heard_s", "rows", "snapshot_sent_s", "wants_snapshot")
@@ -54,12 +56,12 @@
 
 
 class _Row:
-    """A row received from another hub, and the sequence of its datagram."""
+    """Load received from another hub, and the sequence number of the datagram."""
 
-    __slots__ = ("held", "sequence")
+    __slots__ = ("load", "sequence")
 
     def __init__(self, load: shared_load.InstanceLoad, sequence: int) -> None:
-        self.held = load
+        self.load = load
         self.sequence = sequence
 
 
@@ -67,7 +69,7 @@
     """Another hub.
 
     :ivar address: where its datagrams come from.
-    :ivar newest_sequence: highest sequence of its datagrams.
+    :ivar newest_sequence: highest sequence number of its datagrams.
     """
 
     __slots__ = ("address", "heard_s", "newest_sequence", "rows")
@@ -80,11 +82,11 @@
 
 
 class LoadHub:
-    """The hub of one process; without reporters it sends nothing but still receives totals.
+    """The hub of one process. Without reporters it sends nothing, but it still handles totals.
 
     :param name: the process's name.
     :param first_sequence: above every sequence number used before a restart.
-    :param contents: records of contents that are known already.
+    :param contents: records of contents known from elsewhere; None to start without records.
     """
 
     def __init__(
@@ -124,13 +126,13 @@
 
     @property
     def has_unsent_totals(self) -> bool:
-        """Whether there is something new for the other hubs."""
+        """Whether any data is left to send to the other hubs."""
         has_rows = self._reporter_totals.has_changes or self._alarms_to_hubs.has_pending
         return has_rows or self._contents_to_hubs.has_pending or self._limits_to_hubs.has_pending
 
     @property
     def has_unsent_updates(self) -> bool:
-        """Whether there is something new for the reporters."""
+        """Whether any data is left to send to the reporters."""
         has_rows = self._fleet_totals.has_changes or self._alarms_to_reporters.has_pending
         return (
             has_rows
@@ -140,7 +142,7 @@
 
     @property
     def has_urgent_updates(self) -> bool:
-        """Whether an alarm, content or limit has not been sent at all and must not wait."""
+        """Whether an alarm, content record or limit is unsent, which must be sent at once."""
         has_alarms = self._alarms_to_reporters.has_new
         has_limits = self._limits_to_reporters.has_new
         return has_alarms or has_limits or self._contents_to_reporters.has_new
@@ -280,8 +282,8 @@
     def make_snapshot(self, now_s: float) -> shared_load.Update:
         """Return the load of the whole fleet, all standing alarms and all known limits.
 
-        Of the content records it holds the most severe ones, since the entry may serve requests at
-        once; the others follow in the next round for all reporters.
+        It includes only the most severe content records, since the entry may serve requests at
+        once; the others follow with the next full sync for all reporters.
         """
         content_ids = self._contents.get_most_severe(content_registry.MAX_RECORDS_PER_DATAGRAM)
         records = self._contents.get_all_aged(content_ids, now_s)
@@ -328,7 +330,7 @@
         return changed_ids
 
     def _resend_to_new_hub(self, now_s: float) -> None:
-        """Schedule all limits and standing alarms for the hubs: a new hub may know none."""
+        """Schedule all limits and standing alarms for the hubs, as a new hub may know none."""
         self._limits_to_hubs.add(self._limits.get_keys(), now_s)
         self._alarms_to_hubs.send_again(self._standing_alarms.get_names(), now_s)
 
@@ -338,7 +340,7 @@
         row = hub.rows.get(key)
         if row is not None and sequence <= row.sequence:
             return
-        self._fleet_totals.replace(key, row.held if row is not None else None, load)
+        self._fleet_totals.replace(key, row.load if row is not None else None, load)
         if load:
             hub.rows[key] = _Row(load, sequence)
         else:
@@ -353,7 +355,7 @@
 
     def _remove_rows(self, hub: _PeerHub) -> None:
         for key, row in hub.rows.items():
-            self._fleet_totals.add(key, row.held, -1)
+            self._fleet_totals.add(key, row.load, -1)
         hub.rows.clear()
 
     def _remove_reporter(self, name: str) -> None:
@@ -365,7 +367,7 @@
     def _handle_alarms(
         self, alarms: Iterable[shared_load.Alarm], now_s: float
     ) -> list[shared_load.Alarm]:
-        """Handle alarms, schedule the new ones for the reporters, and return the new ones."""
+        """Schedule new alarms for the reporters, and return them; known alarms are ignored."""
         new = []
         for alarm in alarms:
             name = (alarm.reporter, alarm.sequence)
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -10,18 +10,18 @@
 from spoolhead._internal.policy import datagram_order, upstream_registry
 
 UPDATE_TTL_S = 3.0
-"""Time without any update after which received load no longer counts: requests of a second or two
-have ended by then, and long ones matter less than the entry's own requests."""
+"""Time without any update after which received load no longer counts: requests that take a second
+or two have ended by then, and longer requests matter less than the entry's own."""
 HALL_SILENCE_S = 0.6
 """Silence of a hall after which it counts as silent. Each of its entries reports four times a
 second, and an entry that loses its hub reports to another within some 0.4 s."""
 MAX_REPORTS = 64
-"""Maximum number of own reports stored until an update says which of them it includes: over half a
+"""Maximum number of own reports stored until an update states which report it includes: over half a
 second of the fastest reporting."""
 
 
 class _Row:
-    """Load of the other entries at one instance, and the sequence of its update."""
+    """Load of the other entries at one instance, and the sequence number of the update."""
 
     __slots__ = ("others", "sequence")
 
@@ -35,7 +35,7 @@
 
     :param hall: hall of the entry.
     :param registry: the instances.
-    :ivar has_snapshot: the hub has sent a snapshot of all that it knows.
+    :ivar has_snapshot: whether the hub has sent a snapshot of its complete state.
     """
 
     def __init__(self, hall: str, registry: upstream_registry.UpstreamRegistry) -> None:
@@ -60,7 +60,7 @@
         }
 
     def record_report(self, sequence: int, rows: shared_load.Rows) -> None:
-        """Store a report: updates include it, so it has to be subtracted from them."""
+        """Store an own report, whose load has to be subtracted from updates that include it."""
         self._reports[sequence] = rows
         while len(self._reports) > MAX_REPORTS:
             self._reports.popitem(last=False)
@@ -73,7 +73,7 @@
     def handle_update(self, update: shared_load.Update, now_s: float) -> bool:
         """Apply an update of the hub.
 
-        :returns: whether it was applied; one that includes an unknown report is not.
+        :returns: whether it was applied; an update that includes an unknown own report is ignored.
         """
         own = self._reports.get(update.counted)
         if own is None:
@@ -93,7 +93,7 @@
         return True
 
     def rebuild(self, now_s: float) -> None:
-        """Apply the known load to the listed instances; call it when the list has changed."""
+        """Apply the known load to the listed instances; due after the list has changed."""
         if now_s - self._updated_s > UPDATE_TTL_S:
             self._clear()
             self.has_snapshot = False
@@ -102,10 +102,10 @@
             upstream.others = row.others if row is not None else shared_load.InstanceLoad()
 
     def get_silent_halls(self, now_s: float) -> frozenset[str]:
-        """Return the known halls that are silent, as behind a cut.
+        """Return the known halls that are silent, as behind a network partition.
 
-        Without updates nothing is received from any hall, which says nothing about the halls, so
-        their state at the last update is used.
+        Without updates, nothing is received about any hall, so the halls that were silent at the
+        last update are returned.
         """
         at_s = min(now_s, self._updated_s)
         return frozenset(
--- a/src/spoolhead/_internal/policy/lost_runs.py
+++ b/src/spoolhead/_internal/policy/lost_runs.py
@@ -1,26 +1,28 @@
-"""Requests lost at instances, until it is known whether the instance crashed. Performs no I/O.
+"""Stores requests lost at instances until it is known whether the instance crashed.
+
+Performs no I/O; the current time is passed in.
 
 Requests that an entry abandoned itself are stored too: the instance may have started to run them
-and crash a moment later, when no connection is left that would show it.
+and crash a moment later, when no connection is left that would show the crash.
 """
 
 RETENTION_S = 10.0
 """Time for which a lost request waits for a report about its instance, and for which a crash is
-stored: about twice as long as the platform lists an instance that is gone."""
+stored: about twice the time for which the platform goes on listing an instance that is gone."""
 ABANDONED_TTL_S = 2.0
-"""Time after which an abandoned request has nothing to do with the crash of its instance. Runs
-began 0.2 s after their request arrived if other prompts were processed first, a request that may
-not be repeated is run to its end, and a crash is detected within 0.3 s."""
+"""Time after which an abandoned request cannot have caused a crash of its instance. A run begins
+0.2 s after its request arrived if other prompts are processed first, a request that must not be
+repeated is run to its end, and a crash is detected within 0.3 s."""
 MAX_INSTANCES = 1_000
-"""Maximum number of instances for which either is stored."""
+"""Maximum number of instances for which lost requests or crashes are stored."""
 
 
 class LostRun:
     """A request that an instance received and lost.
 
     :ivar content_id: id of its content.
-    :ivar sent_s: when it was sent there.
-    :ivar lost_s: when it was lost.
+    :ivar sent_s: monotonic time at which it was sent.
+    :ivar lost_s: monotonic time at which it was lost.
     """
 
     __slots__ = ("content_id", "lost_s", "sent_s")
@@ -42,8 +44,8 @@
     def record_lost(self, incarnation_id: str, run: LostRun) -> bool:
         """Record a lost request.
 
-        :returns: whether its instance is known to have crashed; otherwise the request waits for
-            that.
+        :returns: whether its instance is known to have crashed; otherwise the request is stored
+            until that is known.
         """
         if self._has_crashed(incarnation_id, run.lost_s):
             return True
@@ -53,7 +55,7 @@
     def record_abandoned(self, incarnation_id: str, run: LostRun) -> bool:
         """Record a request that this entry has abandoned.
 
-        :returns: as :meth:`record_lost` does.
+        :returns: the same as :meth:`record_lost`.
         """
         if self._has_crashed(incarnation_id, run.lost_s):
             return True
@@ -71,14 +73,14 @@
         self._expire(now_s)
         self._crashed_s.setdefault(incarnation_id, now_s)
         abandoned = [
-            # It counts as lost now, since the crash is known only now.
+            # An abandoned request counts as lost when the crash becomes known.
             LostRun(run.content_id, sent_s=run.sent_s, lost_s=now_s)
             for run in self._abandoned.pop(incarnation_id, [])
         ]
         return self._lost.pop(incarnation_id, []) + abandoned
 
     def record_alive(self, incarnation_id: str) -> None:
-        """Record that an instance is alive: its lost requests were lost for another reason.
+        """Record that an instance is alive, so its lost requests were lost for another reason.
 
         Requests abandoned there may still be waiting to run, so they are kept.
         """
