--- a/src/spoolhead/_internal/policy/operating_point.py
+++ b/src/spoolhead/_internal/policy/operating_point.py
@@ -21,12 +21,12 @@
     :ivar limit: maximum predicted memory use, as a multiple of the engine's memory.
     """
 
-    __slots__ = ("_decreased_s", "_last_s", "_preemptions", "limit")
+    __slots__ = ("_decreased_s", "_last_report_s", "_preemptions", "limit")
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
         self._preemptions: int | None = None
-        self._last_s: float | None = None
+        self._last_report_s: float | None = None
         self._decreased_s = 0.0
 
     def handle_report(self, *, preemptions: int, was_limiting: bool, now_s: float) -> None:
@@ -37,7 +37,7 @@
         :param now_s: monotonic time in seconds.
         """
         previous, self._preemptions = self._preemptions, preemptions
-        last_s, self._last_s = self._last_s, now_s
+        last_s, self._last_report_s = self._last_report_s, now_s
         if previous is None or last_s is None or preemptions < previous:
             return
         if preemptions > previous:
--- a/src/spoolhead/_internal/policy/permit_backoff.py
+++ b/src/spoolhead/_internal/policy/permit_backoff.py
@@ -1,4 +1,4 @@
-"""Decides when an entry may ask again after a rejected permit.
+"""Decides when an entry may request a permit again after a rejection.
 
 Performs no I/O; the current time is passed in.
 """
@@ -6,8 +6,8 @@
 import math
 
 OTHER_WORKSPACES_FRACTION = 0.25
-"""Fraction of the backoff after which requests of other workspaces may ask, so that one workspace
-does not block all others."""
+"""Fraction of the backoff after which the entry may request permits for other workspaces, so that
+one workspace does not block all others."""
 
 
 class _Rejection:
@@ -24,7 +24,7 @@
 
 
 class PermitBackoff:
-    """The rejections that one entry received."""
+    """The permit rejections that one entry received."""
 
     __slots__ = ("_rejections",)
 
@@ -47,7 +47,7 @@
         :param rank: rank of the request that was rejected.
         :param workspace: its workspace.
         :param retry_after_ms: time after which a request that is refused now should retry.
-        :param backoff_ms: time for which the entry must not ask again.
+        :param backoff_ms: time for which the entry must not request a permit again.
         """
         rejection = _Rejection(rank, workspace, retry_at_s=now_s + max(0, retry_after_ms) / 1000)
         backoff_s = max(0, backoff_ms) / 1000
@@ -55,12 +55,12 @@
         rejection.others_until_s = now_s + backoff_s * OTHER_WORKSPACES_FRACTION
         known = self._rejections.get(key)
         if known is not None and known.until_s > now_s:
-            # The most urgent rejected request decides which requests may still ask.
+            # Only requests more urgent than every rejected one may still request a permit.
             rejection.rank = min(rank, known.rank)
         self._rejections[key] = rejection
 
     def blocks(self, key: int, rank: int, workspace: str, now_s: float) -> bool:
-        """Return whether a request must not ask, as one at least as urgent was just rejected."""
+        """Return whether a request must wait, as one at least as urgent was just rejected."""
         rejection = self._rejections.get(key)
         if rejection is None or rank < rejection.rank:
             return False
@@ -72,8 +72,8 @@
         rejection = self._rejections.get(key)
         if rejection is None:
             return 0
-        return_s = max(rejection.retry_at_s, rejection.others_until_s)
-        return max(1, math.ceil((return_s - now_s) * 1000))
+        retry_s = max(rejection.retry_at_s, rejection.others_until_s)
+        return max(1, math.ceil((retry_s - now_s) * 1000))
 
     def expire(self, now_s: float) -> None:
         """Remove rejections that no longer block any request."""
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -3,9 +3,9 @@
 Performs no I/O; the current time is passed in.
 
 For each limited instance one entry, the primary granter, keeps a token bucket at the limit and
-grants permits one by one to the entries that ask, so the limit holds whatever the number of entries
-and wherever the load arises. A backup that replaces a granter which does not reply grants only a
-fraction of the limit, because the primary granter may be alive and reachable by other entries.
+grants permits one by one to the entries that request them, so the limit holds whatever the number
+of entries and wherever the load arises. A backup that replaces a granter which does not reply
+grants only a fraction of the limit, because other entries may still reach the primary granter.
 """
 
 import collections
@@ -15,7 +15,7 @@
 from spoolhead._internal.policy import limit_registry, token_bucket
 
 BURST_S = 0.25
-"""Time whose tokens may accumulate, in addition to one token."""
+"""Time for which unused tokens may accumulate at the limit, in addition to one token."""
 BACKUP_FRACTION = 0.4
 """Fraction of the limit that an entry grants while it is not the primary granter."""
 PRIMARY_TTL_S = 2.0
@@ -26,10 +26,11 @@
 MAX_RETRY_AFTER_S = 5.0
 MIN_REQUESTS_PER_S = 12.0
 REQUESTS_PER_TOKEN = 3.0
-"""Permit requests a second that a granter aims at for an instance: a number for each token, and a
-minimum in any case. The backoff of the requesting entries is set so that they reach about that
+"""Target rate of permit requests for one instance: REQUESTS_PER_TOKEN for each token, and at least
+MIN_REQUESTS_PER_S. The backoff of the requesting entries is set so that they reach about that
 rate."""
 PHASE_COUNT = 1_000
+"""Number of different initial fills of token buckets."""
 MIN_BACKOFF_S = 0.05
 REQUESTER_TTL_S = 12.0
 """Time after its last permit request for which an entry counts as a requester."""
@@ -142,7 +143,7 @@
         return replies
 
     def expire(self, now_s: float) -> None:
-        """Remove instances for which no entry has asked for a while."""
+        """Remove instances for which no permit has been requested for a while."""
         for key, state in list(self._instances.items()):
             if not state.waiting and now_s - state.requested_s > IDLE_TTL_S:
                 del self._instances[key]
@@ -205,7 +206,7 @@
     ) -> AddressedReply:
         _store_verdict(state, request, permits.Verdict.REJECTED)
         if request.is_final:
-            # Callers are told to retry one after the other.
+            # Retry times are staggered, so that callers retry one after the other.
             latest_s = now_s + MAX_RETRY_AFTER_S
             state.retry_at_s = min(
                 max(expected_grant_s, state.retry_at_s + 1 / rate_per_s), latest_s
@@ -237,8 +238,8 @@
         for name, requested_s in state.requesters_s.items()
         if now_s - requested_s < REQUESTER_TTL_S
     }
-    wanted_per_s = max(MIN_REQUESTS_PER_S, REQUESTS_PER_TOKEN * rate_per_s)
-    return max(MIN_BACKOFF_S, len(state.requesters_s) / wanted_per_s)
+    target_per_s = max(MIN_REQUESTS_PER_S, REQUESTS_PER_TOKEN * rate_per_s)
+    return max(MIN_BACKOFF_S, len(state.requesters_s) / target_per_s)
 
 
 def _get_sort_key(
--- a/src/spoolhead/_internal/policy/placement.py
+++ b/src/spoolhead/_internal/policy/placement.py
@@ -180,7 +180,7 @@
         planned_profile: lengths.Profile,
         now_s: float,
     ) -> Candidate:
-        """Return how full a replica would be, and why it cannot be chosen, if it cannot."""
+        """Return a replica's fill with the request, and the reason if it cannot be chosen."""
         running_count = len(replica.running)
         if replica.name in demand.excluded:
             return Candidate(replica.name, 0.0, "failed for this request")
@@ -204,7 +204,7 @@
     ) -> Candidate:
         report = replica.report
         if report is None or not replica.has_fresh_report(now_s):
-            # Its memory is unknown, so it gets one request at a time, to see whether it serves.
+            # Its memory is unknown, so it gets one request at a time, to find out whether it works.
             return Candidate(replica.name, 1.0, "no fresh report" if replica.running else "")
         capacity = report.kv_capacity_tokens * replica.operating_point.limit * capacity_fraction
         if capacity <= 0:
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -3,9 +3,9 @@
 Performs no I/O.
 
 Some requests crash every engine that starts to run them, and callers send them again. A single
-entry sees only part of that, so entries share which contents were in flight at an instance when it
-crashed. All of those become suspects, including the harmless contents beside the deadly one. The
-deadly content differs from them in that it is present at every crash and never completes.
+entry sees only some of these crashes, so entries share which contents were in flight at an instance
+when it crashed. All of these contents become suspects, most of them harmless. The content that
+causes the crashes differs from them: it is in flight at every crash, and its runs never complete.
 """
 
 import dataclasses
@@ -25,12 +25,13 @@
 ENDS_TO_HOLD = 3
 """Crashed instances after which a content is held in any case. Several may crash at the same time,
 through one fault or because callers sent the content to several at once; together these count as
-one wave. Counted singly, 1.1 harmless requests of a popular content were refused when two instances
-crashed together, else 0."""
+one wave. If each counted as a wave, 1.1 harmless requests of a popular content were refused when
+two instances crashed together, instead of 0."""
 TRIAL_DELAY_S = 60.0
 """Time after the last crash at which a held content may be run once more. It is longer than a
-series (15 s were seen) and the deadlines of most callers, so the trial costs an engine only if the
-request is still sent a minute later; a harmless content held by mistake is served from then on."""
+series of crashes (up to 15 s) and the deadlines of most callers, so the trial costs an engine only
+if the request is still sent a minute later; a harmless content held by mistake is served from then
+on."""
 MAX_TRIALS = 2
 """Maximum number of trials of a content: the second one is for a first trial without a result, for
 example because its caller left."""
@@ -47,7 +48,7 @@
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request."""
+    """Decision on a request."""
 
     RUN = "run"
     RUN_APART = "run apart"
@@ -123,8 +124,8 @@
     ) -> content_record.ContentRecord | None:
         """Record that an instance crashed while it had a request of this entry.
 
-        :param instance_key: number of the incarnation that crashed.
-        :param sent_s: when the request was sent there.
+        :param instance_key: key of the incarnation that crashed.
+        :param sent_s: monotonic time at which the request was sent there.
         :returns: the record of its content, if that changed.
         """
         record = self.registry.get(content_id) or content_record.ContentRecord(
@@ -170,7 +171,7 @@
         return changed
 
     def _clear_local_state(self, content_id: bytes) -> None:
-        """Clear the local state of a content whose record became void."""
+        """Clear the local state of a content whose record no longer lists crashes."""
         self._crash_recorded_s.pop(content_id, None)
         self._started_trials.discard(content_id)
 
@@ -195,7 +196,7 @@
 def must_end_running(record: content_record.ContentRecord) -> bool:
     """Return whether running requests of a held content must be cancelled too.
 
-    Not if several instances crashed at the same time and nothing else is known: a run elsewhere may
+    False if it is held only because several instances crashed at the same time: a run elsewhere may
     still show that the content is harmless, and most instances that it would crash have crashed by
     then.
     """
@@ -207,14 +208,14 @@
 
     An instance that rejects some requests, or finds one too large or past its deadline, may not
     have started to run it. In a trial every answer but a server error counts: otherwise a content
-    that is always rejected would stay held. Where four in ten requests fail before they run, a
-    series crashed 2 instances; with every answer taken as proof, up to 5 (mean 2.7), in 30
-    simulated series.
+    that is always rejected would stay held. In 30 simulated series in which four in ten requests
+    fail before they run, each series crashed 2 instances; with every answer taken as proof, it
+    crashed up to 5 (mean 2.7).
     """
     return status < MIN_ERROR_STATUS or (is_trial and status < MIN_SERVER_ERROR_STATUS)
 
 
 def is_held(record: content_record.ContentRecord) -> bool:
-    """Return whether a record makes its content held."""
+    """Return whether the content of a record is held."""
     has_enough_crashes = record.waves >= WAVES_TO_HOLD or len(record.ends) >= ENDS_TO_HOLD
     return record.is_by_hand or has_enough_crashes
--- a/src/spoolhead/_internal/policy/repeats.py
+++ b/src/spoolhead/_internal/policy/repeats.py
@@ -11,14 +11,14 @@
 REPEAT_INTERVAL_S = 0.5
 """Interval between two datagrams that repeat the same item."""
 REPEAT_DURATION_S = 4.0
-"""Time for which an item is repeated; a receiver that gets no datagram for so long requests all
-items."""
+"""Time for which an item is repeated; a receiver that gets no datagram for that time requests
+all items."""
 
 Item = TypeVar("Item", bound=Hashable)
 
 
 class _Repeat:
-    """When an item is due again, and until when it is repeated."""
+    """Times at which an item is due again and at which its repetition ends."""
 
     __slots__ = ("due_s", "until_s")
 
--- a/src/spoolhead/_internal/policy/reporting.py
+++ b/src/spoolhead/_internal/policy/reporting.py
@@ -5,7 +5,7 @@
 one entry of the hall fetches each report, chosen by rendezvous hashing over the entries that are
 not silent, and sends it to the others. No agreement is needed: entries that see different
 neighbours may fetch a report twice, and each entry fetches a report itself if none arrives for some
-time, so none goes without reports.
+time, so every entry gets all reports.
 """
 
 from collections.abc import Iterable
--- a/src/spoolhead/_internal/policy/requested_rest.py
+++ b/src/spoolhead/_internal/policy/requested_rest.py
@@ -3,12 +3,12 @@
 import math
 
 MAX_REST_S = 60.0
-"""Maximum rest that is granted at once; after it a trial request is sent."""
+"""Maximum length of one rest; after it a trial request is sent."""
 TRIAL_TIMEOUT_S = 2.0
 """Time for which a trial request after a rest blocks further requests."""
 MIN_REPORTERS = 2
-"""Other entries that must have been asked for rest before this entry also avoids the instance: it
-may have rejected the requests of a single entry only."""
+"""Number of other entries that must have been asked for rest before this entry also avoids the
+instance, which may have rejected the requests of a single entry only."""
 
 
 INITIAL_BACKOFF_S = 0.1
@@ -72,14 +72,14 @@
         self._reported_until_s.clear()
 
     def is_resting(self, now_s: float) -> bool:
-        """Return whether it currently accepts no requests of this entry."""
+        """Return whether the instance asked this entry for a rest that is not over yet."""
         return now_s < self._until_s
 
     def is_likely_to_reject(self, now_s: float) -> bool:
-        """Return whether it is likely to reject a request.
+        """Return whether the instance is likely to reject a request.
 
-        True if it just rejected one, a trial is in flight, or enough other entries were asked for
-        rest.
+        True if it just rejected one, a trial request is in flight, or enough other entries were
+        asked for rest.
         """
         if now_s < self._backoff_until_s:
             return True
--- a/src/spoolhead/_internal/policy/retry.py
+++ b/src/spoolhead/_internal/policy/retry.py
@@ -88,7 +88,7 @@
         return NextStep.GIVE_UP
     if failed.has_delivered:
         return NextStep.RESUME if failed.can_resume else NextStep.GIVE_UP
-    # An upstream that refused has read the request; that it did not run is only its own claim.
+    # An upstream that refused has read the request; only its own answer says that it did not run.
     if failed.is_once and failed.may_have_arrived:
         return NextStep.GIVE_UP
     # An attempt that did not reach its upstream cost it nothing, so a retry does not amplify an
--- a/src/spoolhead/_internal/policy/retry_allowance.py
+++ b/src/spoolhead/_internal/policy/retry_allowance.py
@@ -2,7 +2,7 @@
 
 In any window the whole fleet may make a fixed ratio of retries to requests, plus a fixed slack. An
 entry that counts only its own requests cannot exceed the ratio, whether it knows other entries or
-not; of the slack it uses its share for the largest fleet size that it has known.
+not. The slack is divided by the largest number of entries that the entry has known.
 """
 
 import collections
@@ -17,6 +17,7 @@
     :param ratio: retries for each request.
     :param slack: additional retries in one window, over all entries.
     :param window_ms: length of the window.
+    :ivar entry_count: number of entries that share the slack.
     """
 
     def __init__(self, *, ratio: float, slack: int, window_ms: int) -> None:
--- a/src/spoolhead/_internal/policy/run_admission.py
+++ b/src/spoolhead/_internal/policy/run_admission.py
@@ -43,7 +43,7 @@
 
 
 class Verdict(enum.Enum):
-    """Outcome for a generation."""
+    """Decision on a generation."""
 
     BEGIN = "begin"
     WAIT = "wait"
@@ -114,7 +114,7 @@
     if choice.upstream is not None and has_room(engine, choice.upstream, request):
         return Verdict.BEGIN
     if choice.is_cut_off:
-        # A cut lasts for seconds; waiting would only keep the caller from retrying elsewhere.
+        # A partition lasts for seconds; waiting would only delay a retry in another hall.
         return Verdict.REFUSE
     if choice.retry_after_ms is not None and choice.upstream is None:
         # All engines are blocked until a known time.
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -52,8 +52,8 @@
     """Result of a choice.
 
     :ivar upstream: the chosen instance, or None.
-    :ivar candidates: the instances considered, the best first.
-    :ivar is_cut_off: the service has instances, but all are in halls that are unreachable or
+    :ivar candidates: the instances that can be chosen, the best first.
+    :ivar is_cut_off: whether the service has instances, but only in halls that are unreachable or
         evacuated.
     :ivar retry_after_ms: time after which the first blocked instance is expected to accept
         requests; None if unknown.
@@ -215,13 +215,13 @@
 
 def _is_cut_off(reasons: Collection[upstream_gate.BlockReason | None]) -> bool:
     """Return whether there are instances, all of them in unreachable or evacuated halls."""
-    staying = [reason for reason in reasons if reason not in _DEPARTED]
-    return bool(staying) and all(reason in _UNREACHABLE for reason in staying)
+    remaining = [reason for reason in reasons if reason not in _DEPARTED]
+    return bool(remaining) and all(reason in _UNREACHABLE for reason in remaining)
 
 
 def _get_other_hall_cost(usable: Sequence[upstream_registry.Upstream], hall: str) -> float:
-    home_count = sum(upstream.instance.hall == hall for upstream in usable)
-    return OTHER_HALL_COST * min(max(1, home_count - 1), MAX_OTHER_HALL_FACTOR)
+    own_hall_count = sum(upstream.instance.hall == hall for upstream in usable)
+    return OTHER_HALL_COST * min(max(1, own_hall_count - 1), MAX_OTHER_HALL_FACTOR)
 
 
 def _get_cost(
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -22,12 +22,12 @@
     CUT_OFF = "cut_off"
     EVACUATED = "evacuated"
     RESTING = "resting"
-    """It asked this entry to rest."""
+    """The instance asked this entry for rest."""
     COLD = "cold"
     LIMITED = "limited"
     """A permit for a request of the same or a higher priority was just rejected."""
     SUSPECTED = "suspected"
-    """It is ejected, has a current alarm, or rejects requests of other entries."""
+    """The instance is ejected, has a current alarm, or rejects requests of other entries."""
 
     @property
     def is_binding(self) -> bool:
--- a/src/spoolhead/_internal/policy/upstream_registry.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -42,9 +42,9 @@
     """A request in flight at an instance.
 
     :ivar request_id: its id.
-    :ivar tokens: memory that it holds or will hold, in tokens; 0 for a plain request.
+    :ivar tokens: memory that it uses or will use, in tokens; 0 for a plain request.
     :ivar prefill_tokens: tokens of its prompt that are not processed yet.
-    :ivar is_copy: it is a copy of a run, kept for a migration to this instance.
+    :ivar is_copy: whether it is a copy of a run, stored for a migration to this instance.
     """
 
     __slots__ = ("is_copy", "prefill_tokens", "request_id", "tokens")
@@ -65,13 +65,14 @@
     :ivar key: number that identifies it in datagrams.
     :ivar in_flight: this entry's requests there, by request id.
     :ivar others: load of the other entries' requests there.
-    :ivar is_leaving: it accepts no new requests.
-    :ivar has_announced_leaving: it announced itself that it leaves, whatever the list shows.
-    :ivar is_gone: it is no longer listed.
-    :ivar is_evacuated: its hall is evacuated, so nothing more is sent to it.
-    :ivar rest: rest that it asked for.
-    :ivar listed_cold: the list entry from which it was last marked cold.
-    :ivar has_restarted: the instance has restarted, so this incarnation has terminated.
+    :ivar is_leaving: whether the instance leaves and gets no new requests.
+    :ivar has_announced_leaving: whether the instance itself announced that it leaves, whatever the
+        list shows.
+    :ivar is_gone: whether the instance is no longer listed.
+    :ivar is_evacuated: whether its hall is evacuated, so that it gets no new requests.
+    :ivar rest: rest that the instance asked for.
+    :ivar listed_cold: the list entry because of which it was last marked cold.
+    :ivar has_restarted: whether the instance has restarted, which ended this incarnation.
     """
 
     __slots__ = (
@@ -127,7 +128,7 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that all known requests hold or will hold, in tokens."""
+        """Memory that all known requests use or will use, in tokens."""
         return self.others.tokens + self.own_tokens
 
     @property
@@ -137,7 +138,7 @@
 
     @property
     def own_tokens(self) -> int:
-        """Memory that this entry's requests hold or will hold, in tokens."""
+        """Memory that this entry's requests use or will use, in tokens."""
         return sum(request.tokens for request in self.in_flight.values())
 
     @property
@@ -151,7 +152,7 @@
         return self.others.count + len(self.in_flight)
 
     def is_usable(self, now_s: float) -> bool:
-        """Return whether new requests may be sent to it."""
+        """Return whether new requests may be sent to the instance."""
         is_open = not self.is_evacuated and not self.may_be_leaving(now_s)
         is_accepting = now_s >= self._ejected_until_s and not self.rest.is_likely_to_reject(now_s)
         return is_open and not self.is_replaced(now_s) and is_accepting
@@ -162,7 +163,7 @@
         return sum(request.is_copy for request in self.in_flight.values())
 
     def is_cold(self, now_s: float) -> bool:
-        """Return whether it has just started and can take few requests."""
+        """Return whether the instance has just started and can take few requests."""
         return now_s < self._cold_until_s
 
     def is_replaced(self, now_s: float) -> bool:
@@ -179,27 +180,27 @@
         return is_new
 
     def record_cold(self, cold_ms: int, now_s: float) -> bool:
-        """Record for how long it stays cold, as reported by the instance or the list.
+        """Record for how long the instance stays cold, as reported by itself or by another entry.
 
-        :returns: whether it was not known to be cold.
+        :returns: whether the instance was not known to be cold.
         """
         is_new = cold_ms > 0 and not self.is_cold(now_s)
         self._cold_until_s = now_s + cold_ms / 1000
         return is_new
 
     def assume_cold(self, cold_ms: int, now_s: float) -> None:
-        """Treat it as cold for a time, unless it is known to be cold for longer."""
+        """Treat the instance as cold for a time, unless it is known to be cold for longer."""
         self._cold_until_s = max(self._cold_until_s, now_s + cold_ms / 1000)
 
     def record_sent(self, now_s: float) -> None:
-        """Record a request that is sent to it."""
+        """Record a request that is sent to the instance."""
         if self._sent_s is None:
             self._sent_s = collections.deque(maxlen=MAX_SENT_TIMES)
         self._sent_s.append(now_s)
         self.rest.record_sent(now_s)
 
     def count_sent(self, since_s: float) -> int:
-        """Return how many requests this entry has sent to it after a time."""
+        """Return the number of requests that this entry has sent to the instance since a time."""
         return sum(sent_s > since_s for sent_s in self._sent_s or ())
 
     def record_announced_leaving(self) -> bool:
@@ -213,23 +214,23 @@
         return is_new
 
     def may_be_leaving(self, now_s: float) -> bool:
-        """Return whether it leaves, or has a current alarm, which may mean the same."""
+        """Return whether the instance leaves, or has a current alarm, which may mean the same."""
         return self.is_leaving or self.is_alarmed(now_s)
 
     def is_expected_to_end(self, now_s: float) -> bool:
-        """Return whether it announced that it leaves, so that its termination proves nothing."""
+        """Return whether the instance announced that it leaves, so its end is no evidence."""
         has_announced = self.instance.is_leaving or self.has_announced_leaving
         return has_announced or now_s - self._last_reported_s < ALARM_TTL_S
 
     def is_alarmed(self, now_s: float) -> bool:
-        """Return whether an alarm about it is current."""
+        """Return whether an alarm about the instance is current."""
         return now_s - max(self._last_reported_s, self._last_detected_s) < ALARM_TTL_S
 
     def raise_alarm(self, now_s: float, kind: shared_load.AlarmKind) -> bool:
         """Raise an alarm.
 
-        :param kind: an alarm that the instance is unreachable may be the fault of its reporter and
-            is counted apart from an alarm that the instance raised itself.
+        :param kind: kind of the alarm. An instance may seem unreachable through a fault of the
+            reporter, so such alarms are counted separately from problems that the instance reports.
         :returns: whether the alarm counts: it is new, and no false alarm of the same kind preceded
             it within the cooldown.
         """
@@ -256,14 +257,14 @@
         return self._load.running + self._load.waiting
 
     def record_answer(self) -> None:
-        """Record that it answers."""
+        """Record an answer of the instance, which ends its series of failures."""
         self._failures = 0
         self._ejection_s = INITIAL_EJECTION_S
 
     def record_failure(self, now_s: float, *, is_unreachable: bool = False) -> bool:
         """Record an attempt without an answer.
 
-        :param is_unreachable: no connection was made; a single such attempt ejects the instance.
+        :param is_unreachable: whether no connection was made, which ejects the instance at once.
         :returns: whether the instance is ejected from now on.
         """
         self._failures += 1
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/watch_duty.py
@@ -15,8 +15,8 @@
 class WatchDuties:
     """The instances that one entry watches.
 
-    Choosing among all entries for all instances costs the product of both numbers, so it is done
-    only for new instances, and for all of them when the entries change.
+    Choosing an entry for every instance costs the product of both numbers, so it is done only for
+    new instances, and for all instances when the entries change.
 
     :param own_name: name of the entry.
     """
@@ -31,10 +31,10 @@
     def update(
         self, watchers: Sequence[fleet.Process], listed: Iterable[instances.Instance]
     ) -> None:
-        """Set the present entries and instances."""
-        described = [(watcher.name, watcher.hall) for watcher in watchers]
-        known = self._duties if described == self._watchers else {}
-        self._watchers = described
+        """Set the current entries and instances."""
+        watcher_keys = [(watcher.name, watcher.hall) for watcher in watchers]
+        known = self._duties if watcher_keys == self._watchers else {}
+        self._watchers = watcher_keys
         self._duties = {}
         for instance in listed:
             incarnation_id = instance.incarnation_id
