--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -18,7 +18,7 @@
 """Minimum interval between two alarms about lost requests at one instance. The first ejection of an
 instance lasts 0.5 s."""
 MAX_REPORTED_FAILURES = 1_000
-"""Instances for which the time of the last such alarm is stored."""
+"""Maximum number of instances for which the time of the last such alarm is stored."""
 HANDLED_ALARM_TTL_S = 10.0
 """Time for which repetitions of a handled alarm are ignored; longer than reports and hubs together
 repeat it."""
@@ -29,7 +29,7 @@
 class _RaisedAlarm:
     """An alarm that this entry raised.
 
-    :ivar until_s: monotonic time until which reports carry it.
+    :ivar until_s: monotonic time until which reports carry the alarm.
     """
 
     __slots__ = ("_alarm", "_raised_s", "until_s")
@@ -55,7 +55,7 @@
 
 
 def _get_retention_s(alarm: shared_load.Alarm) -> float:
-    """Return for how long reports carry an alarm; never longer than it is in force."""
+    """Return the time for which reports carry an alarm; never longer than it is in force."""
     if alarm.kind not in standing_alarms.KEPT_KINDS:
         return ALARM_RETENTION_S
     return (
@@ -90,7 +90,7 @@
         self._sequence = first_sequence
         self._registry = registry
         self._on_alarm = on_alarm
-        self._on_terminated = on_ended
+        self._on_ended = on_ended
         self._raised: list[_RaisedAlarm] = []
         self._reported_failure_s: dict[str, float] = {}
         self._unlisted = standing_alarms.StandingAlarms()
@@ -110,7 +110,7 @@
         self._raised.append(_RaisedAlarm(alarm, now_s))
 
     def is_failure_due(self, incarnation_id: str, now_s: float) -> bool:
-        """Return whether a lost request at an instance is due to be reported, and record it."""
+        """Return whether an alarm about a lost request is due, and record its time if so."""
         if now_s - self._reported_failure_s.get(incarnation_id, 0.0) < FAILURE_REPORT_INTERVAL_S:
             return False
         if len(self._reported_failure_s) > MAX_REPORTED_FAILURES:
@@ -127,7 +127,7 @@
         """Apply alarms of other entries; each alarm counts once, however often it arrives."""
         for alarm in alarms:
             alarm_id = (alarm.reporter, alarm.sequence)
-            if self._is_from_this_run(alarm) or alarm_id in self._handled_s:
+            if self._is_from_this_incarnation(alarm) or alarm_id in self._handled_s:
                 continue
             self._handled_s[alarm_id] = now_s
             self._handle_new(alarm, now_s)
@@ -146,7 +146,7 @@
 
     def _handle_new(self, alarm: shared_load.Alarm, now_s: float) -> None:
         if alarm.kind in _TERMINATION_KINDS:
-            self._on_terminated(alarm.incarnation_id, f"told by {alarm.reporter}")
+            self._on_ended(alarm.incarnation_id, f"reported by {alarm.reporter}")
         if alarm.kind is shared_load.AlarmKind.ENDED:
             return
         upstream = self._registry.get(alarm.incarnation_id)
@@ -155,7 +155,7 @@
         elif not upstream.is_leaving:
             self._apply_alarm(alarm, upstream, now_s)
 
-    def _is_from_this_run(self, alarm: shared_load.Alarm) -> bool:
+    def _is_from_this_incarnation(self, alarm: shared_load.Alarm) -> bool:
         """Return whether this incarnation of the entry raised an alarm.
 
         Alarms of a previous incarnation under the same name are handled like those of others.
@@ -171,7 +171,7 @@
                 if upstream.record_peer_failure(alarm.reporter, now_s):
                     fields = {
                         "upstream": alarm.incarnation_id,
-                        "reason": f"told by {alarm.reporter}",
+                        "reason": f"reported by {alarm.reporter}",
                     }
                     logger.warning("upstream ejected", extra={"fields": fields})
             case shared_load.AlarmKind.COLD:
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -19,13 +19,12 @@
 
 RETRY_AFTER_MS = 300
 """Value of Retry-After for refusals because of failures: about the time in which the load balancer
-goes through its connections, and that of the shortest ejection of an upstream."""
-
+cycles through its connections, and about the length of the shortest ejection of an upstream."""
 
 PERMIT_WAIT_FRACTION = 1 / 6
 """Fraction of a request's timeout for which it waits for a permit if all instances are
-rate-limited. The route's objective bounds the wait, too: beyond it, the caller does as well to
-retry."""
+rate-limited. The route's objective bounds the wait, too: after it, a longer wait is no better for
+the caller than a retry."""
 
 
 class Exchange:
@@ -169,7 +168,7 @@
         return True
 
     def on_permit(self) -> None:
-        """Continue after the reply to a permit request, whether it was granted or not."""
+        """Continue after a permit was granted or rejected."""
         raise NotImplementedError
 
     def _get_permit_wait_ms(self, choice: upstream_choice.Choice) -> int:
@@ -177,8 +176,8 @@
         if not all(self._context.gate.is_limited(item.upstream) for item in choice.candidates):
             return 0
         max_wait_ms = min(self._wait_ms * PERMIT_WAIT_FRACTION, self.job.route.objective_ms)
-        waits_until_s = self._arrived_s + max_wait_ms / 1000
-        return max(0, int((waits_until_s - clocks.get_s()) * 1000))
+        wait_until_s = self._arrived_s + max_wait_ms / 1000
+        return max(0, int((wait_until_s - clocks.get_s()) * 1000))
 
     def _handle_permit(self, upstream: upstream_registry.Upstream, is_granted: bool) -> None:
         self._is_awaiting_permit = False
@@ -334,7 +333,7 @@
             logger.warning("upstream ejected", extra={"fields": fields})
 
     def _record_lost_run(self, attempt: attempts.Attempt) -> None:
-        """Record that the request was lost at an instance that it may have crashed."""
+        """Record that the request was lost at an instance, which it may have crashed."""
         upstream = attempt.upstream
         if upstream.is_expected_to_end(clocks.get_s()):
             return
@@ -343,7 +342,7 @@
         self._context.query_end(upstream)
 
     def _record_abandoned_run(self, attempt: attempts.Attempt) -> None:
-        """Record that the request was abandoned at an instance that it may still crash."""
+        """Record that the request was abandoned at an instance, which it may still crash."""
         assert attempt.call is not None
         upstream = attempt.upstream
         if upstream.is_expected_to_end(clocks.get_s()) or not attempt.call.may_have_arrived:
@@ -359,7 +358,7 @@
     def on_upstream_ended(self) -> None:
         """End the current attempt if its instance has restarted.
 
-        The connection may not show that, for example behind a network partition.
+        The connection may not show the restart, for example behind a network partition.
         """
         attempt = self._attempt
         if attempt is None or attempt.call is None or attempt.has_ended:
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -43,7 +43,7 @@
     :ivar permits: requests permits for rate-limited instances.
     :ivar contents: tracks request contents that may crash instances.
     :ivar query_end: called with an instance that accepted a request and lost it, to find out
-        whether it has terminated.
+        whether the instance has terminated.
     """
 
     __slots__ = (
@@ -124,7 +124,7 @@
     def query_end_if_abandoned(self, upstream: upstream_registry.Upstream) -> None:
         """Query whether an unhealthy instance has terminated, if requests were abandoned there.
 
-        One of these requests may have crashed it, and no connection is left to show that.
+        One of these requests may have crashed the instance, and no connection is left to show it.
         """
         if upstream.is_expected_to_end(clocks.get_s()):
             return
--- a/src/spoolhead/_internal/gateway/followed_keeper.py
+++ b/src/spoolhead/_internal/gateway/followed_keeper.py
@@ -62,7 +62,7 @@
     :ivar version: newest table version that the keeper reported.
     :ivar is_confirmed: whether a leader has confirmed the keeper's state, as reported on the
         current stream.
-    :ivar fetch_sent_s: monotonic time of a table request without an answer; 0 for none.
+    :ivar fetch_sent_s: monotonic time of the table request that is not answered yet; 0 for none.
     :ivar evacuated: the evacuated halls; None until the keeper reports them on this stream.
     :ivar listed: the listed instances by id; None until a complete list arrives on this stream.
     :ivar fleet: the fleet; None until the keeper reports it on this stream.
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -22,8 +22,8 @@
 """Timeout of a probe; many times the usual few milliseconds."""
 
 MIN_SILENT_PROBES = 2
-"""Consecutive probes without any answer after which an alarm is raised. With one, a stall of half a
-second of this entry or its link would have every engine drained at once."""
+"""Consecutive probes without any answer after which an alarm is raised. If a single probe sufficed,
+half a second's stall of this entry or its link would cause all engines to be drained at once."""
 
 LIMITED_PROBE_INTERVAL_S = 1.0
 """Minimum interval between two probes of an instance that states a rate limit."""
@@ -179,7 +179,7 @@
         self._on_replaced(upstream)
 
     def _handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
-        """Record that an instance reports to be cold, and notify of it if that is new."""
+        """Record that an instance reports to be cold, and pass it on if it was not known to be."""
         if not upstream.record_cold(cold_ms, clocks.get_s()):
             return
         fields = {"upstream": upstream.instance.incarnation_id, "for_ms": cold_ms}
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -22,7 +22,7 @@
 
 COALESCE_S = 0.002
 """Changes within this time share one report: a migration changes two instances in one turn of
-the loop. With a longer time, others would choose the same engine meanwhile.
+the loop. During a longer delay, other entries would choose the same engine.
 :data:`REPORT_BYTES_PER_S` bounds the traffic."""
 REPORT_BYTES_PER_S = 6_000
 """Bandwidth limit for reports: a third of the control traffic that a process may send. A report
@@ -35,7 +35,7 @@
 """Entries of a hall that send beacons to all hubs, not only to their own: if only the hubs are cut
 off from each other, their halls are still heard. Three, because two may fail together."""
 BEACON_INTERVAL_S = 0.2
-"""Interval between beacons; a third of the silence after which a hall counts as cut off."""
+"""Interval between beacons; a third of the silence after which a hall counts as silent."""
 ENTRY_HUBS = 2
 """Number of entries of a hall, the first by name, that serve as hubs if no keeper is reachable."""
 HALL_CHECK_INTERVAL_S = 0.2
@@ -211,7 +211,7 @@
         previous = self._hub_choice.current
         source = self._hub_choice.record_update(sender, now_s)
         if source is hub_choice.UpdateSource.OTHER:
-            # This hub has not received the notice that the entry uses another hub.
+            # This hub may have missed the report that the entry uses another hub.
             self._send(self._make_report(is_reporter=False), sender)
             return
         if source is hub_choice.UpdateSource.NEW:
@@ -304,7 +304,7 @@
         return sorted(entries, key=lambda entry: entry.name)
 
     def _log_halls(self) -> None:
-        """Log which halls became silent and which are heard again."""
+        """Log the halls that became silent and the halls that are heard again."""
         now_s = self._clock()
         silent = self._load_view.get_silent_halls(now_s)
         for hall in sorted(silent - self._silent_halls):
--- a/src/spoolhead/_internal/gateway/memory_copy.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -1,8 +1,8 @@
 """Orders the copy of one run's memory from its instance to another.
 
 The copy is made while the run continues, and can be updated at little cost. The run can resume from
-it at the other instance, which then processes only the missing tokens. The source instance need not
-exist any more by then.
+it at the other instance, which then processes only the missing tokens. The source instance may have
+terminated by then.
 """
 
 from typing import Protocol
@@ -73,8 +73,8 @@
     def close(self, *, must_release: bool) -> None:
         """End the handling of the copy; the owner receives no more calls.
 
-        An order reserves memory at the target from its beginning, and only the handle in its
-        answer can release that memory. So an unused copy's answer is awaited first.
+        An order reserves memory at the target as soon as it begins, and the memory can be released
+        only with the handle in the answer. The release of an unused copy therefore waits for it.
 
         :param must_release: whether to release the copy's memory because the copy is not used.
         """
--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -25,7 +25,7 @@
 MAX_MISSED_REPLIES = 3
 """Consecutive requests without a reply after which a granter counts as silent."""
 UNANSWERED_BACKOFF_MS = 250
-"""Backoff for an instance after none of its granters replied."""
+"""Backoff of requests for an instance if none of its granters replied."""
 SILENT_GRANTER_TTL_S = 5.0
 """Time for which a silent granter is skipped."""
 MIN_POLL_DELAY_S = 0.001
@@ -120,7 +120,9 @@
         self._entries = entries
         self._granters.clear()
         known = {entry.name for entry in entries}
-        self._addresses = {name: to for name, to in self._addresses.items() if name in known}
+        self._addresses = {
+            name: address for name, address in self._addresses.items() if name in known
+        }
         self._missed_replies.clear()
         self._silent_until_s = {
             name: until_s for name, until_s in self._silent_until_s.items() if name in known
@@ -155,7 +157,7 @@
         self._handle_permit_request(message)
 
     def refresh(self) -> None:
-        """Reset the assignment of granters; due after the instance list has changed."""
+        """Clear the cached granters and expired state; due after the instance list has changed."""
         now_s = self._clock()
         self._granters.clear()
         self._granter.expire(now_s)
@@ -170,9 +172,9 @@
         return granters
 
     def _find_responsive_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
-        """Return the index of the first granter from an index on that is not known to be silent.
+        """Return the index of the first granter that is not silent, beginning at an index.
 
-        :returns: the number of granters if all others are silent.
+        :returns: the number of granters if the remaining ones are all silent.
         """
         granters = self._get_granters(upstream)
         now_s = self._clock()
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -66,7 +66,7 @@
             self.fail(codes.ResultCode.ANSWER_TOO_LARGE, "the answer is too large")
 
     def handle_end(self, attempt: attempts.Attempt) -> None:
-        """Deliver a complete answer, or try again if it is not usable."""
+        """Deliver a complete answer, or retry if the answer is not usable."""
         if attempt is not self._attempt or attempt.head is None:
             return
         head = attempt.head
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -411,9 +411,9 @@
     def _adjust_refusal(self, item: fault.Fault) -> fault.Fault:
         """Return the fault to send for a request that the table refuses.
 
-        Callers treat such a refusal as final. If the entry cannot confirm that its table is the
-        newest, it reports that instead, so that callers retry or use another hall: the route may
-        be new.
+        Callers treat such a refusal as final, but the route may be new. If the entry cannot confirm
+        that its table is the newest, it therefore reports this instead, so that callers retry or
+        use another hall.
         """
         if item.code is codes.ResultCode.NO_TABLE or self._table_feed.is_sure:
             return item
--- a/src/spoolhead/_internal/gateway/refusals.py
+++ b/src/spoolhead/_internal/gateway/refusals.py
@@ -14,7 +14,7 @@
 def get_status(item: fault.Fault, ran: codes.Ran) -> int:
     """Return the HTTP status of a refusal or failure.
 
-    Only a request that certainly has not run gets the status that promises this.
+    Status 503 promises that the request has not run, so it is used only if that is certain.
     """
     status = int(codes.get_status(item.code))
     if int(item.code) < int(codes.ResultCode.QUEUE_FULL):
@@ -33,7 +33,7 @@
     request_id: str,
     retry_after_ms: int | None = None,
 ) -> int:
-    """Send the final error answer; abort the connection of a stream that has begun instead.
+    """Send the final error answer, or abort the connection if a stream has begun.
 
     :param retry_after_ms: sent as Retry-After if the request has not run; None for no header.
     :returns: the HTTP status; 0 for an aborted stream.
--- a/src/spoolhead/_internal/gateway/startup.py
+++ b/src/spoolhead/_internal/gateway/startup.py
@@ -1,6 +1,6 @@
 """Decides when a starting entry may serve requests, and with which route table.
 
-Without the data that it waits for, a starting entry would refuse requests on new routes, miss
+An entry that served before its data is complete would refuse requests on new routes, miss
 instances, run contents that have crashed instances and exceed rate limits. Performs no I/O; the
 current time is passed in.
 """
@@ -15,7 +15,7 @@
 UNCONFIRMED_WAIT_S = 4.0
 """Wait after which an entry that reaches no majority of the keepers accepts a table that none of
 them can confirm. Such a table may be outdated, so callers should use the entries of other halls
-while the keepers may still be starting, which takes 0.3 to 2 s."""
+as long as the keepers may still be starting, which takes 0.3 to 2 s."""
 
 
 class StartupState:
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -24,7 +24,7 @@
 logger = logging.getLogger(__name__)
 
 MAX_UNREAD_BYTES = 1_048_576
-"""Maximum of bytes buffered for a slow caller; several of the longest answers (120 KiB)."""
+"""Maximum number of bytes buffered for a slow caller: several of the longest answers (120 KiB)."""
 _OK = 200
 
 
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -118,7 +118,7 @@
     def is_sure(self) -> bool:
         """Whether a majority of the keepers confirms that the table in force is the newest.
 
-        The confirming keepers report who the members are; the settings may name former ones.
+        The confirming keepers report the current members; the settings may name previous ones.
         """
         confirming = [item for item in self._keepers.values() if item.is_confirmed]
         members = {
@@ -247,7 +247,7 @@
         self._loop.scheduler.call_later(PENDING_FETCH_TTL_S, self._fetch_from_any)
 
     def _fetch_from_any(self) -> None:
-        """Request a table that has not arrived from another keeper, least recently asked first."""
+        """Request a table that has not arrived yet; the least recently asked keeper comes first."""
         for keeper in sorted(self._keepers.values(), key=lambda item: item.fetch_sent_s):
             if keeper.client.is_ready:
                 self._fetch(keeper)
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -1,4 +1,4 @@
-"""Handles changes in the state of instances: lists, alarms, rests, departures, replacements."""
+"""Handles state changes of instances: new lists, alarms, rests, departures, replacements."""
 
 import logging
 from collections.abc import Callable, Set
@@ -98,7 +98,7 @@
     def handle_answer(
         self, upstream: upstream_registry.Upstream, head: dialects.AnswerHead, now_s: float
     ) -> None:
-        """Handle the state that an instance states in an answer: rest, rejection or departure."""
+        """Handle the state that an instance reports in an answer: rest, rejection or departure."""
         fields = {"upstream": upstream.instance.incarnation_id}
         if head.is_misdirected:
             return
@@ -139,7 +139,9 @@
 
     def handle_replaced(self, upstream: upstream_registry.Upstream) -> None:
         """Report to the others that another instance answers at an instance's address."""
-        self._context.contents.record_ended(upstream.instance.incarnation_id, "another answers")
+        self._context.contents.record_ended(
+            upstream.instance.incarnation_id, "another instance answers at its address"
+        )
         kind = shared_load.AlarmKind.REPLACED
         self._load_sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self._context.queue.schedule_check()
@@ -165,7 +167,7 @@
         logger.warning("upstream has started again", extra={"fields": fields})
         for item in list(self._exchanges):
             item.on_upstream_ended()
-        # Copies that it stored are lost, too.
+        # Copies of runs that the instance stored are lost, too.
         self._recheck_runs()
 
     def _recheck_runs(self) -> None:
--- a/src/spoolhead/_internal/gateway/upstream_limits.py
+++ b/src/spoolhead/_internal/gateway/upstream_limits.py
@@ -54,11 +54,11 @@
             self._log_unreadable(upstream)
             return
         self._unreadable_keys.discard(key)
-        previous_per_s = self.registry.get_limit_per_s(key)
+        previous_limit_per_s = self.registry.get_limit_per_s(key)
         if not self.registry.record(key, head.limit_per_s, now_s):
             return
         self._reported_s[key] = now_s
-        self._record_change(key, previous_per_s, reported_by="")
+        self._record_change(key, previous_limit_per_s, reported_by="")
         self._request_broadcast()
 
     def handle_health_answer(
@@ -79,9 +79,9 @@
         :param reported_by: name of that process, for the log.
         """
         for item in limits:
-            previous_per_s = self.registry.get_limit_per_s(item.key)
+            previous_limit_per_s = self.registry.get_limit_per_s(item.key)
             self.registry.merge([item], now_s)
-            self._record_change(item.key, previous_per_s, reported_by=reported_by)
+            self._record_change(item.key, previous_limit_per_s, reported_by=reported_by)
 
     def get_reported(self, now_s: float) -> list[rate_limit.AgedLimit]:
         """Return the limits from recent answers, which a report sent now must carry."""
@@ -100,9 +100,11 @@
         fields = {"upstream": upstream.instance.incarnation_id}
         logger.warning("upstream stated an unreadable rate limit", extra={"fields": fields})
 
-    def _record_change(self, key: int, previous_per_s: float | None, *, reported_by: str) -> None:
+    def _record_change(
+        self, key: int, previous_limit_per_s: float | None, *, reported_by: str
+    ) -> None:
         limit_per_s = self.registry.get_limit_per_s(key)
-        if limit_per_s == previous_per_s:
+        if limit_per_s == previous_limit_per_s:
             return
         self._on_change(key)
         upstream = self._get_upstream(key)
@@ -111,7 +113,7 @@
         fields = {
             "upstream": upstream.instance.incarnation_id,
             "limit_per_s": limit_per_s,
-            "before_per_s": previous_per_s,
+            "before_per_s": previous_limit_per_s,
             "reported_by": reported_by,
         }
         logger.info("upstream changed its rate limit", extra={"fields": fields})
--- a/src/spoolhead/_internal/relay/event_stream.py
+++ b/src/spoolhead/_internal/relay/event_stream.py
@@ -49,18 +49,18 @@
         """
         data = self._buffer + data
         if b"\r" in data:
-            data = self._unify_line_ends(data)
+            data = self._normalize_line_endings(data)
         parts = data.split(b"\n\n")
         self._buffer = parts.pop()
         if len(self._buffer) > MAX_EVENT_BYTES:
             raise EventTooLargeError(f"an event has over {MAX_EVENT_BYTES} bytes")
         return [parse_event(part) for part in parts if part]
 
-    def _unify_line_ends(self, data: bytes) -> bytes:
+    def _normalize_line_endings(self, data: bytes) -> bytes:
         # A trailing carriage return may be half of a CRLF, so it is kept until more bytes arrive.
-        held = b"\r" if data.endswith(b"\r") else b""
+        trailing = b"\r" if data.endswith(b"\r") else b""
         data = data.removesuffix(b"\r").replace(b"\r\n", b"\n").replace(b"\r", b"\n")
-        return data + held
+        return data + trailing
 
 
 def parse_event(raw: bytes) -> Event:
--- a/src/spoolhead/_internal/relay/raw_events.py
+++ b/src/spoolhead/_internal/relay/raw_events.py
@@ -47,8 +47,8 @@
 
 
 def _find_end(data: bytes) -> int:
-    found = [data.find(end) + len(end) for end in _EVENT_SEPARATORS if end in data]
-    return min(found) if found else -1
+    ends = [data.find(item) + len(item) for item in _EVENT_SEPARATORS if item in data]
+    return min(ends) if ends else -1
 
 
 def _find_id(data: bytes) -> str:
--- a/src/spoolhead/_internal/relay/stream_relay.py
+++ b/src/spoolhead/_internal/relay/stream_relay.py
@@ -27,7 +27,7 @@
 class StreamRelay:
     """Relays one answer, over several consecutive connections if necessary.
 
-    :param order: checks the order of events; for a resumed answer, with its previous state.
+    :param order: checks the order of events; for a resumed answer, it carries the previous state.
     :ivar is_done: whether the answer is complete.
     """
 
--- a/src/spoolhead/_internal/routing/table_checks.py
+++ b/src/spoolhead/_internal/routing/table_checks.py
@@ -13,11 +13,11 @@
         faults.append(_make_fault("version", "must be at least 1"))
     if len(services) < len(table.services):
         faults.append(_make_fault("services", "two services have the same name"))
-    places: collections.Counter[tuple[str, str]] = collections.Counter()
+    route_counts: collections.Counter[tuple[str, str]] = collections.Counter()
     for route in table.routes:
-        places[route.host, route.path_prefix] += 1
+        route_counts[route.host, route.path_prefix] += 1
         faults.extend(_check_route(route, services))
-    for (host, prefix), count in places.items():
+    for (host, prefix), count in route_counts.items():
         if count > 1:
             faults.append(_make_fault("routes", f"{count} routes stand at {host}{prefix}"))
     faults.extend(_check_keys(table))
