--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -132,7 +132,7 @@
         self._check_hub()
 
     def record_keeper_lost(self, address: str) -> None:
-        """Record that the stream to a keeper ended; it is not used as a hub for a while."""
+        """Record that the stream to a keeper ended; it is not used as a hub for some time."""
         self._hub_choice.record_lost(endpoints.split(address), self._clock())
         self._check_hub()
 
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -78,7 +78,7 @@
         self._excluded_targets: set[str] = set()
 
     def check(self) -> None:
-        """Start, keep or release a copy, depending on the state of the instances involved."""
+        """Start, keep or release a copy, depending on the state of the source and the target."""
         source = self._run.upstream
         if self._run.is_over or source is None:
             return
--- a/src/spoolhead/_internal/gateway/run_queue.py
+++ b/src/spoolhead/_internal/gateway/run_queue.py
@@ -11,7 +11,7 @@
 """Maximum interval between checks of the queue; a small fraction of the shortest objective."""
 MAX_JITTER_S = 0.015
 """Maximum random delay of a check after a change, so that not all entries choose the same engine at
-once. A few times the time in which a started run is reported to the other entries."""
+once; several times as long as the report of a started run takes to reach the other entries."""
 
 
 class QueuedRun(Protocol):
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -175,7 +175,7 @@
         runs = [
             item for item in self._exchanges if isinstance(item, stream_exchange.StreamExchange)
         ]
-        # Instances execute copy orders in sequence, and the last ones may be too late.
+        # Instances execute copy orders in sequence, so the last copies may be made too late.
         runs.sort(key=lambda item: (item.job.workspace_rank, -item.rank))
         for item in runs:
             item.on_instances_changed()
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -21,8 +21,8 @@
 costs an entry 15 us and a turn of its event loop. A change after a quiet time is not delayed by
 it."""
 MAX_RECEIVER_BYTES_PER_S = 10_000
-"""Maximum rate for one receiver: half of what a process may use for control traffic. Small
-datagrams, as in small fleets, are then sent every 20 ms, full ones of 300 bytes every 30 ms."""
+"""Maximum rate for one receiver: half of the control traffic that a process may send. Small
+datagrams, as in small fleets, are then sent every 20 ms, datagrams of 300 bytes every 30 ms."""
 HEADER_BYTES = 28
 """Size of the IP and UDP headers of a datagram."""
 MAX_COUNTED_BYTES = 9
--- a/src/spoolhead/_internal/policy/content_registry.py
+++ b/src/spoolhead/_internal/policy/content_registry.py
@@ -17,7 +17,7 @@
 """Time for which a record is kept after its last change: the content does not become harmless with
 time, and an operator is on call for a day."""
 EXPIRY_MARGIN_S = 60.0
-"""A record this close to its expiry is no longer merged: otherwise processes whose clocks differ
+"""Remaining time below which a record is no longer merged: otherwise processes whose clocks differ
 slightly would return it to each other forever."""
 MAX_RECORDS = 1_000
 """Maximum number of records. One takes some 500 bytes, so all take half a megabyte. A crash leaves
@@ -115,7 +115,7 @@
     ) -> list[content_record.ContentRecord]:
         """Merge records reported by another process.
 
-        :returns: the records that changed, in their present state.
+        :returns: the records that changed, in their merged state.
         """
         changed = []
         for item in items:
--- a/src/spoolhead/_internal/policy/hub_choice.py
+++ b/src/spoolhead/_internal/policy/hub_choice.py
@@ -9,7 +9,7 @@
 from spoolhead._internal.utils import endpoints
 
 HUB_TIMEOUT_S = 0.35
-"""Silence of the hub after which another one is tried. A hub sends something every tenth of a
+"""Silence of the hub after which another hub is tried. A hub sends a datagram every tenth of a
 second; a process may stall for some tenths, and trying another hub costs little."""
 PROBE_TIMEOUT_S = 0.2
 """Time within which a probed hub must answer: a hundred times the latency between halls."""
@@ -22,7 +22,7 @@
     """A process that can be this entry's hub.
 
     :ivar address: where it receives reports.
-    :ivar distance: the lowest is preferred: keepers of the own hall, then keepers elsewhere, then
+    :ivar distance: the lowest is preferred: keepers of the entry's hall, then other keepers, then
         entries.
     """
 
@@ -55,11 +55,12 @@
 
 
 class HubChoice:
-    """The hub choice of one entry. A hub is replaced only once another one has answered.
+    """The hub choice of one entry. A hub is replaced only after another hub has answered.
 
     :param name: name of the entry; entries spread over hubs at the same distance.
-    :ivar current: the hub; None for none.
-    :ivar probing: a candidate that has been sent a report and has not answered; None for none.
+    :ivar current: address of the hub; None for none.
+    :ivar probing: address of the candidate that was sent a report and has not answered; None for
+        none.
     """
 
     def __init__(self, name: str) -> None:
--- a/src/spoolhead/_internal/policy/latest_starts.py
+++ b/src/spoolhead/_internal/policy/latest_starts.py
@@ -1,4 +1,4 @@
-"""The latest start time of each instance that was ever listed. Performs no I/O."""
+"""Stores the latest start time of each instance that was listed. Performs no I/O."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class LatestStarts:
-    """Distinguishes previous incarnations of an instance from the present one."""
+    """Distinguishes previous incarnations of an instance from the current one."""
 
     __slots__ = ("_started_ms",)
 
@@ -32,7 +32,7 @@
         return True
 
     def is_previous(self, instance: instances.Instance) -> bool:
-        """Return whether a later start is known, or any start if the instance states none."""
+        """Return whether a later start is known; if the instance states none, whether any is."""
         return instance.started_ms < self._started_ms.get(instance.instance_id, 0)
 
     def get_current_incarnation_id(self, previous: instances.Instance) -> str:
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -86,7 +86,7 @@
 
     :param name: the process's name.
     :param first_sequence: above every sequence number used before a restart.
-    :param contents: records of contents known from elsewhere; None to start without records.
+    :param contents: the content records of the process; None to start without records.
     """
 
     def __init__(
@@ -322,7 +322,7 @@
         return shared_load.ContentUpdate(broadcast.pop_batch(now_s), self._contents.digest)
 
     def _handle_contents(self, contents: shared_load.ContentUpdate, now_s: float) -> list[bytes]:
-        """Merge the content records of a process; return the ids of those that changed."""
+        """Merge the content records of a process; return the ids of the changed contents."""
         changed = self._contents.merge(contents.records, now_s)
         changed_ids = [record.content_id for record in changed]
         for content_id in changed_ids:
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -170,7 +170,7 @@
     def _process_waiting(
         self, key: int, state: _InstancePermits, limit_per_s: float, now_s: float
     ) -> list[AddressedReply]:
-        """Grant requests while tokens last, and reject those that would get one too late."""
+        """Grant requests while tokens last; reject requests that would get a token too late."""
         rate_per_s = self._get_rate_per_s(key, state, now_s)
         state.bucket.update(rate_per_s, 1.0 + limit_per_s * BURST_S, now_s)
         replies = []
@@ -245,7 +245,7 @@
 def _get_sort_key(
     state: _InstancePermits, item: _WaitingRequest
 ) -> tuple[int, bool, int, int, float]:
-    """Return the sort key of a request: rank, first attempts, workspaces and halls in turn."""
+    """Return the sort key: rank, first attempts first, then workspaces and halls in turn."""
     request = item.request
     workspace_grants = sum(workspace == request.workspace for workspace, _ in state.granted)
     hall_grants = sum(hall == request.hall for _, hall in state.granted)
--- a/src/spoolhead/_internal/policy/placement.py
+++ b/src/spoolhead/_internal/policy/placement.py
@@ -16,7 +16,8 @@
 size."""
 
 QUEUE_FRACTION = 1 / 8
-"""Requests that may wait inside an engine for its next step, as a fraction of its running ones."""
+"""Requests that may wait inside an engine for its next step, as a fraction of its running
+requests."""
 
 MIN_QUEUE = 2
 """Requests that may always wait inside an engine, even if few run."""
--- a/src/spoolhead/_internal/policy/policy_set.py
+++ b/src/spoolhead/_internal/policy/policy_set.py
@@ -1,4 +1,5 @@
-"""The policies of an entry as one object, so that benchmarks and tests can replace single ones."""
+"""The policies of an entry as one object, so that benchmarks and tests can replace single
+policies."""
 
 import random
 from collections.abc import Callable, Mapping
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -38,7 +38,7 @@
 PROVED_WAVES = WAVES_TO_HOLD + 1
 """Wave count set when an instance crashed during a trial; no further trial follows."""
 CLAIM_S = 0.5
-"""Time for which the entry that claims a trial waits for competing claims: ten times what a
+"""Time for which the entry that claims a trial waits for competing claims: ten times as long as a
 broadcast takes to reach all of 350 entries (45 ms at most, simulated), and twice the quarter of a
 second after which a lost report is repeated."""
 MIN_ERROR_STATUS = 400
--- a/src/spoolhead/_internal/policy/repeats.py
+++ b/src/spoolhead/_internal/policy/repeats.py
@@ -1,7 +1,7 @@
 """Schedules repetitions of broadcast items. Performs no I/O; the current time is passed in.
 
 Receivers of a broadcast do not acknowledge it, so an item that must reach all of them is repeated
-for a while.
+for some time.
 """
 
 import itertools
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -98,7 +98,7 @@
     """Input of a choice.
 
     :ivar hall: hall of the entry.
-    :ivar silent_halls: halls from which nothing has been received for a while.
+    :ivar silent_halls: halls whose entries are silent.
     :ivar cut_off_halls: halls that are currently unreachable.
     :ivar now_s: monotonic time in seconds.
     :ivar request_priority: rank and workspace of the request.
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -2,9 +2,9 @@
 
 Performs no I/O; the current time is passed in.
 
-First attempts, further attempts and migrations all use this check. Reasons that the instance itself
-gave, and those that would only cost the request its time, are binding; a mere suspicion of this
-entry is ignored if no other instance is left.
+First attempts, further attempts and migrations all use this check. Most reasons are binding: the
+instance itself stated them, or the attempt would only cost the request time. A mere suspicion of
+this entry is ignored if no other instance is left.
 """
 
 import enum
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/watch_duty.py
@@ -51,7 +51,7 @@
 def is_watcher(
     own_name: str, watchers: Sequence[fleet.Process], instance: instances.Instance
 ) -> bool:
-    """Return whether an entry is the one that watches an instance.
+    """Return whether an entry is assigned to watch an instance.
 
     :param own_name: name of the entry.
     :param watchers: all entries that are alive, this one among them.
