--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -59,17 +59,17 @@
 class _PendingRequest:
     """A permit request without a final reply."""
 
-    __slots__ = ("on_reply", "request", "timer", "turn", "upstream")
+    __slots__ = ("on_reply", "terms", "timer", "turn", "upstream")
 
     def __init__(
         self,
         upstream: upstream_registry.Upstream,
-        request: PermitTerms,
+        terms: PermitTerms,
         on_reply: Callable[[bool], None],
         turn: int,
     ) -> None:
         self.upstream = upstream
-        self.request = request
+        self.terms = terms
         self.on_reply = on_reply
         self.turn = turn
         self.timer: scheduler.Timer | None = None
@@ -211,11 +211,11 @@
             permit_id=permit_id,
             key=key,
             turn=pending.turn,
-            rank=pending.request.request_priority.rank,
-            is_retry=pending.request.is_retry,
-            workspace=xxhash.xxh32_intdigest(pending.request.request_priority.workspace.encode()),
-            wait_ms=pending.request.wait_ms,
-            is_final=pending.request.is_final,
+            rank=pending.terms.request_priority.rank,
+            is_retry=pending.terms.is_retry,
+            workspace=xxhash.xxh32_intdigest(pending.terms.request_priority.workspace.encode()),
+            wait_ms=pending.terms.wait_ms,
+            is_final=pending.terms.is_final,
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
         )
 
@@ -226,7 +226,7 @@
         granters = self._get_granters(pending.upstream)
         if pending.turn < len(granters):
             self._record_missed(granters[pending.turn], pending)
-        if not pending.request.wait_ms:
+        if not pending.terms.wait_ms:
             # A request that cannot wait tries another instance instead of another granter.
             self._reject_unanswered(permit_id)
             return
@@ -262,7 +262,7 @@
         if pending.timer is not None:
             pending.timer.cancel()
         if reply.verdict is permits.Verdict.QUEUED:
-            wait_s = pending.request.wait_ms / 1000 + REPLY_TIMEOUT_S
+            wait_s = pending.terms.wait_ms / 1000 + REPLY_TIMEOUT_S
             pending.timer = self._timers.call_later(
                 wait_s, lambda: self._reject_unanswered(reply.permit_id)
             )
@@ -282,7 +282,7 @@
     def _record_backoff(
         self, pending: _PendingRequest, reply: permits.PermitReply, now_s: float
     ) -> None:
-        request_priority = pending.request.request_priority
+        request_priority = pending.terms.request_priority
         self.backoff.record(
             pending.upstream.key,
             request_priority.rank,
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -79,7 +79,7 @@
         self._is_ready = False
         self._has_instances = False
         self._is_stopping = False
-        self._unreachable = ""
+        self._unreachable_service = ""
         self._started_s = clocks.get_s()
         self._stop_started_s = 0.0
         self._exchanges: set[exchange.Exchange] = set()
@@ -173,7 +173,7 @@
         ).register(self.loop)
         metrics.serve(self.loop, config)
         self._table_feed = table_feed.TableFeed(self.loop, outgoing, calls, config, dialect, self)
-        self._health = health_watch.HealthWatch(
+        self._health_watch = health_watch.HealthWatch(
             self.loop,
             calls,
             config,
@@ -271,7 +271,7 @@
         return small_server.SmallAnswer(status)
 
     def _can_serve(self) -> bool:
-        return self._is_ready and not self._is_stopping and not self._unreachable
+        return self._is_ready and not self._is_stopping and not self._unreachable_service
 
     def _check_ready(self) -> None:
         if self._is_ready:
@@ -311,10 +311,10 @@
 
         The load balancer then sends callers to other halls.
         """
-        unreachable = self._find_unreachable()
-        if unreachable == self._unreachable or self._is_stopping:
+        unreachable = self._find_unreachable_service()
+        if unreachable == self._unreachable_service or self._is_stopping:
             return
-        self._unreachable = unreachable
+        self._unreachable_service = unreachable
         self._front.close_after_answers(bool(unreachable))
         if unreachable:
             halls = sorted(self._load_sharing.get_silent_halls())
@@ -323,7 +323,7 @@
         else:
             logger.info("entry can reach all services again")
 
-    def _find_unreachable(self) -> str:
+    def _find_unreachable_service(self) -> str:
         """Return the name of a service with instances only in unreachable halls, or ``""``."""
         unreachable_halls = self._context.reach.get_unreachable_halls(
             self._load_sharing.get_silent_halls(),
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -73,12 +73,12 @@
     """One instance's token bucket and the requests that wait for it."""
 
     __slots__ = (
-        "requested_s",
+        "last_requested_s",
         "requesters_s",
         "bucket",
-        "primary_requested_s",
-        "granted",
-        "replies",
+        "primary_last_requested_s",
+        "recent_grants",
+        "verdicts",
         "retry_at_s",
         "waiting",
     )
@@ -87,16 +87,16 @@
         # Spreads the tokens of instances that state limits at the same moment.
         self.bucket = token_bucket.TokenBucket(now_s, (key % PHASE_COUNT) / PHASE_COUNT)
         self.waiting: list[_WaitingRequest] = []
-        self.granted: collections.deque[tuple[int, str]] = collections.deque(
+        self.recent_grants: collections.deque[tuple[int, str]] = collections.deque(
             maxlen=MAX_RECENT_GRANTS
         )
-        self.replies: collections.OrderedDict[tuple[str, int], permits.Verdict] = (
+        self.verdicts: collections.OrderedDict[tuple[str, int], permits.Verdict] = (
             collections.OrderedDict()
         )
         self.requesters_s: dict[str, float] = {}
         self.retry_at_s = now_s
-        self.requested_s = now_s
-        self.primary_requested_s = -math.inf
+        self.last_requested_s = now_s
+        self.primary_last_requested_s = -math.inf
 
 
 class PermitGranter:
@@ -114,14 +114,14 @@
         state = self._instances.get(request.key)
         if state is None:
             state = self._instances[request.key] = _InstancePermits(request.key, now_s)
-        state.requested_s = now_s
+        state.last_requested_s = now_s
         state.requesters_s[request.sender] = now_s
         if request.turn == 0:
-            state.primary_requested_s = now_s
+            state.primary_last_requested_s = now_s
         limit_per_s = self._registry.get_limit_per_s(request.key)
         if limit_per_s is None:
             return [self._reply(request, permits.Verdict.UNLIMITED, now_s)]
-        known = state.replies.get((request.sender, request.permit_id))
+        known = state.verdicts.get((request.sender, request.permit_id))
         if known is not None and known is not permits.Verdict.REJECTED:
             return [self._reply(request, known, now_s)]
         state.waiting.append(_WaitingRequest(request, now_s))
@@ -145,7 +145,7 @@
     def expire(self, now_s: float) -> None:
         """Remove instances for which no permit has been requested for a while."""
         for key, state in list(self._instances.items()):
-            if not state.waiting and now_s - state.requested_s > IDLE_TTL_S:
+            if not state.waiting and now_s - state.last_requested_s > IDLE_TTL_S:
                 del self._instances[key]
 
     def get_due_s(self, now_s: float) -> float | None:
@@ -164,7 +164,7 @@
         if limit_per_s is None:
             return limit_registry.UNLIMITED_PER_S
         rate_per_s = max(limit_per_s, PROBE_RATE_PER_S)
-        is_primary = now_s - state.primary_requested_s <= PRIMARY_TTL_S
+        is_primary = now_s - state.primary_last_requested_s <= PRIMARY_TTL_S
         return rate_per_s if is_primary else rate_per_s * BACKUP_FRACTION
 
     def _process_waiting(
@@ -177,7 +177,7 @@
         state.waiting.sort(key=lambda item: _get_sort_key(state, item))
         while state.waiting and state.bucket.try_acquire():
             item = state.waiting.pop(0)
-            state.granted.append((item.request.workspace, item.request.hall))
+            state.recent_grants.append((item.request.workspace, item.request.hall))
             _store_verdict(state, item.request, permits.Verdict.GRANTED)
             replies.append(self._reply(item.request, permits.Verdict.GRANTED, now_s))
             state.waiting.sort(key=lambda each: _get_sort_key(state, each))
@@ -247,14 +247,14 @@
 ) -> tuple[int, bool, int, int, float]:
     """Return the sort key: rank, first attempts first, then workspaces and halls in turn."""
     request = item.request
-    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.granted)
-    hall_grants = sum(hall == request.hall for _, hall in state.granted)
+    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.recent_grants)
+    hall_grants = sum(hall == request.hall for _, hall in state.recent_grants)
     return request.rank, request.is_retry, workspace_grants, hall_grants, item.arrived_s
 
 
 def _store_verdict(
     state: _InstancePermits, request: permits.PermitRequest, verdict: permits.Verdict
 ) -> None:
-    state.replies[request.sender, request.permit_id] = verdict
-    while len(state.replies) > MAX_REPLIES:
-        state.replies.popitem(last=False)
+    state.verdicts[request.sender, request.permit_id] = verdict
+    while len(state.verdicts) > MAX_REPLIES:
+        state.verdicts.popitem(last=False)
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -219,7 +219,7 @@
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
     (pending,) = setting.permits._pending_requests.values()
-    assert min(wait_ms, objective_ms) - 20 <= pending.request.wait_ms <= min(wait_ms, objective_ms)
+    assert min(wait_ms, objective_ms) - 20 <= pending.terms.wait_ms <= min(wait_ms, objective_ms)
 
 
 def test_a_request_that_is_rejected_at_one_instance_asks_for_another():
@@ -234,7 +234,7 @@
         ONCE, names=("i-1", "i-2"), limits_per_s={"i-1": 2.0}, busy={"i-2": 3}
     )
     (pending,) = setting.permits._pending_requests.values()
-    assert pending.request.wait_ms == 0
+    assert pending.terms.wait_ms == 0
     _reply(setting, V.REJECTED, backoff_ms=200)
     assert [call.address for call in setting.calls.attempts] == ["i-2:80"]
 
