--- a/src/spoolhead/_internal/gateway/permit_exchange.py
+++ b/src/spoolhead/_internal/gateway/permit_exchange.py
@@ -25,7 +25,7 @@
 MAX_MISSED_REPLIES = 3
 """Consecutive requests without a reply after which a granter counts as silent."""
 UNANSWERED_BACKOFF_MS = 250
-"""Backoff for an instance after none of its granters replied."""
+"""Backoff of requests for an instance if none of its granters replied."""
 SILENT_GRANTER_TTL_S = 5.0
 """Time for which a silent granter is skipped."""
 MIN_POLL_DELAY_S = 0.001
@@ -59,17 +59,17 @@
 class _PendingRequest:
     """A permit request without a final reply."""
 
-    __slots__ = ("on_reply", "request", "timer", "turn", "upstream")
+    __slots__ = ("on_reply", "terms", "timer", "turn", "upstream")
 
     def __init__(
         self,
         upstream: upstream_registry.Upstream,
-        request: PermitTerms,
+        terms: PermitTerms,
         on_reply: Callable[[bool], None],
         turn: int,
     ) -> None:
         self.upstream = upstream
-        self.request = request
+        self.terms = terms
         self.on_reply = on_reply
         self.turn = turn
         self.timer: scheduler.Timer | None = None
@@ -120,7 +120,9 @@
         self._entries = entries
         self._granters.clear()
         known = {entry.name for entry in entries}
-        self._addresses = {name: to for name, to in self._addresses.items() if name in known}
+        self._addresses = {
+            name: address for name, address in self._addresses.items() if name in known
+        }
         self._missed_replies.clear()
         self._silent_until_s = {
             name: until_s for name, until_s in self._silent_until_s.items() if name in known
@@ -155,7 +157,7 @@
         self._handle_permit_request(message)
 
     def refresh(self) -> None:
-        """Reset the assignment of granters; due after the instance list has changed."""
+        """Clear the cached granters and expired state; due after the instance list has changed."""
         now_s = self._clock()
         self._granters.clear()
         self._granter.expire(now_s)
@@ -170,9 +172,9 @@
         return granters
 
     def _find_responsive_turn(self, upstream: upstream_registry.Upstream, from_turn: int) -> int:
-        """Return the index of the first granter from an index on that is not known to be silent.
+        """Return the index of the first granter that is not silent, beginning at an index.
 
-        :returns: the number of granters if all others are silent.
+        :returns: the number of granters if the remaining ones are all silent.
         """
         granters = self._get_granters(upstream)
         now_s = self._clock()
@@ -209,11 +211,11 @@
             permit_id=permit_id,
             key=key,
             turn=pending.turn,
-            rank=pending.request.request_priority.rank,
-            is_retry=pending.request.is_retry,
-            workspace=xxhash.xxh32_intdigest(pending.request.request_priority.workspace.encode()),
-            wait_ms=pending.request.wait_ms,
-            is_final=pending.request.is_final,
+            rank=pending.terms.request_priority.rank,
+            is_retry=pending.terms.is_retry,
+            workspace=xxhash.xxh32_intdigest(pending.terms.request_priority.workspace.encode()),
+            wait_ms=pending.terms.wait_ms,
+            is_final=pending.terms.is_final,
             stated=stated[0] if stated else rate_limit.AgedLimit(key, None, 0),
         )
 
@@ -224,7 +226,7 @@
         granters = self._get_granters(pending.upstream)
         if pending.turn < len(granters):
             self._record_missed(granters[pending.turn], pending)
-        if not pending.request.wait_ms:
+        if not pending.terms.wait_ms:
             # A request that cannot wait tries another instance instead of another granter.
             self._reject_unanswered(permit_id)
             return
@@ -260,7 +262,7 @@
         if pending.timer is not None:
             pending.timer.cancel()
         if reply.verdict is permits.Verdict.QUEUED:
-            wait_s = pending.request.wait_ms / 1000 + REPLY_TIMEOUT_S
+            wait_s = pending.terms.wait_ms / 1000 + REPLY_TIMEOUT_S
             pending.timer = self._timers.call_later(
                 wait_s, lambda: self._reject_unanswered(reply.permit_id)
             )
@@ -280,7 +282,7 @@
     def _record_backoff(
         self, pending: _PendingRequest, reply: permits.PermitReply, now_s: float
     ) -> None:
-        request_priority = pending.request.request_priority
+        request_priority = pending.terms.request_priority
         self.backoff.record(
             pending.upstream.key,
             request_priority.rank,
--- a/src/spoolhead/_internal/policy/permit_granter.py
+++ b/src/spoolhead/_internal/policy/permit_granter.py
@@ -3,9 +3,9 @@
 Performs no I/O; the current time is passed in.
 
 For each limited instance one entry, the primary granter, keeps a token bucket at the limit and
-grants permits one by one to the entries that ask, so the limit holds whatever the number of entries
-and wherever the load arises. A backup that replaces a granter which does not reply grants only a
-fraction of the limit, because the primary granter may be alive and reachable by other entries.
+grants permits one by one to the entries that request them, so the limit holds whatever the number
+of entries and wherever the load arises. A backup that replaces a granter which does not reply
+grants only a fraction of the limit, because other entries may still reach the primary granter.
 """
 
 import collections
@@ -15,7 +15,7 @@
 from spoolhead._internal.policy import limit_registry, token_bucket
 
 BURST_S = 0.25
-"""Time whose tokens may accumulate, in addition to one token."""
+"""Time for which unused tokens may accumulate at the limit, in addition to one token."""
 BACKUP_FRACTION = 0.4
 """Fraction of the limit that an entry grants while it is not the primary granter."""
 PRIMARY_TTL_S = 2.0
@@ -26,10 +26,11 @@
 MAX_RETRY_AFTER_S = 5.0
 MIN_REQUESTS_PER_S = 12.0
 REQUESTS_PER_TOKEN = 3.0
-"""Permit requests a second that a granter aims at for an instance: a number for each token, and a
-minimum in any case. The backoff of the requesting entries is set so that they reach about that
+"""Target rate of permit requests for one instance: REQUESTS_PER_TOKEN for each token, and at least
+MIN_REQUESTS_PER_S. The backoff of the requesting entries is set so that they reach about that
 rate."""
 PHASE_COUNT = 1_000
+"""Number of different initial fills of token buckets."""
 MIN_BACKOFF_S = 0.05
 REQUESTER_TTL_S = 12.0
 """Time after its last permit request for which an entry counts as a requester."""
@@ -72,12 +73,12 @@
     """One instance's token bucket and the requests that wait for it."""
 
     __slots__ = (
-        "requested_s",
+        "last_requested_s",
         "requesters_s",
         "bucket",
-        "primary_requested_s",
-        "granted",
-        "replies",
+        "primary_last_requested_s",
+        "recent_grants",
+        "verdicts",
         "retry_at_s",
         "waiting",
     )
@@ -86,16 +87,16 @@
         # Spreads the tokens of instances that state limits at the same moment.
         self.bucket = token_bucket.TokenBucket(now_s, (key % PHASE_COUNT) / PHASE_COUNT)
         self.waiting: list[_WaitingRequest] = []
-        self.granted: collections.deque[tuple[int, str]] = collections.deque(
+        self.recent_grants: collections.deque[tuple[int, str]] = collections.deque(
             maxlen=MAX_RECENT_GRANTS
         )
-        self.replies: collections.OrderedDict[tuple[str, int], permits.Verdict] = (
+        self.verdicts: collections.OrderedDict[tuple[str, int], permits.Verdict] = (
             collections.OrderedDict()
         )
         self.requesters_s: dict[str, float] = {}
         self.retry_at_s = now_s
-        self.requested_s = now_s
-        self.primary_requested_s = -math.inf
+        self.last_requested_s = now_s
+        self.primary_last_requested_s = -math.inf
 
 
 class PermitGranter:
@@ -113,14 +114,14 @@
         state = self._instances.get(request.key)
         if state is None:
             state = self._instances[request.key] = _InstancePermits(request.key, now_s)
-        state.requested_s = now_s
+        state.last_requested_s = now_s
         state.requesters_s[request.sender] = now_s
         if request.turn == 0:
-            state.primary_requested_s = now_s
+            state.primary_last_requested_s = now_s
         limit_per_s = self._registry.get_limit_per_s(request.key)
         if limit_per_s is None:
             return [self._reply(request, permits.Verdict.UNLIMITED, now_s)]
-        known = state.replies.get((request.sender, request.permit_id))
+        known = state.verdicts.get((request.sender, request.permit_id))
         if known is not None and known is not permits.Verdict.REJECTED:
             return [self._reply(request, known, now_s)]
         state.waiting.append(_WaitingRequest(request, now_s))
@@ -142,9 +143,9 @@
         return replies
 
     def expire(self, now_s: float) -> None:
-        """Remove instances for which no entry has asked for a while."""
+        """Remove instances for which no permit has been requested for a while."""
         for key, state in list(self._instances.items()):
-            if not state.waiting and now_s - state.requested_s > IDLE_TTL_S:
+            if not state.waiting and now_s - state.last_requested_s > IDLE_TTL_S:
                 del self._instances[key]
 
     def get_due_s(self, now_s: float) -> float | None:
@@ -163,20 +164,20 @@
         if limit_per_s is None:
             return limit_registry.UNLIMITED_PER_S
         rate_per_s = max(limit_per_s, PROBE_RATE_PER_S)
-        is_primary = now_s - state.primary_requested_s <= PRIMARY_TTL_S
+        is_primary = now_s - state.primary_last_requested_s <= PRIMARY_TTL_S
         return rate_per_s if is_primary else rate_per_s * BACKUP_FRACTION
 
     def _process_waiting(
         self, key: int, state: _InstancePermits, limit_per_s: float, now_s: float
     ) -> list[AddressedReply]:
-        """Grant requests while tokens last, and reject those that would get one too late."""
+        """Grant requests while tokens last; reject requests that would get a token too late."""
         rate_per_s = self._get_rate_per_s(key, state, now_s)
         state.bucket.update(rate_per_s, 1.0 + limit_per_s * BURST_S, now_s)
         replies = []
         state.waiting.sort(key=lambda item: _get_sort_key(state, item))
         while state.waiting and state.bucket.try_acquire():
             item = state.waiting.pop(0)
-            state.granted.append((item.request.workspace, item.request.hall))
+            state.recent_grants.append((item.request.workspace, item.request.hall))
             _store_verdict(state, item.request, permits.Verdict.GRANTED)
             replies.append(self._reply(item.request, permits.Verdict.GRANTED, now_s))
             state.waiting.sort(key=lambda each: _get_sort_key(state, each))
@@ -205,7 +206,7 @@
     ) -> AddressedReply:
         _store_verdict(state, request, permits.Verdict.REJECTED)
         if request.is_final:
-            # Callers are told to retry one after the other.
+            # Retry times are staggered, so that callers retry one after the other.
             latest_s = now_s + MAX_RETRY_AFTER_S
             state.retry_at_s = min(
                 max(expected_grant_s, state.retry_at_s + 1 / rate_per_s), latest_s
@@ -237,23 +238,23 @@
         for name, requested_s in state.requesters_s.items()
         if now_s - requested_s < REQUESTER_TTL_S
     }
-    wanted_per_s = max(MIN_REQUESTS_PER_S, REQUESTS_PER_TOKEN * rate_per_s)
-    return max(MIN_BACKOFF_S, len(state.requesters_s) / wanted_per_s)
+    target_per_s = max(MIN_REQUESTS_PER_S, REQUESTS_PER_TOKEN * rate_per_s)
+    return max(MIN_BACKOFF_S, len(state.requesters_s) / target_per_s)
 
 
 def _get_sort_key(
     state: _InstancePermits, item: _WaitingRequest
 ) -> tuple[int, bool, int, int, float]:
-    """Return the sort key of a request: rank, first attempts, workspaces and halls in turn."""
+    """Return the sort key: rank, first attempts first, then workspaces and halls in turn."""
     request = item.request
-    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.granted)
-    hall_grants = sum(hall == request.hall for _, hall in state.granted)
+    workspace_grants = sum(workspace == request.workspace for workspace, _ in state.recent_grants)
+    hall_grants = sum(hall == request.hall for _, hall in state.recent_grants)
     return request.rank, request.is_retry, workspace_grants, hall_grants, item.arrived_s
 
 
 def _store_verdict(
     state: _InstancePermits, request: permits.PermitRequest, verdict: permits.Verdict
 ) -> None:
-    state.replies[request.sender, request.permit_id] = verdict
-    while len(state.replies) > MAX_REPLIES:
-        state.replies.popitem(last=False)
+    state.verdicts[request.sender, request.permit_id] = verdict
+    while len(state.verdicts) > MAX_REPLIES:
+        state.verdicts.popitem(last=False)
--- a/src/spoolhead/_internal/policy/upstream_gate.py
+++ b/src/spoolhead/_internal/policy/upstream_gate.py
@@ -2,9 +2,9 @@
 
 Performs no I/O; the current time is passed in.
 
-First attempts, further attempts and migrations all use this check. Reasons that the instance itself
-gave, and those that would only cost the request its time, are binding; a mere suspicion of this
-entry is ignored if no other instance is left.
+First attempts, further attempts and migrations all use this check. Most reasons are binding: the
+instance itself stated them, or the attempt would only cost the request time. A mere suspicion of
+this entry is ignored if no other instance is left.
 """
 
 import enum
@@ -22,12 +22,12 @@
     CUT_OFF = "cut_off"
     EVACUATED = "evacuated"
     RESTING = "resting"
-    """It asked this entry to rest."""
+    """The instance asked this entry for rest."""
     COLD = "cold"
     LIMITED = "limited"
     """A permit for a request of the same or a higher priority was just rejected."""
     SUSPECTED = "suspected"
-    """It is ejected, has a current alarm, or rejects requests of other entries."""
+    """The instance is ejected, has a current alarm, or rejects requests of other entries."""
 
     @property
     def is_binding(self) -> bool:
