--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -66,7 +66,7 @@
         self._call = peer_call.PeerCall(running.addresses["keeper-1"], config)
 
     def propose(self, edit_id: str, edits: list[versioned_table.RowEdit]) -> int:
-        answer = self._call.ask(
+        answer = self._call.request(
             messages.Propose(
                 request=1,
                 edit_id=edit_id,
@@ -93,7 +93,7 @@
 
     def wait_in_force(self, version: int) -> None:
         while True:
-            status = self._call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
+            status = self._call.request(messages.GetStatus(request=1), messages.StatusAnswer).status
             if all(item["version_in_force"] >= version for item in status["entries"]):
                 return
             time.sleep(0.001)
--- a/docs/examples/embedding.py
+++ b/docs/examples/embedding.py
@@ -53,7 +53,7 @@
             now_s,
         )
 
-    def carry_out(self, network: list[consensus_types.Envelope], now_s: float) -> None:
+    def apply(self, network: list[consensus_types.Envelope], now_s: float) -> None:
         """Write what must be written, then send what may be sent."""
         effects = self.consensus.take_effects()
         self.held.extend(effects.envelopes)
@@ -78,16 +78,16 @@
         now_s += STEP_S
         for member in members:
             member.consensus.tick(now_s)
-            member.carry_out(network, now_s)
+            member.apply(network, now_s)
         leader = next((member for member in members if member.consensus.is_leader), None)
         if leader is not None and to_add and leader.consensus.propose(to_add[0], now_s):
             to_add.pop(0)
-            leader.carry_out(network, now_s)
+            leader.apply(network, now_s)
         while network:
             envelope = network.pop(0)
             receiver = by_address[envelope.address]
             receiver.consensus.receive(envelope.message, now_s)
-            receiver.carry_out(network, now_s)
+            receiver.apply(network, now_s)
     return [member.counter.value for member in members]
 
 
--- a/src/spoolhead/_internal/commands/explain.py
+++ b/src/spoolhead/_internal/commands/explain.py
@@ -15,7 +15,7 @@
         try:
             with peer_call.PeerCall(address, config) as call:
                 question = messages.GetDecision(request=1, request_id=request_id)
-                decisions.extend(call.ask(question, messages.DecisionAnswer).decisions)
+                decisions.extend(call.request(question, messages.DecisionAnswer).decisions)
         except exceptions.PeerError as error:
             output.print_error(str(error))
     if not decisions:
--- a/src/spoolhead/_internal/commands/explain_logs.py
+++ b/src/spoolhead/_internal/commands/explain_logs.py
@@ -21,20 +21,20 @@
     except OSError as error:
         output.print_error(str(error))
         return exit_codes.ExitCode.BAD_INPUT
-    if not trace.own:
+    if not trace.request_lines:
         text = codes.CODE_INFO[codes.ResultCode.DECISION_NOT_FOUND].meaning
         output.print_error(f"{text} [{int(codes.ResultCode.DECISION_NOT_FOUND)}]")
         return exit_codes.ExitCode.NOT_FOUND
     if as_json:
-        output.print_json([_as_dict(line) for line in (*trace.own, *trace.beliefs)])
+        output.print_json([_as_dict(line) for line in (*trace.request_lines, *trace.context_lines)])
         return exit_codes.ExitCode.OK
-    start_s = trace.own[0].time_s
-    for line in trace.own:
+    start_s = trace.request_lines[0].time_s
+    for line in trace.request_lines:
         _print_line(line, start_s)
     if not trace.has_end:
         print("no line tells its end: the process ended first, or the line was dropped")
     print("what the process believed:")
-    for line in trace.beliefs:
+    for line in trace.context_lines:
         _print_line(line, start_s)
     return exit_codes.ExitCode.OK
 
@@ -63,7 +63,9 @@
 
 def _print_line(line: log_trace.Line, start_s: float) -> None:
     fields = " ".join(
-        f"{name}={logs.get_text(value)}" for name, value in line.fields.items() if name != "request"
+        f"{name}={logs.format_value(value)}"
+        for name, value in line.fields.items()
+        if name != "request"
     )
     print(f"{(line.time_s - start_s) * 1000:+8.0f} ms  {line.process}  {line.text}  {fields}")
 
--- a/src/spoolhead/_internal/commands/held.py
+++ b/src/spoolhead/_internal/commands/held.py
@@ -9,7 +9,7 @@
 def run(config: settings.OperatorSettings, *, as_json: bool) -> exit_codes.ExitCode:
     """Print a keeper's records of contents that may crash instances."""
     with peer_call.open_to_any(config.keepers, config) as call:
-        answer = call.ask(messages.GetContents(request=1), messages.ContentsAnswer)
+        answer = call.request(messages.GetContents(request=1), messages.ContentsAnswer)
     _print(answer, as_json=as_json)
     return exit_codes.ExitCode.OK
 
@@ -29,7 +29,7 @@
         return exit_codes.ExitCode.BAD_INPUT
     message = messages.HoldContent(request=1, content_id=content_id, is_held=is_held)
     with peer_call.open_to_any(config.keepers, config) as call:
-        answer = call.ask(message, messages.ContentsAnswer)
+        answer = call.request(message, messages.ContentsAnswer)
     _print(answer, as_json=as_json)
     return exit_codes.ExitCode.OK
 
--- a/src/spoolhead/_internal/commands/history.py
+++ b/src/spoolhead/_internal/commands/history.py
@@ -12,7 +12,7 @@
     """Print the latest changes, newest first."""
     with peer_call.open_to_any(config.keepers, config) as call:
         question = messages.GetHistory(request=1, limit=limit)
-        answer = call.ask(question, messages.HistoryAnswer)
+        answer = call.request(question, messages.HistoryAnswer)
     changes = [versioned_table.Change.unpack(packed) for packed in answer.changes]
     if as_json:
         output.print_json([_as_dict(change) for change in changes])
--- a/src/spoolhead/_internal/commands/keepers.py
+++ b/src/spoolhead/_internal/commands/keepers.py
@@ -39,13 +39,13 @@
 def get_table(config: settings.OperatorSettings) -> messages.TableAnswer:
     """Return the table from the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
-        return call.ask(messages.GetTable(request=1), messages.TableAnswer)
+        return call.request(messages.GetTable(request=1), messages.TableAnswer)
 
 
 def get_keeper_status(config: settings.OperatorSettings) -> dict:
     """Return the status of the first keeper that answers."""
     with peer_call.open_to_any(config.keepers, config) as call:
-        return call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
+        return call.request(messages.GetStatus(request=1), messages.StatusAnswer).status
 
 
 def send_edit(
@@ -92,7 +92,7 @@
     for attempts_left in range(MAX_SEND_ATTEMPTS - 1, -1, -1):
         try:
             with peer_call.open_to_any(config.keepers, config) as call:
-                return call.ask(message, messages.ProposeAnswer)
+                return call.request(message, messages.ProposeAnswer)
         except exceptions.PeerError as error:
             if error.code is not codes.ResultCode.PEER_UNREACHABLE:
                 raise
--- a/src/spoolhead/_internal/commands/status.py
+++ b/src/spoolhead/_internal/commands/status.py
@@ -27,7 +27,7 @@
 def _get_status(address: str, config: settings.OperatorSettings) -> dict:
     try:
         with peer_call.PeerCall(address, config) as call:
-            answer = call.ask(messages.GetStatus(request=1), messages.StatusAnswer)
+            answer = call.request(messages.GetStatus(request=1), messages.StatusAnswer)
     except exceptions.PeerError as error:
         return {"address": address, "reachable": False, "error": str(error)}
     return {"address": address, "reachable": True, **answer.status}
--- a/src/spoolhead/_internal/contents/content_watch.py
+++ b/src/spoolhead/_internal/contents/content_watch.py
@@ -91,7 +91,7 @@
         """Return whether this entry recently abandoned a request at an instance."""
         return self._lost_runs.has_abandoned(incarnation_id, self._clock())
 
-    def record_ended(self, incarnation_id: str, evidence: str) -> None:
+    def record_terminated(self, incarnation_id: str, evidence: str) -> None:
         """Record that an incarnation of an instance crashed or is gone, and the evidence for it."""
         for run in self._lost_runs.record_crashed(incarnation_id, self._clock()):
             self._record_crash(incarnation_id, run, evidence)
@@ -154,7 +154,7 @@
         self._report_if_held(record)
 
     def _report_if_held(self, record: content_record.ContentRecord) -> None:
-        if quarantine.must_end_running(record):
+        if quarantine.must_cancel_running(record):
             self._on_held(record.content_id)
 
     def _log(self, record: content_record.ContentRecord, reason: str) -> None:
--- a/src/spoolhead/_internal/contents/saved_contents.py
+++ b/src/spoolhead/_internal/contents/saved_contents.py
@@ -97,7 +97,7 @@
         self._is_synced = True
         threading.Thread(target=self._run, name="saved-contents", daemon=True).start()
 
-    def record(self) -> None:
+    def schedule_save(self) -> None:
         """Schedule a write of the records if they have changed."""
         if self._registry.digest == self._digest or self._timer is not None:
             return
--- a/src/spoolhead/_internal/contents/end_watch.py
+++ b/src/spoolhead/_internal/contents/termination_watch.py
@@ -25,7 +25,7 @@
 suspects."""
 
 
-class EndQuery:
+class TerminationQuery:
     """An instance to be queried.
 
     :ivar incarnation_id: incarnation of the instance that lost the request.
@@ -48,7 +48,7 @@
 
     __slots__ = ("asked", "call", "instance_id", "number", "owner", "timer")
 
-    def __init__(self, owner: "EndWatch", target: EndQuery, number: int) -> None:
+    def __init__(self, owner: "TerminationWatch", target: TerminationQuery, number: int) -> None:
         self.number = number
         self.owner = owner
         self.asked = target
@@ -74,14 +74,14 @@
         self.owner.handle_timeout(self)
 
 
-class EndWatch:
+class TerminationWatch:
     """Queries instances that lost a request.
 
     :param calls: makes HTTP requests.
     :param timers: schedules callbacks.
     :param contents: receives the results.
     :param read_instance_id: returns the instance id that an answer states, or an empty string.
-    :param on_ended: called with the incarnation id of an instance that has crashed.
+    :param on_terminated: called with the incarnation id of an instance that has crashed.
     """
 
     def __init__(
@@ -91,21 +91,21 @@
         contents: content_watch.ContentWatch,
         *,
         read_instance_id: Callable[[int, upstream_calls.Headers], str],
-        on_ended: Callable[[str], None],
+        on_terminated: Callable[[str], None],
     ) -> None:
         self.read_instance_id = read_instance_id
         self._calls = calls
         self._timers = timers
         self._contents = contents
-        self._on_ended = on_ended
+        self._on_terminated = on_terminated
         self._queries: dict[str, _Query] = {}
 
-    def query(self, target: EndQuery) -> None:
+    def query(self, target: TerminationQuery) -> None:
         """Query an instance that has just lost a request, unless a query is in flight."""
         if target.path:
             self._ask(target, 1)
 
-    def _ask(self, target: EndQuery, number: int) -> None:
+    def _ask(self, target: TerminationQuery, number: int) -> None:
         if target.incarnation_id in self._queries:
             return
         query = self._queries[target.incarnation_id] = _Query(self, target, number)
@@ -118,7 +118,7 @@
         self._remove(query)
         target = query.asked
         if query.instance_id and query.instance_id != target.instance_id:
-            self._handle_end(query, f"{query.instance_id} answers")
+            self._handle_termination(query, f"{query.instance_id} answers")
         elif query.instance_id or not target.instance_id:
             self._log(query, "it answers")
             self._contents.record_alive(target.incarnation_id)
@@ -129,7 +129,7 @@
         """Handle a lost query; if its connection was refused, the instance has crashed."""
         self._remove(query)
         if reason == links.REFUSED:
-            self._handle_end(query, reason)
+            self._handle_termination(query, reason)
             return
         self._log(query, reason)
         if query.number < MAX_QUERIES:
@@ -141,11 +141,11 @@
         self._remove(query)
         self._log(query, "no answer")
 
-    def _handle_end(self, query: _Query, evidence: str) -> None:
+    def _handle_termination(self, query: _Query, evidence: str) -> None:
         self._log(query, evidence, has_ended=True)
         incarnation_id = query.asked.incarnation_id
-        self._on_ended(incarnation_id)
-        self._contents.record_ended(incarnation_id, evidence)
+        self._on_terminated(incarnation_id)
+        self._contents.record_terminated(incarnation_id, evidence)
 
     def _remove(self, query: _Query) -> None:
         self._queries.pop(query.asked.incarnation_id, None)
--- a/src/spoolhead/_internal/entry/answers.py
+++ b/src/spoolhead/_internal/entry/answers.py
@@ -49,7 +49,7 @@
     body = make_error_body(cause, ran, request_id)
     if caller.is_started:
         # The stream ends without [DONE], so no client can mistake it for complete.
-        caller.send_part(b"data: " + body + b"\n\n")
+        caller.send_body_part(b"data: " + body + b"\n\n")
         caller.end_stream()
         return
     headers = [
@@ -60,10 +60,10 @@
     ]
     if retry_after_ms is not None:
         headers.append(("Retry-After", str(math.ceil(retry_after_ms / 1000))))
-    caller.send_whole(codes.get_status(cause.code), headers, body)
+    caller.send_answer(codes.get_status(cause.code), headers, body)
 
 
 def send_json(caller: caller_front.Caller, status: int, value: object) -> None:
     """Answer a request with a JSON value."""
     body = json.dumps(value).encode()
-    caller.send_whole(status, [("Content-Type", "application/json")], body)
+    caller.send_answer(status, [("Content-Type", "application/json")], body)
--- a/src/spoolhead/_internal/entry/decision_history.py
+++ b/src/spoolhead/_internal/entry/decision_history.py
@@ -86,7 +86,7 @@
         return int((self._clock() - arrived_s) * 1000)
 
     def _append(self, entry: decision.Decision) -> None:
-        self._metrics.count(metrics.Metric.DECISIONS, kind=str(int(entry.code)))
+        self._metrics.increment(metrics.Metric.DECISIONS, kind=str(int(entry.code)))
         self._decisions.setdefault(entry.request_id, []).append(entry)
         while len(self._decisions) > self._config.remembered_decisions:
             self._decisions.popitem(last=False)
--- a/src/spoolhead/_internal/entry/dispatcher.py
+++ b/src/spoolhead/_internal/entry/dispatcher.py
@@ -91,7 +91,7 @@
         self._admission = policies.make_admission(table.workspaces)
         self._lengths = policies.make_lengths()
         self._placement = policies.make_placement(config.hall, self._lengths, random.Random())
-        self._pools = upstream_pools.UpstreamPools(calls.forget)
+        self._pools = upstream_pools.UpstreamPools(calls.close_idle_to)
         self._flows: set[flow.Flow] = set()
         self._decisions = decisions
         self._on_end: dict[str, Callable[[flow_context.FlowResult], None]] = {}
@@ -171,7 +171,7 @@
         """Run a held request as a single trial, unless another entry runs the trial."""
 
         def _on_settled(is_own: bool) -> None:
-            if is_own and not caller.is_gone:
+            if is_own and not caller.is_disconnected:
                 request.is_trial = True
                 self._admit(request, caller, clocks.get_s())
             else:
@@ -229,12 +229,12 @@
         )
         waiting = self._make_waiting(_Job(request, running_flow.caller, running_flow))
         self._admission.put_back(waiting, clocks.get_s())
-        running_flow.caller.on_gone = lambda: self._withdraw(waiting)
+        running_flow.caller.on_disconnect = lambda: self._withdraw(waiting)
         return True
 
     def charge(self, running_flow: flow.Flow, tokens: int) -> None:
         """Charge generated tokens to a flow's workspace."""
-        self._metrics.count(metrics.Metric.TOKENS, tokens)
+        self._metrics.increment(metrics.Metric.TOKENS, tokens)
         self._admission.charge(running_flow.request.workspace, tokens, clocks.get_s())
 
     def handle_flow_end(self, running_flow: flow.Flow, result: flow_context.FlowResult) -> None:
@@ -245,7 +245,7 @@
         if result.is_natural_end and 0 < result.tokens < request.limit_tokens:
             self._lengths.observe(request.workspace, request.service_name, result.tokens)
         if request.wants_stream:
-            self._metrics.time(metrics.Metric.STALL_MS, running_flow.stalled_s * 1000)
+            self._metrics.record_duration(metrics.Metric.STALL_MS, running_flow.stalled_s * 1000)
         text = f"ran: {result.ran.value}, tokens: {result.tokens}"
         self._decisions.record(request, "end", result.code, text=text)
         self._call_on_end(request, result)
@@ -269,7 +269,7 @@
         offered = self._admission.offer(waiting, now_s)
         if offered.is_error():
             return offered.error
-        caller.on_gone = lambda: self._withdraw(waiting)
+        caller.on_disconnect = lambda: self._withdraw(waiting)
         return None
 
     @staticmethod
@@ -350,7 +350,7 @@
         request = job.request
         self._admission.start(waiting, now_s)
         wait_ms = (now_s - request.arrived_s) * 1000
-        self._metrics.time(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
+        self._metrics.record_duration(metrics.Metric.QUEUE_WAIT_MS, wait_ms)
         self._decisions.record(request, "run", codes.ResultCode.OK, choice=choice)
         running_flow = job.existing_flow or flow.Flow(request, job.caller, self._context)
         self._flows.add(running_flow)
--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -59,7 +59,7 @@
         self._body_bytes = 0
         self._first_token_s: float | None = None
         self._pace = context.policies.make_pace(context.clock())
-        caller.on_gone = self._on_caller_gone
+        caller.on_disconnect = self._on_caller_disconnect
 
     @property
     def replica(self) -> replicas.Replica | None:
@@ -74,7 +74,7 @@
     def start(self, choice: placement.Choice) -> None:
         """Start a new generation at the chosen upstream."""
         assert choice.replica is not None
-        self.caller.on_gone = self._on_caller_gone
+        self.caller.on_disconnect = self._on_caller_disconnect
         self._attempts_made += 1
         request = self.request
         self._generations_made += 1
@@ -89,8 +89,8 @@
         attempt = self._begin(replica, generation, 0.0)
         self._relay.begin_connection()
         headers = [("accept", relayed_answers.EVENT_STREAM)]
-        if self._relay.order.next_index:
-            last = f"{generation}:{self._relay.order.next_index - 1}"
+        if self._relay.sequencer.next_index:
+            last = f"{generation}:{self._relay.sequencer.next_index - 1}"
             headers.append((api.LAST_EVENT_HEADER, last))
         self._open(attempt, "GET", f"{api.STREAMS_PATH}{generation}", headers, b"")
 
@@ -109,7 +109,7 @@
 
     def reject_held(self) -> None:
         """Abort the request because its content crashes upstreams, unless a part was delivered."""
-        if self.is_over or self._relay.order.has_delivered or self.request.resume is not None:
+        if self.is_over or self._relay.sequencer.has_delivered or self.request.resume is not None:
             return
         held, ran = fault.make_held_fault(), self._get_ran_now()
         # REQUEST_HELD states that the request did not run, so it must not be sent otherwise.
@@ -133,7 +133,7 @@
             self._record_rest(attempt)
         if not self.request.is_model or status == _OK:
             return
-        if self.request.resume is not None or self._relay.order.has_delivered:
+        if self.request.resume is not None or self._relay.sequencer.has_delivered:
             text = f"the upstream no longer has the generation (status {status})"
             self._fail_attempt(codes.ResultCode.GENERATION_LOST, text, is_final=True)
         elif status in _REFUSALS:
@@ -239,7 +239,7 @@
             return
         if relayed.fault is not None:
             code, text = relayed.fault.code, relayed.fault.text
-            self._fail_attempt(code, text, is_final=not self._relay.order.can_resume)
+            self._fail_attempt(code, text, is_final=not self._relay.sequencer.can_resume)
         elif relayed.is_done:
             self._finish_stream(attempt)
 
@@ -254,7 +254,7 @@
             )
             self.caller.start_stream(_OK, headers, data)
             return not self.is_over
-        unsent = self.caller.send_part(data)
+        unsent = self.caller.send_body_part(data)
         if unsent <= self._context.unread_bytes:
             return not self.is_over
         self.caller.abort()
@@ -269,10 +269,10 @@
         if self._first_token_s is None:
             self._first_token_s = now_s
             waited_s = now_s - self.request.arrived_s
-            collector.time(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
+            collector.record_duration(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
             self._pace.stalled_s = 0.0
         else:
-            collector.time(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
+            collector.record_duration(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
         self.running_request.generated_tokens += count
         self._context.host.charge(self, count)
 
@@ -285,15 +285,15 @@
 
     def _has_stalled(self, now_s: float) -> bool:
         return (
-            self._relay.order.has_delivered
-            and self._relay.order.can_resume
+            self._relay.sequencer.has_delivered
+            and self._relay.sequencer.can_resume
             and self._attempts_made < self._context.attempts
             and self._pace.is_stalled(now_s)
         )
 
     def _record_whole_answer(self, status: int) -> None:
         """Mark the content as harmless if the status of a complete answer shows it."""
-        if quarantine.shows_harmless(status, is_trial=self.request.is_trial):
+        if quarantine.is_harmless_status(status, is_trial=self.request.is_trial):
             self._context.contents.record_harmless(self.request.content_id)
 
     def _finish_stream(self, attempt: flow_attempt.Attempt) -> None:
@@ -318,7 +318,7 @@
             self.running_request.generated_tokens = relayed_answers.get_usage_tokens(body)
             self._context.host.charge(self, self.running_request.generated_tokens)
         headers = relayed_answers.make_whole_headers(attempt.headers, self.request.request_id)
-        self.caller.send_whole(attempt.status, headers, body)
+        self.caller.send_answer(attempt.status, headers, body)
         attempt.replica.health.record_success(self._context.clock())
         self._release_attempt(cancel=False)
         result = flow_context.FlowResult(
@@ -342,8 +342,8 @@
         assert attempt is not None and attempt.call is not None
         now_s = self._context.clock()
         arrived = attempt.call.may_have_arrived
-        order = self._relay.order
-        has_begun = order.has_delivered or self.request.resume is not None
+        event_sequencer = self._relay.sequencer
+        has_begun = event_sequencer.has_delivered or self.request.resume is not None
         if not arrived:
             # An attempt that did not reach an upstream cost it nothing, so it is not counted.
             # Attempts to resume are counted: a generation can be resumed at one upstream only,
@@ -357,7 +357,7 @@
             may_have_arrived=self._may_have_run or arrived,
             refused=refused and not self._may_have_run,
             has_delivered=has_begun,
-            can_resume=order.can_resume or self.request.resume is not None,
+            can_resume=event_sequencer.can_resume or self.request.resume is not None,
             is_once=self.request.is_once,
             attempts_left=0 if is_final else self._get_attempts_left(),
         )
@@ -378,14 +378,14 @@
     def _reconnect(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> None:
         choice = placement.Choice(attempt.replica, 0.0, ())
         self._context.host.record_attempt(self, "resume", choice, code)
-        self._context.collector.count(metrics.Metric.RESUMES)
+        self._context.collector.increment(metrics.Metric.RESUMES)
         self._pace.record_resume(self._context.clock())
         self.resume(attempt.replica, attempt.generation)
 
     def _retry_elsewhere(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> bool:
         self._failed_upstreams.add(attempt.replica.name)
         self._relay = stream_relay.StreamRelay()
-        self._context.collector.count(metrics.Metric.RETRIES)
+        self._context.collector.increment(metrics.Metric.RETRIES)
         excluded = frozenset(self._failed_upstreams)
         choice = self._context.host.choose_upstream(self, excluded)
         if choice.replica is None:
@@ -398,7 +398,7 @@
         return True
 
     def _get_ran_now(self) -> codes.Ran:
-        if self._relay.order.has_delivered or self.request.resume is not None:
+        if self._relay.sequencer.has_delivered or self.request.resume is not None:
             return codes.Ran.YES
         call = self._attempt.call if self._attempt is not None else None
         arrived = call is not None and call.may_have_arrived
@@ -418,7 +418,7 @@
         )
         self._end(flow_context.FlowResult(code, ran, self.running_request.generated_tokens))
 
-    def _on_caller_gone(self) -> None:
+    def _on_caller_disconnect(self) -> None:
         if self.is_over:
             return
         ran = self._get_ran_now()
--- a/src/spoolhead/_internal/entry/flow_context.py
+++ b/src/spoolhead/_internal/entry/flow_context.py
@@ -44,14 +44,14 @@
         self,
         address: str,
         request: bytes,
-        user: upstream_calls.CallUser,
+        listener: upstream_calls.CallListener,
         *,
         fresh: bool = False,
         is_head: bool = False,
     ) -> upstream_calls.UpstreamCall:
         """Send a request.
 
-        :param user: receives the answer.
+        :param listener: receives the answer.
         :param fresh: use a new connection and close it afterwards.
         :param is_head: the method is HEAD, so the answer has no body.
         """
--- a/src/spoolhead/_internal/entry/held_contents.py
+++ b/src/spoolhead/_internal/entry/held_contents.py
@@ -9,7 +9,7 @@
 import pathlib
 from collections.abc import Callable
 
-from spoolhead._internal.contents import content_watch, end_watch, saved_contents
+from spoolhead._internal.contents import content_watch, saved_contents, termination_watch
 from spoolhead._internal.models import content_record, rows
 from spoolhead._internal.network import scheduler, upstream_calls
 from spoolhead._internal.policy import quarantine, replicas
@@ -56,12 +56,12 @@
         self._saved: saved_contents.SavedContents | None = None
         if folder is not None:
             self._saved = saved_contents.SavedContents(folder, self._watch.registry, timers)
-        self._end_watch = end_watch.EndWatch(
+        self._termination_watch = termination_watch.TerminationWatch(
             calls,
             timers,
             self._watch,
             read_instance_id=lambda status, headers: "",
-            on_ended=self._record_restart,
+            on_terminated=self._record_restart,
         )
 
     @property
@@ -100,7 +100,7 @@
         """
         self._watch.claim_trial(content_id)
         self._timers.call_later(
-            quarantine.CLAIM_S, lambda: on_settled(self._watch.may_run_trial(content_id))
+            quarantine.TRIAL_CLAIM_WAIT_S, lambda: on_settled(self._watch.may_run_trial(content_id))
         )
 
     def get_incarnation_id(self, upstream: str) -> str:
@@ -121,7 +121,7 @@
             incarnation_id
         ):
             return
-        self._query_end(replica, incarnation_id)
+        self._query_termination(replica, incarnation_id)
 
     def record_lost(
         self, replica: replicas.Replica, incarnation_id: str, content_id: bytes, sent_s: float
@@ -130,16 +130,16 @@
         if replica.row.state is rows.UpstreamState.LEAVING:
             return
         self._watch.record_lost(incarnation_id, content_id, sent_s)
-        self._query_end(replica, incarnation_id)
+        self._query_termination(replica, incarnation_id)
 
-    def _query_end(self, replica: replicas.Replica, incarnation_id: str) -> None:
-        query = end_watch.EndQuery(
+    def _query_termination(self, replica: replicas.Replica, incarnation_id: str) -> None:
+        query = termination_watch.TerminationQuery(
             incarnation_id,
             instance_id="",
             address=replica.row.address,
             path=self._probe_path,
         )
-        self._end_watch.query(query)
+        self._termination_watch.query(query)
 
     def record_harmless(self, content_id: bytes) -> None:
         """Record that a request with the content was answered."""
@@ -151,7 +151,7 @@
 
     def _save(self) -> None:
         if self._saved is not None:
-            self._saved.record()
+            self._saved.schedule_save()
 
     def _record_restart(self, incarnation_id: str) -> None:
         upstream = incarnation_id.rpartition("@")[0]
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -72,7 +72,7 @@
     :param outgoing: the program's outgoing connections.
     :param config: the entry's settings.
     :param table: view that is updated with each version.
-    :param user: receives the callbacks.
+    :param listener: receives the callbacks.
     :param control_address: ``IP:PORT`` at which other entries of the hall reach this one.
     """
 
@@ -82,14 +82,14 @@
         outgoing: links.Links,
         config: settings.EntrySettings,
         table: view.TableView,
-        user: TableListener,
+        listener: TableListener,
         control_address: str,
     ) -> None:
         self._hall = config.hall
         self._control_address = control_address
         self._scheduler = loop.scheduler
         self._table = table
-        self._user = user
+        self._listener = listener
         self._followed = following.FollowedTable()
         self._saved_copy: saved_copy.SavedCopy | None = None
         self._folder_lock: files.FolderLock | None = None
@@ -107,7 +107,7 @@
             role=ROLE,
             name=config.name,
             shared_key=config.shared_key,
-            user=self,
+            listener=self,
         )
 
     @property
@@ -183,7 +183,7 @@
         )
         for message in self._unconfirmed.values():
             self._client.send(message)
-        self._user.on_keeper_ready()
+        self._listener.on_keeper_ready()
 
     def on_peer_lost(self) -> None:
         """Continue with the last known table."""
@@ -202,7 +202,7 @@
             case messages.Current():
                 self._confirm()
             case messages.Members():
-                self._user.on_members([neighbours.Member(*entry) for entry in message.entries])
+                self._listener.on_members([neighbours.Member(*entry) for entry in message.entries])
             case messages.Contents():
                 self._handle_contents(message)
             case messages.ClaimAnswer():
@@ -218,7 +218,7 @@
         except (TypeError, ValueError) as error:
             self._client.reconnect(f"records of contents: {error}")
             return
-        self._user.on_contents(records)
+        self._listener.on_contents(records)
 
     def _load_saved_copy(self, folder: pathlib.Path) -> None:
         self._folder_lock = files.FolderLock(folder)
@@ -261,7 +261,7 @@
 
     def _activate_version(self) -> None:
         self._table.version = self._followed.version
-        self._user.on_table()
+        self._listener.on_table()
         logger.info("table in force", extra={"fields": {"version": self._table.version}})
         if self._saved_copy is not None and not self._save_scheduled:
             # Changes arrive in bursts; one write covers all that arrive in the same loop iteration.
--- a/src/spoolhead/_internal/entry/load_reports.py
+++ b/src/spoolhead/_internal/entry/load_reports.py
@@ -141,7 +141,7 @@
         known = replica.report
         if known is not None and report.preemptions > known.preemptions:
             amount = report.preemptions - known.preemptions
-            self._metrics.count(metrics.Metric.PREEMPTIONS, amount)
+            self._metrics.increment(metrics.Metric.PREEMPTIONS, amount)
         self._fetched.append(entry_neighbours.NamedReport(replica.name, report))
         self._dispatcher.handle_report(replica, report)
 
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -99,7 +99,7 @@
             if name not in self._neighbours:
                 self._neighbours[name] = _Neighbour(self, member)
 
-    def make_client(self, member: Member, user: _Neighbour) -> peer_client.PeerClient:
+    def make_client(self, member: Member, listener: _Neighbour) -> peer_client.PeerClient:
         """Connect to a neighbour."""
         return peer_client.PeerClient(
             self._loop,
@@ -108,7 +108,7 @@
             role=ROLE,
             name=self._config.name,
             shared_key=self._config.shared_key,
-            user=user,
+            listener=listener,
         )
 
     def get_live_entries(self, now_s: float) -> list[str]:
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -72,7 +72,7 @@
             self._refuse(request, caller, result)
 
     def _run(self, request: requests.CallerRequest, caller: caller_front.Caller, key: str) -> None:
-        if caller.is_gone:
+        if caller.is_disconnected:
             self._keeper.finish(key, codes.Ran.NO, None)
             return
 
@@ -96,7 +96,7 @@
         ]
         if outcome.content_type:
             headers.append(("Content-Type", outcome.content_type))
-        caller.send_whole(outcome.status, headers, outcome.body)
+        caller.send_answer(outcome.status, headers, outcome.body)
 
     def _refuse(
         self,
--- a/src/spoolhead/_internal/entry/program.py
+++ b/src/spoolhead/_internal/entry/program.py
@@ -194,7 +194,7 @@
         if path in (api.LIVE_PATH, api.READY_PATH):
             self._answer_probe(caller, path, request_id)
             return
-        self._metrics.count(metrics.Metric.REQUESTS)
+        self._metrics.increment(metrics.Metric.REQUESTS)
         cause = self._get_availability_fault()
         if cause is not None:
             self._refuse(caller, request_id, "", cause, now_s, STOP_RETRY_AFTER_MS)
@@ -333,14 +333,14 @@
         sender = metrics.Sender(config, self._metrics)
 
         def _send() -> None:
-            gauge = self._metrics.gauge
-            gauge(metrics.Metric.RUNNING, self._dispatcher.running_count)
+            set_gauge = self._metrics.set_gauge
+            set_gauge(metrics.Metric.RUNNING, self._dispatcher.running_count)
             waiting = self._dispatcher.request_count - self._dispatcher.running_count
-            gauge(metrics.Metric.WAITING, waiting)
-            gauge(metrics.Metric.CONNECTIONS, self._front.connection_count)
-            gauge(metrics.Metric.TABLE_VERSION, self._table.version)
-            gauge(metrics.Metric.KEEPER_CONNECTED, int(self._keeper.is_connected))
-            gauge(metrics.Metric.EXCEPTIONS, self._loop.exceptions)
+            set_gauge(metrics.Metric.WAITING, waiting)
+            set_gauge(metrics.Metric.CONNECTIONS, self._front.connection_count)
+            set_gauge(metrics.Metric.TABLE_VERSION, self._table.version)
+            set_gauge(metrics.Metric.KEEPER_CONNECTED, int(self._keeper.is_connected))
+            set_gauge(metrics.Metric.EXCEPTIONS, self._loop.exceptions)
             sender.send()
 
         self._loop.scheduler.call_every(config.interval_ms / 1000, _send)
--- a/src/spoolhead/_internal/gateway/alarm_exchange.py
+++ b/src/spoolhead/_internal/gateway/alarm_exchange.py
@@ -56,7 +56,7 @@
 
 def _get_retention_s(alarm: shared_load.Alarm) -> float:
     """Return for how long reports carry an alarm; never longer than it is in force."""
-    if alarm.kind not in standing_alarms.KEPT_KINDS:
+    if alarm.kind not in standing_alarms.STANDING_KINDS:
         return ALARM_RETENTION_S
     return (
         min(STANDING_ALARM_RETENTION_S, alarm.for_ms / 1000)
@@ -73,8 +73,8 @@
         entry used.
     :param registry: the known instances.
     :param on_alarm: called with an instance that another entry reported unhealthy or leaving.
-    :param on_ended: called with the incarnation id of an instance that another entry reported as
-        terminated, and with the evidence for it.
+    :param on_terminated: called with the incarnation id of an instance that another entry reported
+        as terminated, and with the evidence for it.
     """
 
     def __init__(
@@ -83,14 +83,14 @@
         first_sequence: int,
         registry: upstream_registry.UpstreamRegistry,
         on_alarm: Callable[[upstream_registry.Upstream], None],
-        on_ended: Callable[[str, str], None],
+        on_terminated: Callable[[str, str], None],
     ) -> None:
         self._name = name
         self._first_sequence = first_sequence
         self._sequence = first_sequence
         self._registry = registry
         self._on_alarm = on_alarm
-        self._on_terminated = on_ended
+        self._on_terminated = on_terminated
         self._raised: list[_RaisedAlarm] = []
         self._reported_failure_s: dict[str, float] = {}
         self._unlisted = standing_alarms.StandingAlarms()
--- a/src/spoolhead/_internal/gateway/attempts.py
+++ b/src/spoolhead/_internal/gateway/attempts.py
@@ -8,7 +8,7 @@
 from spoolhead._internal.utils import clocks
 
 
-class AttemptUser(Protocol):
+class AttemptOwner(Protocol):
     """The exchange that owns an attempt and handles its events."""
 
     def handle_head(self, attempt: "Attempt", status: int, headers: upstream_calls.Headers) -> None:
@@ -50,7 +50,7 @@
     )
 
     def __init__(
-        self, owner: AttemptUser, upstream: upstream_registry.Upstream, *, is_resumed: bool = False
+        self, owner: AttemptOwner, upstream: upstream_registry.Upstream, *, is_resumed: bool = False
     ) -> None:
         self._owner = owner
         self.upstream = upstream
--- a/src/spoolhead/_internal/gateway/exchange.py
+++ b/src/spoolhead/_internal/gateway/exchange.py
@@ -61,11 +61,11 @@
         self._misdirected_count = 0
         self._ran = codes.Ran.NO
         self._attempt: attempts.Attempt | None = None
-        self._prefers_least_shared = False
+        self._prefers_least_loaded = False
         self._is_trial = False
         self._is_awaiting_permit = False
         self._permitted_id = ""
-        caller.on_gone = self._on_caller_gone
+        caller.on_disconnect = self._on_caller_disconnect
 
     @property
     def remaining_ms(self) -> int:
@@ -97,9 +97,11 @@
                 logger.info("trial of a held request", extra={"fields": self.get_log_fields()})
                 self._is_trial = True
                 self._context.contents.claim_trial(content_id)
-                self._context.timers.call_later(quarantine.CLAIM_S, self._run_claimed_trial)
+                self._context.timers.call_later(
+                    quarantine.TRIAL_CLAIM_WAIT_S, self._run_claimed_trial
+                )
             case verdict:
-                self._prefers_least_shared = verdict is quarantine.Verdict.RUN_APART
+                self._prefers_least_loaded = verdict is quarantine.Verdict.RUN_ISOLATED
                 self.start()
 
     def reject_held(self) -> None:
@@ -119,14 +121,14 @@
         """
         context = self._context
         now_s = clocks.get_s()
-        view = upstream_choice.View(
+        choice_context = upstream_choice.ChoiceContext(
             hall=context.config.hall,
             silent_halls=context.get_silent_halls(),
             cut_off_halls=context.get_cut_off_halls(now_s),
             now_s=now_s,
             gate=context.gate,
             request_priority=self.job.request_priority,
-            permitted=self._permitted_id,
+            permitted_id=self._permitted_id,
             rng=context.rng,
         )
         choice = upstream_choice.choose(
@@ -134,11 +136,11 @@
             context.registry.get_service(self.job.service.name),
             need_tokens=need_tokens,
             excluded=self._tried_ids,
-            view=view,
+            context=choice_context,
         )
-        if self._prefers_least_shared:
+        if self._prefers_least_loaded:
             # A suspect request may crash its instance; few other requests should run there.
-            choice = choice.prefer_least_shared()
+            choice = choice.prefer_least_loaded()
         return choice.prefer(
             lambda upstream: upstream.instance.incarnation_id == self._permitted_id
         )
@@ -211,12 +213,12 @@
     def send_attempt(
         self,
         upstream: upstream_registry.Upstream,
-        user: upstream_calls.CallUser,
-        orders: dialects.AttemptOrders,
+        listener: upstream_calls.CallListener,
+        parameters: dialects.AttemptParameters,
     ) -> upstream_calls.UpstreamCall:
         """Send the request to an instance."""
         wire = self.caller.request
-        headers = self._context.dialect.write_request(self.job.head, orders)
+        headers = self._context.dialect.write_request(self.job.head, parameters)
         data = upstream_calls.make_request(
             wire.method, wire.target, self.job.head.host, headers, wire.body
         )
@@ -226,7 +228,7 @@
         return self._context.calls.open(
             upstream.instance.address,
             data,
-            user,
+            listener,
             # An idle connection may have failed unnoticed, which would delay the request.
             fresh=True,
             is_head=wire.method == "HEAD",
@@ -328,7 +330,7 @@
         if not is_unreachable:
             self._record_lost_run(attempt)
         elif reason == links.REFUSED:
-            self._context.query_end_if_abandoned(attempt.upstream)
+            self._context.query_termination_if_abandoned(attempt.upstream)
         if attempt.upstream.record_failure(clocks.get_s(), is_unreachable=is_unreachable):
             fields = {"upstream": attempt.upstream.instance.incarnation_id, "reason": reason}
             logger.warning("upstream ejected", extra={"fields": fields})
@@ -336,24 +338,24 @@
     def _record_lost_run(self, attempt: attempts.Attempt) -> None:
         """Record that the request was lost at an instance that it may have crashed."""
         upstream = attempt.upstream
-        if upstream.is_expected_to_end(clocks.get_s()):
+        if upstream.is_expected_to_terminate(clocks.get_s()):
             return
         incarnation_id = upstream.instance.incarnation_id
         self._context.contents.record_lost(incarnation_id, self.job.content_id, attempt.sent_s)
-        self._context.query_end(upstream)
+        self._context.query_termination(upstream)
 
     def _record_abandoned_run(self, attempt: attempts.Attempt) -> None:
         """Record that the request was abandoned at an instance that it may still crash."""
         assert attempt.call is not None
         upstream = attempt.upstream
-        if upstream.is_expected_to_end(clocks.get_s()) or not attempt.call.may_have_arrived:
+        if upstream.is_expected_to_terminate(clocks.get_s()) or not attempt.call.may_have_arrived:
             return
         incarnation_id = upstream.instance.incarnation_id
         self._context.contents.record_abandoned(incarnation_id, self.job.content_id, attempt.sent_s)
 
     def record_whole_answer(self, status: int) -> None:
         """Record a complete answer, which may show the content to be harmless."""
-        if quarantine.shows_harmless(status, is_trial=self._is_trial):
+        if quarantine.is_harmless_status(status, is_trial=self._is_trial):
             self._context.contents.record_harmless(self.job.content_id)
 
     def on_upstream_ended(self) -> None:
@@ -398,10 +400,10 @@
             self._is_trial = False
             self.reject_held()
             return
-        self._prefers_least_shared = True
+        self._prefers_least_loaded = True
         self.start()
 
-    def _on_caller_gone(self) -> None:
+    def _on_caller_disconnect(self) -> None:
         if self.is_over:
             return
         logger.info("caller left", extra={"fields": self.get_log_fields()})
--- a/src/spoolhead/_internal/gateway/exchange_context.py
+++ b/src/spoolhead/_internal/gateway/exchange_context.py
@@ -42,13 +42,13 @@
     :ivar limits: rate limits that instances stated.
     :ivar permits: requests permits for rate-limited instances.
     :ivar contents: tracks request contents that may crash instances.
-    :ivar query_end: called with an instance that accepted a request and lost it, to find out
-        whether it has terminated.
+    :ivar query_termination: called with an instance that accepted a request and lost it, to find
+        out whether it has terminated.
     """
 
     __slots__ = (
         "_allowances",
-        "query_end",
+        "query_termination",
         "registry",
         "calls",
         "rng",
@@ -88,7 +88,7 @@
         contents: content_watch.ContentWatch,
         limits: upstream_limits.UpstreamLimits,
         permits: permit_exchange.PermitExchange,
-        query_end: Callable[[upstream_registry.Upstream], None],
+        query_termination: Callable[[upstream_registry.Upstream], None],
         get_silent_halls: Callable[[], frozenset[str]],
         get_load_age_ms: Callable[[], int],
         metrics: entry_metrics.EntryMetrics,
@@ -104,7 +104,7 @@
         self.on_answer = on_answer
         self.on_replaced = on_replaced
         self.contents = contents
-        self.query_end = query_end
+        self.query_termination = query_termination
         self.get_silent_halls = get_silent_halls
         self.get_load_age_ms = get_load_age_ms
         self.metrics = metrics
@@ -121,15 +121,15 @@
         """Return the halls that are currently cut off."""
         return self.reach.get_cut_off_halls(self.get_silent_halls(), now_s)
 
-    def query_end_if_abandoned(self, upstream: upstream_registry.Upstream) -> None:
+    def query_termination_if_abandoned(self, upstream: upstream_registry.Upstream) -> None:
         """Query whether an unhealthy instance has terminated, if requests were abandoned there.
 
         One of these requests may have crashed it, and no connection is left to show that.
         """
-        if upstream.is_expected_to_end(clocks.get_s()):
+        if upstream.is_expected_to_terminate(clocks.get_s()):
             return
         if self.contents.has_abandoned(upstream.instance.incarnation_id):
-            self.query_end(upstream)
+            self.query_termination(upstream)
 
     def get_allowance(self, service: str) -> retry_allowance.RetryAllowance:
         """Return the allowance for repeated attempts at a service."""
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import dialects, fleet, settings, shared_load
 from spoolhead._internal.network import links, upstream_calls
 from spoolhead._internal.network import loop as loops
-from spoolhead._internal.policy import upstream_registry, watch_duty
+from spoolhead._internal.policy import probe_assignment, upstream_registry
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 
@@ -125,7 +125,7 @@
         self._registry = registry
         self._get_table = get_table
         self._get_entries = get_entries
-        self._assignments = watch_duty.WatchDuties(config.name)
+        self._assignments = probe_assignment.ProbeAssignments(config.name)
         self._get_silent_halls = get_silent_halls
         self._on_alarm = on_alarm
         self._on_cold = on_cold
--- a/src/spoolhead/_internal/gateway/load_sharing.py
+++ b/src/spoolhead/_internal/gateway/load_sharing.py
@@ -100,7 +100,7 @@
         self._contents = contents
         self._limits = limits
         self._alarms = alarm_exchange.AlarmExchange(
-            config.name, self._sequence, registry, on_alarm, contents.record_ended
+            config.name, self._sequence, registry, on_alarm, contents.record_terminated
         )
         self._silent_halls: frozenset[str] = frozenset()
         self._report_timer: scheduler.Timer | None = None
@@ -239,7 +239,7 @@
         logger.info("load is reported to another hub", extra={"fields": fields})
         if previous is not None:
             self._send(self._make_report(is_reporter=False), previous)
-        self._load_view.begin_hub()
+        self._load_view.reset_for_new_hub()
 
     def _send_beacons(self) -> None:
         """Send reports to all other hubs, to show that entries of this hall are alive."""
@@ -268,7 +268,7 @@
     def _make_report(self, *, is_reporter: bool) -> bytes:
         now_s = self._clock()
         self._sequence += 1
-        rows = self._load_view.get_own() if is_reporter else {}
+        rows = self._load_view.get_own_load() if is_reporter else {}
         if is_reporter:
             self._load_view.record_report(self._sequence, rows)
         report = shared_load.Report(
--- a/src/spoolhead/_internal/gateway/memory_copy.py
+++ b/src/spoolhead/_internal/gateway/memory_copy.py
@@ -34,7 +34,7 @@
     :param target_address: ``IP:PORT`` of the instance that receives the copy.
     :param calls: makes HTTP requests.
     :param dialect: adapter for the wire format of instances.
-    :param user: handles the events of the copy.
+    :param owner: handles the events of the copy.
     :ivar status: HTTP status of the last answer; :data:`NO_ANSWER_STATUS` without one.
     :ivar handle: handle of the copy; empty without one.
     """
@@ -47,7 +47,7 @@
         target_address: str,
         calls: upstream_calls.UpstreamCalls,
         dialect: dialects.EntryDialect,
-        user: CopyOwner,
+        owner: CopyOwner,
     ) -> None:
         self.request_id = request_id
         self.source_address = source.instance.address
@@ -57,7 +57,7 @@
         self.handle = ""
         self._calls = calls
         self._dialect = dialect
-        self._user = user
+        self._owner = owner
         self._call: upstream_calls.UpstreamCall | None = None
         self._must_release = False
         self._body: list[bytes] = []
@@ -65,8 +65,8 @@
     def start(self) -> None:
         """Order the copy, or an update of it."""
         self._body = []
-        order = self._dialect.write_move(
-            dialects.MoveOrder(request_id=self.request_id, target_address=self.target_address)
+        order = self._dialect.write_copy_order(
+            dialects.CopyOrder(request_id=self.request_id, target_address=self.target_address)
         )
         self._call = _send_order(self._calls, self.source_address, order, self)
 
@@ -98,22 +98,22 @@
 
     def on_answer_end(self) -> None:
         """Evaluate a complete answer and notify the owner."""
-        answer = self._dialect.read_move(self.status, b"".join(self._body))
+        answer = self._dialect.read_copy_answer(self.status, b"".join(self._body))
         self.handle = answer.handle or self.handle
         if self._must_release:
             self._release()
             return
         if self.status != _OK:
-            self._user.on_copy_failed(self)
+            self._owner.on_copy_failed(self)
             return
-        self._user.on_copied(self)
+        self._owner.on_copied(self)
 
     def on_call_lost(self, reason: str) -> None:
         """Handle the loss of the connection as a failed order."""
         del reason
         self.status = NO_ANSWER_STATUS
         if not self._must_release:
-            self._user.on_copy_failed(self)
+            self._owner.on_copy_failed(self)
 
     def _release(self) -> None:
         if not self.handle or self._source.has_restarted:
@@ -127,8 +127,8 @@
     calls: upstream_calls.UpstreamCalls,
     address: str,
     order: dialects.UpstreamOrder,
-    user: upstream_calls.CallUser,
+    listener: upstream_calls.CallListener,
 ) -> upstream_calls.UpstreamCall:
     headers = [("content-type", "application/json")] if order.body else []
     request = upstream_calls.make_request(order.method, order.target, address, headers, order.body)
-    return calls.open(address, request, user, fresh=True)
+    return calls.open(address, request, listener, fresh=True)
--- a/src/spoolhead/_internal/gateway/plain_exchange.py
+++ b/src/spoolhead/_internal/gateway/plain_exchange.py
@@ -40,12 +40,12 @@
             request_id, 0, prefill_tokens=0
         )
         self._context.on_change()
-        orders = dialects.AttemptOrders(
+        parameters = dialects.AttemptParameters(
             instance_id=upstream.instance.instance_id,
             remaining_ms=self.remaining_ms,
             workspace=self.job.workspace_name,
         )
-        attempt.call = self.send_attempt(upstream, attempt, orders)
+        attempt.call = self.send_attempt(upstream, attempt, parameters)
 
     def on_permit(self) -> None:
         """Make the attempt, at this or another instance."""
@@ -143,7 +143,7 @@
         assert head is not None
         self._ran = codes.Ran.YES
         self.record_whole_answer(head.status)
-        self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
+        self.caller.send_answer(head.status, head.headers, b"".join(attempt.body))
         fields = {
             **self.get_log_fields(),
             "upstream": attempt.upstream.instance.incarnation_id,
--- a/src/spoolhead/_internal/gateway/program.py
+++ b/src/spoolhead/_internal/gateway/program.py
@@ -5,7 +5,7 @@
 import time
 from http import HTTPStatus
 
-from spoolhead._internal.contents import content_watch, end_watch
+from spoolhead._internal.contents import content_watch, termination_watch
 from spoolhead._internal.gateway import (
     entry_metrics,
     exchange,
@@ -124,12 +124,12 @@
             on_load_update=self._on_load_update,
         )
         self._metrics.news_age_ms.set_function(self._load_sharing.get_load_age_ms)
-        self._end_watch = end_watch.EndWatch(
+        self._termination_watch = termination_watch.TerminationWatch(
             calls,
             self.loop.scheduler,
             self._contents,
             read_instance_id=lambda status, head: dialect.read_answer(status, head).instance_id,
-            on_ended=lambda incarnation_id: self._load_sharing.broadcast_alarm(
+            on_terminated=lambda incarnation_id: self._load_sharing.broadcast_alarm(
                 incarnation_id, shared_load.AlarmKind.ENDED
             ),
         )
@@ -147,7 +147,7 @@
             contents=self._contents,
             limits=self._limits,
             permits=self._permits,
-            query_end=self._query_end,
+            query_termination=self._query_termination,
             get_silent_halls=self._load_sharing.get_silent_halls,
             get_load_age_ms=self._load_sharing.get_load_age_ms,
             metrics=self._metrics,
@@ -209,7 +209,7 @@
             logger.error("committed table is not usable", extra={"fields": fields})
             return False
         self._matcher = matcher.Matcher(decoded.ok)
-        self._context.cold_starts.forget_quotas()
+        self._context.cold_starts.clear_quotas()
         self._front.set_bounds(decoded.ok.bounds)
         fields = {"version": version, "routes": len(decoded.ok.routes)}
         logger.info("table in force", extra={"fields": fields})
@@ -239,7 +239,7 @@
 
     def apply_settings(self, config: settings.GatewaySettings) -> None:
         """Apply changed settings; only the keepers' addresses can change."""
-        self._table_feed.set_seeds(config.keepers)
+        self._table_feed.set_keeper_addresses(config.keepers)
 
     def _handle_datagram(self, message: shared_load.Message, sender: endpoints.Endpoint) -> None:
         if isinstance(message, permits.PermitRequest | permits.PermitReply):
@@ -342,12 +342,12 @@
     def _handle_early_requests(self) -> None:
         queued, self._early_callers = self._early_callers, []
         for caller in queued:
-            if not caller.is_gone:
+            if not caller.is_disconnected:
                 self._handle_request(caller)
 
     def _handle_request(self, caller: caller_front.Caller) -> None:
         if self._dialect.is_ready_probe(caller.request):
-            caller.send_whole(200 if self._can_serve() else 503, [], b"")
+            caller.send_answer(200 if self._can_serve() else 503, [], b"")
             return
         age_s = clocks.get_s() - self._started_s
         if not self._is_ready and age_s < EARLY_REQUEST_WAIT_S and not self._is_stopping:
@@ -371,16 +371,16 @@
         self._exchanges.add(handler)
         handler.begin()
 
-    def _query_end(self, upstream: upstream_registry.Upstream) -> None:
+    def _query_termination(self, upstream: upstream_registry.Upstream) -> None:
         """Query whether an instance that lost a request has terminated."""
         service = self._matcher.get_service(upstream.instance.service) if self._matcher else None
-        query = end_watch.EndQuery(
+        query = termination_watch.TerminationQuery(
             upstream.instance.incarnation_id,
             instance_id=upstream.instance.instance_id,
             address=upstream.instance.address,
             path=service.health_path if service is not None else "",
         )
-        self._end_watch.query(query)
+        self._termination_watch.query(query)
 
     def _reject_held(self, content_id: bytes) -> None:
         """Refuse all current requests with a content that is held from now on."""
--- a/src/spoolhead/_internal/gateway/refusals.py
+++ b/src/spoolhead/_internal/gateway/refusals.py
@@ -48,5 +48,5 @@
         ("Content-Type", "application/json"),
         *dialect.write_refusal(request_id, wait_ms),
     ]
-    caller.send_whole(status, headers, json.dumps({"error": error}).encode())
+    caller.send_answer(status, headers, json.dumps({"error": error}).encode())
     return status
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -206,7 +206,7 @@
             target_address=target.instance.address,
             calls=self._context.calls,
             dialect=self._context.dialect,
-            user=self,
+            owner=self,
         )
         self._copy.start()
 
@@ -229,7 +229,7 @@
         return run_migration_policy.choose_copy_target(
             self._job.service,
             self._context.registry.get_service(self._job.service.name),
-            running_at=source,
+            source=source,
             excluded=self._excluded_targets,
             now_s=clocks.get_s(),
             gate=self._context.gate,
--- a/src/spoolhead/_internal/gateway/stream_exchange.py
+++ b/src/spoolhead/_internal/gateway/stream_exchange.py
@@ -73,7 +73,7 @@
         engine = self.job.service.engine
         if generation is None or engine is None:
             return 0.0
-        return run_migration_policy.get_rank(
+        return run_migration_policy.get_migration_priority(
             generation.prompt_tokens,
             self._expected_tokens,
             self.events * engine.tokens_per_event,
@@ -242,7 +242,7 @@
             return
         self._ran = codes.Ran.YES
         self.record_whole_answer(head.status)
-        self.caller.send_whole(head.status, head.headers, b"".join(attempt.body))
+        self.caller.send_answer(head.status, head.headers, b"".join(attempt.body))
         fields = {**self.get_log_fields(), "status": head.status}
         logger.info("answered", extra={"fields": fields})
         self.end()
@@ -273,14 +273,14 @@
             request_id, self.need_tokens, prefill_tokens=prefill_tokens
         )
         self._context.on_change()
-        orders = dialects.AttemptOrders(
+        parameters = dialects.AttemptParameters(
             instance_id=upstream.instance.instance_id,
             remaining_ms=self.remaining_ms,
             workspace=self.job.workspace_name,
             urgency=self._get_urgency(),
             resume=resume,
         )
-        attempt.call = self.send_attempt(upstream, attempt, orders)
+        attempt.call = self.send_attempt(upstream, attempt, parameters)
 
     def _get_urgency(self) -> int | None:
         if not self._context.config.ranks_runs:
@@ -318,7 +318,7 @@
         if not self.caller.is_started:
             self.caller.start_stream(head.status, head.headers, data)
             return not self.is_over
-        unsent = self.caller.send_part(data)
+        unsent = self.caller.send_body_part(data)
         if unsent > MAX_UNREAD_BYTES:
             self.fail(codes.ResultCode.CALLER_TOO_SLOW, f"the caller left {unsent} bytes unread")
         return not self.is_over
--- a/src/spoolhead/_internal/gateway/table_feed.py
+++ b/src/spoolhead/_internal/gateway/table_feed.py
@@ -21,7 +21,7 @@
 
 ROLE = "entry"
 TIMING = peer_client.PeerTiming(
-    connect_ms=700, first_retry_ms=50, longest_retry_ms=700, heartbeat_ms=500, silence_ms=1_600
+    connect_ms=700, initial_retry_ms=50, max_retry_ms=700, heartbeat_ms=500, silence_ms=1_600
 )
 """A keeper sends something each quarter of a second. A partition and its end must be detected well
 within the time in which an accepted table has to be in force (two seconds)."""
@@ -38,7 +38,7 @@
 """Time after which a table that was requested and did not arrive is requested again."""
 
 
-class FeedUser(Protocol):
+class FeedListener(Protocol):
     """The owner of a feed, which handles the received data."""
 
     def on_table(self, version: int, document: bytes) -> bool:
@@ -68,7 +68,7 @@
     :param calls: makes HTTP requests, to read the instance list if no keeper sends it.
     :param config: the entry's settings.
     :param dialect: adapter for the format of the instance list.
-    :param user: handles the received data.
+    :param listener: handles the received data.
     :ivar version: version of the table in force.
     :ivar evacuation_revision: revision of the evacuated halls in force; 0 for none.
     """
@@ -80,7 +80,7 @@
         calls: upstream_calls.UpstreamCalls,
         config: settings.GatewaySettings,
         dialect: dialects.TableDialect,
-        user: FeedUser,
+        listener: FeedListener,
     ) -> None:
         self.version = 0
         self.evacuation_revision = 0
@@ -91,7 +91,7 @@
         self._loop = loop
         self._outgoing = outgoing
         self._config = config
-        self._user = user
+        self._listener = listener
         self._keepers: dict[str, followed_keeper.FollowedKeeper] = {}
         self._list_received_s = clocks.get_s()
         self._reader_term = 0
@@ -142,7 +142,7 @@
                 self._handle_evacuated_halls(keeper)
             self._fetch_from_any()
 
-    def set_seeds(self, addresses: list[str]) -> None:
+    def set_keeper_addresses(self, addresses: list[str]) -> None:
         """Set the keepers' addresses from changed settings."""
         self._config.keepers = addresses
         self._follow()
@@ -158,7 +158,7 @@
             role=ROLE,
             name=self._config.name,
             shared_key=self._config.shared_key,
-            user=keeper,
+            listener=keeper,
             timing=TIMING,
         )
 
@@ -171,7 +171,7 @@
     def on_keeper_lost(self, keeper: followed_keeper.FollowedKeeper) -> None:
         """Notify the owner that the stream to a keeper has ended."""
         logger.warning("keeper is lost", extra={"fields": {"address": keeper.address}})
-        self._user.on_keeper_lost(keeper.address)
+        self._listener.on_keeper_lost(keeper.address)
 
     def on_keeper_message(
         self, keeper: followed_keeper.FollowedKeeper, message: messages.Message
@@ -213,7 +213,7 @@
         for keeper_fleet in reported.values():
             entries.update(keeper_fleet.entries)
         merged = fleet.Fleet(keepers=tuple(keepers), entries=tuple(entries.values()))
-        self._user.on_fleet(merged)
+        self._listener.on_fleet(merged)
 
     def _handle_evacuated_halls(self, keeper: followed_keeper.FollowedKeeper) -> None:
         """Pass on the evacuated halls that a keeper reports, if their revision is newer."""
@@ -231,7 +231,7 @@
         }
         logger.info("evacuated halls are known", extra={"fields": fields})
         self.evacuation_revision = reported.revision
-        self._user.on_evacuations(frozenset(reported.halls))
+        self._listener.on_evacuations(frozenset(reported.halls))
 
     def _fetch(self, keeper: followed_keeper.FollowedKeeper) -> None:
         if not keeper.is_confirmed and not self._accepts_unconfirmed:
@@ -291,7 +291,7 @@
         :returns: whether the table is in force.
         """
         try:
-            is_in_force = self._user.on_table(version, document)
+            is_in_force = self._listener.on_table(version, document)
         except Exception:
             fields = {"version": version}
             logger.exception("table could not be put in force", extra={"fields": fields})
@@ -324,10 +324,10 @@
         if self._reads_directly:
             self._reads_directly = False
             logger.info("instance list comes from a keeper again")
-        self._user.on_instances(list(keeper.listed.values()))
+        self._listener.on_instances(list(keeper.listed.values()))
 
     def _handle_direct_reading(self, listed: list[instances.Instance]) -> None:
-        self._user.on_instances(listed)
+        self._listener.on_instances(listed)
 
     def _follow(self) -> None:
         addresses = set(self._config.keepers)
--- a/src/spoolhead/_internal/gateway/upstream_events.py
+++ b/src/spoolhead/_internal/gateway/upstream_events.py
@@ -47,7 +47,7 @@
             logger.info("upstream is gone", extra={"fields": {"upstream": incarnation_id}})
         self._record_terminated(previous)
         self._load_sharing.refresh()
-        self._context.cold_starts.forget_quotas()
+        self._context.cold_starts.clear_quotas()
         self._context.permits.refresh()
         self._context.limits.registry.expire(clocks.get_s())
         self._context.queue.schedule_check()
@@ -62,7 +62,7 @@
         for upstream in previous:
             has_announced = upstream.instance.is_leaving or upstream.has_announced_leaving
             if upstream.is_gone and not has_announced:
-                self._context.contents.record_ended(
+                self._context.contents.record_terminated(
                     upstream.instance.incarnation_id, "no longer listed"
                 )
 
@@ -105,7 +105,7 @@
         if head.has_not_run:
             upstream.rest.record_rejection(now_s)
         else:
-            upstream.rest.record_taken()
+            upstream.rest.record_accepted()
         if head.is_rest_unreadable:
             logger.warning("upstream asked for an unreadable rest", extra={"fields": fields})
         if head.rest_ms is not None:
@@ -139,7 +139,9 @@
 
     def handle_replaced(self, upstream: upstream_registry.Upstream) -> None:
         """Report to the others that another instance answers at an instance's address."""
-        self._context.contents.record_ended(upstream.instance.incarnation_id, "another answers")
+        self._context.contents.record_terminated(
+            upstream.instance.incarnation_id, "another answers"
+        )
         kind = shared_load.AlarmKind.REPLACED
         self._load_sharing.broadcast_alarm(upstream.instance.incarnation_id, kind)
         self._context.queue.schedule_check()
@@ -153,7 +155,7 @@
             "requests_here": len(upstream.in_flight),
         }
         logger.info("upstream is to be emptied", extra={"fields": fields})
-        self._context.query_end_if_abandoned(upstream)
+        self._context.query_termination_if_abandoned(upstream)
         self._recheck_runs()
 
     def _end_attempts_at(self, upstream: upstream_registry.Upstream) -> None:
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -48,7 +48,7 @@
         except (TypeError, ValueError) as error:
             raise messages.MessageError(f"records of contents: {error}") from error
         changed = self._registry.merge(records, clocks.get_s())
-        self._saved.record()
+        self._saved.schedule_save()
         self._broadcast([record.content_id for record in changed], except_to=session)
 
     def handle_hold_order(
@@ -64,7 +64,7 @@
             is_by_hand=message.is_held,
         )
         self._registry.set(record, clocks.get_s())
-        self._saved.record()
+        self._saved.schedule_save()
         fields = {
             "content": message.content_id.hex(),
             "is_held": message.is_held,
--- a/src/spoolhead/_internal/load_broadcast/hub_port.py
+++ b/src/spoolhead/_internal/load_broadcast/hub_port.py
@@ -107,7 +107,7 @@
         update = self._hub.make_due_snapshot(report.sender, now_s)
         if update is not None:
             encoded = shared_load.encode_update(update)
-            self._send(shared_load.address_update(encoded, update.counted), sender)
+            self._send(shared_load.complete_update(encoded, update.counted), sender)
 
     def _schedule(self, now_s: float, delay_s: float) -> None:
         due_s = max(now_s + delay_s, self._earliest_s)
@@ -155,7 +155,7 @@
         encoded = shared_load.encode_update(self._hub.make_update(now_s))
         reporters = list(self._hub.reporters)
         for reporter in reporters:
-            data = shared_load.address_update(encoded, reporter.counted)
+            data = shared_load.complete_update(encoded, reporter.counted)
             self._send(data, reporter.address)
         return _SendSizes(len(encoded) + MAX_COUNTED_BYTES + HEADER_BYTES, len(reporters))
 
--- a/src/spoolhead/_internal/models/dialects.py
+++ b/src/spoolhead/_internal/models/dialects.py
@@ -159,7 +159,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class AttemptOrders:
+class AttemptParameters:
     """Parameters that an entry adds to a request for one attempt.
 
     :ivar instance_id: the only instance that may run the request.
@@ -246,7 +246,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class MoveOrder:
+class CopyOrder:
     """Order to copy the memory of a run to another instance.
 
     :ivar request_id: id of the running request.
@@ -258,8 +258,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class MoveAnswer:
-    """Answer to a :class:`MoveOrder`.
+class CopyAnswer:
+    """Answer to a :class:`CopyOrder`.
 
     :ivar status: HTTP status.
     :ivar handle: handle of the copy; empty if none was made.
@@ -280,7 +280,7 @@
     ) -> expression.Result[RequestHead, fault.Fault]:
         """Decode the head of a caller's request."""
 
-    def write_request(self, head: RequestHead, orders: AttemptOrders) -> Headers:
+    def write_request(self, head: RequestHead, parameters: AttemptParameters) -> Headers:
         """Return the headers of an attempt other than Host and Content-Length."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
@@ -289,10 +289,10 @@
     def write_refusal(self, request_id: str, retry_after_ms: int | None) -> Headers:
         """Return the headers of an answer that the entry itself creates."""
 
-    def write_move(self, order: MoveOrder) -> UpstreamOrder:
+    def write_copy_order(self, order: CopyOrder) -> UpstreamOrder:
         """Return the encoded order to copy the memory of a run."""
 
-    def read_move(self, status: int, body: bytes) -> MoveAnswer:
+    def read_copy_answer(self, status: int, body: bytes) -> CopyAnswer:
         """Decode the answer to such an order."""
 
     def write_release(self, handle: str) -> UpstreamOrder:
--- a/src/spoolhead/_internal/models/evacuations.py
+++ b/src/spoolhead/_internal/models/evacuations.py
@@ -73,7 +73,7 @@
         state = self._halls.get(hall)
         return state is not None and state.is_evacuated
 
-    def carry_out(self, order: HallOrder) -> bool:
+    def apply(self, order: HallOrder) -> bool:
         """Carry out an order, unless another order for the hall was carried out before.
 
         An order that does not change the state also increases the revision, so that an older
--- a/src/spoolhead/_internal/models/shared_load.py
+++ b/src/spoolhead/_internal/models/shared_load.py
@@ -70,7 +70,7 @@
         return self.tokens, self.count, self.prefill_tokens
 
 
-Rows = dict[int, InstanceLoad]
+LoadByInstance = dict[int, InstanceLoad]
 """Load by instance, under the keys of :func:`get_key`."""
 
 
@@ -179,7 +179,7 @@
         hall: str,
         sequence: int,
         is_reporter: bool,
-        rows: Rows,
+        rows: LoadByInstance,
         alarms: Sequence[Alarm],
         contents: ContentUpdate | None = None,
         limits: Sequence[rate_limit.AgedLimit] = (),
@@ -215,7 +215,7 @@
         *,
         hub: str,
         sequence: int,
-        rows: Rows,
+        rows: LoadByInstance,
         ages: Sequence[HallAge],
         alarms: Sequence[Alarm],
         contents: ContentUpdate | None = None,
@@ -260,7 +260,7 @@
         self,
         *,
         sequence: int,
-        rows: Rows,
+        rows: LoadByInstance,
         ages: Sequence[HallAge],
         alarms: Sequence[Alarm],
         counted: int = 0,
@@ -308,7 +308,7 @@
     return msgpack.packb([_UPDATE, *fields, update.is_snapshot])
 
 
-def address_update(encoded: bytes, counted: int) -> bytes:
+def complete_update(encoded: bytes, counted: int) -> bytes:
     """Return an update as a datagram for one reporter.
 
     :param encoded: result of :func:`encode_update`.
@@ -410,17 +410,17 @@
     )
 
 
-def _pack_rows(rows: Rows) -> list[int]:
+def _pack_rows(rows: LoadByInstance) -> list[int]:
     values: list[int] = []
     for key, load in rows.items():
         values += (key, load.tokens, load.count, load.prefill_tokens)
     return values
 
 
-def _unpack_rows(values: list) -> Rows:
+def _unpack_rows(values: list) -> LoadByInstance:
     if len(values) % _ROW_FIELDS or not all(type(value) is int for value in values):
         raise ValueError("load rows have a wrong number or type of fields")
-    rows: Rows = {}
+    rows: LoadByInstance = {}
     for start in range(0, len(values), _ROW_FIELDS):
         key, tokens, count, prefill_tokens = values[start : start + _ROW_FIELDS]
         rows[key] = InstanceLoad(tokens, count, prefill_tokens)
--- a/src/spoolhead/_internal/network/caller_front.py
+++ b/src/spoolhead/_internal/network/caller_front.py
@@ -46,8 +46,8 @@
 
     :ivar request: the request.
     :ivar remote: IP address of the caller.
-    :ivar on_gone: called once if the connection ends before the answer is complete.
-    :ivar is_gone: the connection has ended.
+    :ivar on_disconnect: called once if the connection ends before the answer is complete.
+    :ivar is_disconnected: the connection has ended.
     :ivar is_started: the head of the answer has been sent.
     :ivar is_finished: the answer is complete or was aborted.
     """
@@ -57,9 +57,9 @@
         "_front",
         "_response",
         "is_finished",
-        "is_gone",
+        "is_disconnected",
         "is_started",
-        "on_gone",
+        "on_disconnect",
         "remote",
         "request",
     )
@@ -76,19 +76,19 @@
         self._response = response
         self.request = request
         self.remote = connection.remote
-        self.on_gone: Callable[[], None] | None = None
-        self.is_gone = False
+        self.on_disconnect: Callable[[], None] | None = None
+        self.is_disconnected = False
         self.is_started = False
         self.is_finished = False
 
-    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer; ignored if the caller is gone or has its answer.
 
         :param status: HTTP status.
         :param headers: headers other than Content-Length and Connection.
         :param body: the body; omitted in the answer to a HEAD request.
         """
-        if self.is_gone or self.is_finished:
+        if self.is_disconnected or self.is_finished:
             return
         head = self._make_head(status, headers)
         if status not in (HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED):
@@ -105,7 +105,7 @@
 
         :param first: first bytes of the body, sent together with the head.
         """
-        if self.is_gone or self.is_finished:
+        if self.is_disconnected or self.is_finished:
             return
         head = self._make_head(status, headers)
         if self.request.http_version == "1.1":
@@ -117,18 +117,18 @@
         self.is_started = True
         self._front.send(self._connection, self._get_head_bytes() + self._encode_chunk(first))
 
-    def send_part(self, data: bytes) -> int:
+    def send_body_part(self, data: bytes) -> int:
         """Send a part of the body after :meth:`start_stream`.
 
         :returns: unsent bytes in this process's buffer; -1 if the caller is gone.
         """
-        if self.is_gone or self.is_finished:
+        if self.is_disconnected or self.is_finished:
             return -1
         return self._front.send(self._connection, self._encode_chunk(data))
 
     def end_stream(self) -> None:
         """Mark the body after :meth:`start_stream` as complete."""
-        if self.is_gone or self.is_finished:
+        if self.is_disconnected or self.is_finished:
             return
         if self._response.chunked:
             self._front.send(self._connection, _LAST_CHUNK)
@@ -358,9 +358,9 @@
         if connection is None or connection.current is None:
             return
         caller, connection.current = connection.current, None
-        caller.is_gone = True
-        if caller.on_gone is not None and not caller.is_finished:
-            caller.on_gone()
+        caller.is_disconnected = True
+        if caller.on_disconnect is not None and not caller.is_finished:
+            caller.on_disconnect()
 
     @circuits.handler("read", channel="callers")
     def _on_read(self, sock: socket.socket, data: bytes) -> None:
--- a/src/spoolhead/_internal/network/links.py
+++ b/src/spoolhead/_internal/network/links.py
@@ -23,15 +23,15 @@
 
 READ_BYTES = 65_536
 CLOSED_CLEANLY = "closed by the other side"
-"""Reason passed to :meth:`LinkUser.on_lost` after an orderly close, as opposed to a reset."""
+"""Reason passed to :meth:`LinkListener.on_lost` after an orderly close, as opposed to a reset."""
 CONNECT_TIMEOUT = "connecting took too long"
 REFUSED = os.strerror(errno.ECONNREFUSED)
-"""Reason passed to :meth:`LinkUser.on_lost` if the machine is up and no process listens at the
+"""Reason passed to :meth:`LinkListener.on_lost` if the machine is up and no process listens at the
 port."""
 _RETRYABLE_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS)
 
 
-class LinkUser(Protocol):
+class LinkListener(Protocol):
     """Callbacks of the component that uses a link."""
 
     def on_connected(self) -> None:
@@ -53,7 +53,7 @@
     :ivar is_closed: the connection has ended.
     :ivar sent_bytes: bytes that were written to the socket.
     :ivar sock: its socket.
-    :ivar user: receives the callbacks; may be replaced on an idle link.
+    :ivar listener: receives the callbacks; may be replaced on an idle link.
     """
 
     __slots__ = (
@@ -65,15 +65,17 @@
         "is_connected",
         "sent_bytes",
         "sock",
-        "user",
+        "listener",
     )
 
-    def __init__(self, owner: "Links", sock: socket.socket, address: str, user: LinkUser) -> None:
+    def __init__(
+        self, owner: "Links", sock: socket.socket, address: str, listener: LinkListener
+    ) -> None:
         self._owner = owner
         self._unsent: collections.deque[bytes] = collections.deque()
         self.sock = sock
         self.address = address
-        self.user = user
+        self.listener = listener
         self.connect_timer: scheduler.Timer | None = None
         self.is_connected = False
         self.is_closed = False
@@ -91,7 +93,7 @@
             self.flush()
 
     def close(self) -> None:
-        """Close the connection without calling the user."""
+        """Close the connection without calling the listener."""
         self._owner.drop(self)
 
     def flush(self) -> bool:
@@ -131,17 +133,17 @@
         self._links: dict[socket.socket, Link] = {}
         self._writing: set[socket.socket] = set()
 
-    def open(self, address: str, user: LinkUser, *, connect_ms: int) -> Link:
+    def open(self, address: str, listener: LinkListener, *, connect_ms: int) -> Link:
         """Start connecting.
 
         :param address: ``IP:PORT`` to connect to.
-        :param user: receives the callbacks; never called before this method returns.
+        :param listener: receives the callbacks; never called before this method returns.
         :param connect_ms: timeout for connecting.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        link = Link(self, sock, address, user)
+        link = Link(self, sock, address, listener)
         self._links[sock] = link
         result = sock.connect_ex(endpoints.split(address))
         if result not in (0, errno.EINPROGRESS):
@@ -154,18 +156,18 @@
         return link
 
     def abort(self, link: Link, reason: str) -> None:
-        """Close a link and call its user's ``on_lost`` with the reason."""
+        """Close a link and call its listener's ``on_lost`` with the reason."""
         if link.is_closed:
             return
         self.drop(link)
-        link.user.on_lost(reason)
+        link.listener.on_lost(reason)
 
     def abort_later(self, link: Link, reason: str) -> None:
-        """Abort a link in the next turn of the loop: its user must not be called while it sends."""
+        """Abort a link in the next turn of the loop: no call of its listener while it sends."""
         self._scheduler.call_later(0, lambda: self.abort(link, reason))
 
     def drop(self, link: Link) -> None:
-        """Close a link without calling its user."""
+        """Close a link without calling its listener."""
         if link.is_closed:
             return
         link.is_closed = True
@@ -197,7 +199,7 @@
                 self.abort(link, os.strerror(error.errno or 0))
             return
         if data:
-            link.user.on_data(data)
+            link.listener.on_data(data)
         else:
             self.abort(link, CLOSED_CLEANLY)
 
@@ -228,6 +230,6 @@
         if link.connect_timer is not None:
             link.connect_timer.cancel()
         self._poller.add_direct_reader(self, link.sock, self._on_read)
-        link.user.on_connected()
+        link.listener.on_connected()
         if not link.is_closed:
             link.flush()
--- a/src/spoolhead/_internal/network/peer_call.py
+++ b/src/spoolhead/_internal/network/peer_call.py
@@ -41,7 +41,7 @@
     def __exit__(self, *_details: object) -> None:
         self._sock.close()
 
-    def ask(self, question: messages.Message, kind: type[_MessageT]) -> _MessageT:
+    def request(self, question: messages.Message, kind: type[_MessageT]) -> _MessageT:
         """Send a question and return its answer.
 
         :param kind: class of the answer.
--- a/src/spoolhead/_internal/network/peer_client.py
+++ b/src/spoolhead/_internal/network/peer_client.py
@@ -17,8 +17,8 @@
     """Timeouts and intervals of a stream.
 
     :ivar connect_ms: timeout for connecting.
-    :ivar first_retry_ms: delay before the first reconnection attempt; it doubles with each.
-    :ivar longest_retry_ms: maximum delay between reconnection attempts.
+    :ivar initial_retry_ms: delay before the first reconnection attempt; it doubles with each.
+    :ivar max_retry_ms: maximum delay between reconnection attempts.
     :ivar heartbeat_ms: interval between heartbeats.
     :ivar silence_ms: time without received bytes after which the stream is closed; a few
         heartbeats.
@@ -26,9 +26,9 @@
 
     __slots__ = (
         "connect_ms",
-        "first_retry_ms",
+        "initial_retry_ms",
         "heartbeat_ms",
-        "longest_retry_ms",
+        "max_retry_ms",
         "silence_ms",
     )
 
@@ -36,14 +36,14 @@
         self,
         *,
         connect_ms: int = 1_000,
-        first_retry_ms: int = 100,
-        longest_retry_ms: int = 2_000,
+        initial_retry_ms: int = 100,
+        max_retry_ms: int = 2_000,
         heartbeat_ms: int = 1_000,
         silence_ms: int = 5_000,
     ) -> None:
         self.connect_ms = connect_ms
-        self.first_retry_ms = first_retry_ms
-        self.longest_retry_ms = longest_retry_ms
+        self.initial_retry_ms = initial_retry_ms
+        self.max_retry_ms = max_retry_ms
         self.heartbeat_ms = heartbeat_ms
         self.silence_ms = silence_ms
 
@@ -51,7 +51,7 @@
 DEFAULT_TIMING = PeerTiming()
 
 
-class PeerClientUser(Protocol):
+class PeerClientListener(Protocol):
     """Callbacks of the component that uses a client."""
 
     def on_peer_ready(self) -> None:
@@ -76,7 +76,7 @@
     :param role: role of this process.
     :param name: name of this process.
     :param shared_key: secret that the fleet's processes share.
-    :param user: receives the callbacks.
+    :param listener: receives the callbacks.
     :param timing: timeouts and intervals of the stream.
     """
 
@@ -89,7 +89,7 @@
         role: str,
         name: str,
         shared_key: str,
-        user: PeerClientUser,
+        listener: PeerClientListener,
         timing: PeerTiming = DEFAULT_TIMING,
     ) -> None:
         self._timing = timing
@@ -99,10 +99,10 @@
         self._role = role
         self._name = name
         self._shared_key = shared_key
-        self._user = user
+        self._listener = listener
         self._rng = random.Random()
         self._address_index = self._rng.randrange(len(self._addresses))
-        self._retry_s = timing.first_retry_ms / 1000
+        self._retry_s = timing.initial_retry_ms / 1000
         self._link: links.Link | None = None
         self._reader = messages.MessageReader()
         self._nonce = b""
@@ -165,7 +165,7 @@
             # Later messages of this stream depend on the failed one; a new stream begins with
             # the complete state. The maximum delay avoids frequent reconnections if the message
             # fails each time.
-            self._retry_s = self._timing.longest_retry_ms / 1000
+            self._retry_s = self._timing.max_retry_ms / 1000
             self.reconnect("a message could not be handled")
             raise
 
@@ -176,10 +176,10 @@
         self._link = None
         self._address_index += 1
         delay_s = self._retry_s * self._rng.uniform(0.5, 1.0)
-        self._retry_s = min(self._retry_s * 2, self._timing.longest_retry_ms / 1000)
+        self._retry_s = min(self._retry_s * 2, self._timing.max_retry_ms / 1000)
         self._scheduler.call_later(delay_s, self._connect)
         if was_ready:
-            self._user.on_peer_lost()
+            self._listener.on_peer_lost()
 
     def _connect(self) -> None:
         if self._is_closed:
@@ -192,7 +192,7 @@
     def _handle_message(self, message: messages.Message) -> None:
         if self.is_ready:
             if not isinstance(message, messages.Heartbeat):
-                self._user.on_peer_message(message)
+                self._listener.on_peer_message(message)
         elif isinstance(message, messages.Challenge):
             self._answer_challenge(message)
         elif isinstance(message, messages.Welcome):
@@ -214,8 +214,8 @@
         if not handshake.check_welcome(self._shared_key, self._nonce, welcome):
             raise messages.MessageError("welcome does not prove the shared key")
         self.is_ready = True
-        self._retry_s = self._timing.first_retry_ms / 1000
-        self._user.on_peer_ready()
+        self._retry_s = self._timing.initial_retry_ms / 1000
+        self._listener.on_peer_ready()
 
     def _keep_alive(self) -> None:
         if self._link is None or not self._link.is_connected:
--- a/src/spoolhead/_internal/network/upstream_calls.py
+++ b/src/spoolhead/_internal/network/upstream_calls.py
@@ -23,7 +23,7 @@
 _MIN_FINAL_STATUS = 200
 
 
-class CallUser(Protocol):
+class CallListener(Protocol):
     """Callbacks of the component that makes a call.
 
     They are never called before :meth:`UpstreamCalls.open` returns.
@@ -85,14 +85,14 @@
         owner: "UpstreamCalls",
         address: str,
         request: bytes,
-        user: CallUser,
+        listener: CallListener,
         *,
         is_head: bool,
         is_fresh: bool,
     ) -> None:
         self._owner = owner
         self._request = request
-        self._user = user
+        self._listener = listener
         self._is_head_method = is_head
         self._is_fresh = is_fresh
         self._parser = httptools.HttpResponseParser(self)
@@ -134,11 +134,11 @@
         """Send the request on a link that is connected or connecting."""
         self._link = link
         self._sent_bytes_before = link.sent_bytes
-        link.user = self
+        link.listener = self
         link.send(self._request)
 
     def cancel(self) -> None:
-        """Close the connection without further calls of the user."""
+        """Close the connection without further calls of the listener."""
         self.is_over = True
         if self._link is not None:
             self._link.close()
@@ -165,9 +165,9 @@
             return
         self.is_over = True
         if self._ends_with_connection and reason == links.CLOSED_CLEANLY:
-            self._user.on_answer_end()
+            self._listener.on_answer_end()
         else:
-            self._user.on_call_lost(reason)
+            self._listener.on_call_lost(reason)
 
     def on_message_begin(self) -> None:
         """Detect bytes after the end of the answer; called by the parser."""
@@ -191,7 +191,7 @@
         has_length = "content-length" in names or "transfer-encoding" in names
         has_body = not self._is_head_method and status not in (_NO_CONTENT, _NOT_MODIFIED)
         self._ends_with_connection = has_body and not has_length
-        self._user.on_answer_head(status, self._headers)
+        self._listener.on_answer_head(status, self._headers)
         if self._is_head_method:
             self._must_close_link = True
             self._is_complete = True
@@ -199,7 +199,7 @@
     def on_body(self, data: bytes) -> None:
         """Pass on a part of the body; called by the parser."""
         if not self.is_over and not self._is_complete:
-            self._user.on_answer_body(data)
+            self._listener.on_answer_body(data)
 
     def on_message_complete(self) -> None:
         """Record the end of the answer; called by the parser."""
@@ -215,18 +215,18 @@
             self._owner.release_link(link)
         elif link is not None:
             link.close()
-        self._user.on_answer_end()
+        self._listener.on_answer_end()
 
     def _abort(self, reason: str) -> None:
         if self._link is not None:
             self._link.close()
         if not self.is_over:
             self.is_over = True
-            self._user.on_call_lost(reason)
+            self._listener.on_call_lost(reason)
 
 
-class _IdleUser:
-    """User of a link in the pool; closes it when data arrives."""
+class _IdleListener:
+    """Listener of a link in the pool; closes it when data arrives."""
 
     def __init__(self, link: links.Link) -> None:
         self._link = link
@@ -279,7 +279,7 @@
         self,
         address: str,
         request: bytes,
-        user: CallUser,
+        listener: CallListener,
         *,
         fresh: bool = False,
         is_head: bool = False,
@@ -288,14 +288,14 @@
 
         :param address: ``IP:PORT`` of the upstream.
         :param request: the encoded request.
-        :param user: receives the callbacks.
+        :param listener: receives the callbacks.
         :param fresh: use a new connection, and close it afterwards. The upstream may just have
             closed an idle connection, and then it is unknown whether the request was accepted.
             The new connection is not kept: unused, it would count against the connections that
             the upstream accepts from all entries.
         :param is_head: the method is HEAD, whose answer has no body regardless of its length.
         """
-        call = UpstreamCall(self, address, request, user, is_head=is_head, is_fresh=fresh)
+        call = UpstreamCall(self, address, request, listener, is_head=is_head, is_fresh=fresh)
         link = None if fresh else self._pop_idle(address)
         if link is None:
             link = self._outgoing.open(address, call, connect_ms=self._config.connect_ms)
@@ -308,7 +308,7 @@
         if len(idle) >= self._config.idle_connections:
             link.close()
             return
-        link.user = _IdleUser(link)
+        link.listener = _IdleListener(link)
         idle.append(_IdleLink(link, clocks.get_s()))
 
     def finish_in_background(self, call: UpstreamCall) -> None:
@@ -319,7 +319,7 @@
         if not call.is_over:
             self._background_calls.append(_BackgroundCall(call, clocks.get_s()))
 
-    def forget(self, address: str) -> None:
+    def close_idle_to(self, address: str) -> None:
         """Close the idle connections to an upstream that is no longer in use."""
         for item in self._idle.pop(address, ()):
             item.link.close()
--- a/src/spoolhead/_internal/policy/alarm_broadcast.py
+++ b/src/spoolhead/_internal/policy/alarm_broadcast.py
@@ -51,7 +51,7 @@
     def add(self, alarm: shared_load.Alarm, now_s: float) -> None:
         """Schedule an alarm to be sent."""
         self._pending.append(_PendingAlarm(alarm))
-        if alarm.kind in standing_alarms.KEPT_KINDS:
+        if alarm.kind in standing_alarms.STANDING_KINDS:
             self._repeats.add([standing_alarms.get_name(alarm)], now_s)
 
     def send_again(self, names: Iterable[standing_alarms.AlarmName], now_s: float) -> None:
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -24,7 +24,7 @@
     __slots__ = ("_changed", "_empty_send_counts", "_rows", "_rotation")
 
     def __init__(self) -> None:
-        self._rows: shared_load.Rows = {}
+        self._rows: shared_load.LoadByInstance = {}
         self._changed: dict[int, None] = {}
         self._rotation: collections.deque[int] = collections.deque()
         self._empty_send_counts: dict[int, int] = {}
@@ -56,9 +56,9 @@
             self.add(key, old, -1)
         self.add(key, new)
 
-    def pop_batch(self) -> shared_load.Rows:
+    def pop_batch(self) -> shared_load.LoadByInstance:
         """Return the rows to send next, and count them as sent."""
-        rows: shared_load.Rows = {}
+        rows: shared_load.LoadByInstance = {}
         for key in list(self._changed)[:MAX_CHANGED_ROWS_PER_DATAGRAM]:
             del self._changed[key]
             rows[key] = self._rows[key].copy()
@@ -73,7 +73,7 @@
                 self._rotation.append(key)
         return rows
 
-    def get_all(self) -> shared_load.Rows:
+    def get_all(self) -> shared_load.LoadByInstance:
         """Return all rows."""
         return {key: row.copy() for key, row in self._rows.items()}
 
--- a/src/spoolhead/_internal/policy/cold_start.py
+++ b/src/spoolhead/_internal/policy/cold_start.py
@@ -112,6 +112,6 @@
             self._quotas[instance.incarnation_id] = quota
         return quota
 
-    def forget_quotas(self) -> None:
+    def clear_quotas(self) -> None:
         """Clear the cached quotas; must be called when instances or their cold rates change."""
         self._quotas.clear()
--- a/src/spoolhead/_internal/policy/load_hub.py
+++ b/src/spoolhead/_internal/policy/load_hub.py
@@ -48,7 +48,7 @@
         self.address = address
         self.counted = 0
         self.heard_s = 0.0
-        self.rows: shared_load.Rows = {}
+        self.rows: shared_load.LoadByInstance = {}
         self.wants_snapshot = True
         self.snapshot_sent_s = -math.inf
 
@@ -294,7 +294,7 @@
 
     def _make_update(
         self,
-        rows: shared_load.Rows,
+        rows: shared_load.LoadByInstance,
         alarms: list[shared_load.Alarm],
         contents: shared_load.ContentUpdate,
         limits: list[rate_limit.AgedLimit],
@@ -344,7 +344,9 @@
         else:
             hub.rows.pop(key, None)
 
-    def _replace_rows(self, old: shared_load.Rows, new: shared_load.Rows) -> None:
+    def _replace_rows(
+        self, old: shared_load.LoadByInstance, new: shared_load.LoadByInstance
+    ) -> None:
         for key in old.keys() | new.keys():
             before = old.get(key)
             after = new.get(key) or shared_load.InstanceLoad()
--- a/src/spoolhead/_internal/policy/load_view.py
+++ b/src/spoolhead/_internal/policy/load_view.py
@@ -23,10 +23,10 @@
 class _Row:
     """Load of the other entries at one instance, and the sequence of its update."""
 
-    __slots__ = ("others", "sequence")
+    __slots__ = ("other_load", "sequence")
 
-    def __init__(self, others: shared_load.InstanceLoad, sequence: int) -> None:
-        self.others = others
+    def __init__(self, other_load: shared_load.InstanceLoad, sequence: int) -> None:
+        self.other_load = other_load
         self.sequence = sequence
 
 
@@ -42,14 +42,16 @@
         self._hall = hall
         self._registry = registry
         self._rows: dict[int, _Row] = {}
-        self._reports: collections.OrderedDict[int, shared_load.Rows] = collections.OrderedDict()
+        self._reports: collections.OrderedDict[int, shared_load.LoadByInstance] = (
+            collections.OrderedDict()
+        )
         self._halls_heard_s: dict[str, float] = {}
         self._silence_from_s: dict[str, float] = {}
         self._updated_s = -math.inf
         self._is_new_hub = True
         self.has_snapshot = False
 
-    def get_own(self) -> shared_load.Rows:
+    def get_own_load(self) -> shared_load.LoadByInstance:
         """Return this entry's own load by instance."""
         return {
             upstream.key: shared_load.InstanceLoad(
@@ -59,13 +61,13 @@
             if upstream.in_flight
         }
 
-    def record_report(self, sequence: int, rows: shared_load.Rows) -> None:
+    def record_report(self, sequence: int, rows: shared_load.LoadByInstance) -> None:
         """Store a report: updates include it, so it has to be subtracted from them."""
         self._reports[sequence] = rows
         while len(self._reports) > MAX_REPORTS:
             self._reports.popitem(last=False)
 
-    def begin_hub(self) -> None:
+    def reset_for_new_hub(self) -> None:
         """Record that updates will come from another hub, with its own sequence numbers."""
         self._is_new_hub = True
         self.has_snapshot = False
@@ -99,7 +101,7 @@
             self.has_snapshot = False
         for upstream in self._registry.get_all():
             row = self._rows.get(upstream.key)
-            upstream.others = row.others if row is not None else shared_load.InstanceLoad()
+            upstream.other_load = row.other_load if row is not None else shared_load.InstanceLoad()
 
     def get_silent_halls(self, now_s: float) -> frozenset[str]:
         """Return the known halls that are silent, as behind a cut.
@@ -138,16 +140,16 @@
         row = self._rows.get(key)
         if row is not None and datagram_order.is_late(sequence, row.sequence):
             return
-        others = total.copy()
+        other_load = total.copy()
         if own is not None:
-            others.add(own, -1)
-        if others:
-            self._rows[key] = _Row(others, sequence)
+            other_load.add(own, -1)
+        if other_load:
+            self._rows[key] = _Row(other_load, sequence)
         else:
             self._rows.pop(key, None)
         upstream = self._registry.get_by_key(key)
         if upstream is not None:
-            upstream.others = others
+            upstream.other_load = other_load
 
     def _restart_silence_timers(self, now_s: float) -> None:
         """Restart the timers of the halls that are not silent: a new hub may have just started."""
@@ -158,4 +160,4 @@
     def _clear(self) -> None:
         self._rows.clear()
         for upstream in self._registry.get_all():
-            upstream.others = shared_load.InstanceLoad()
+            upstream.other_load = shared_load.InstanceLoad()
--- a/src/spoolhead/_internal/policy/watch_duty.py
+++ b/src/spoolhead/_internal/policy/probe_assignment.py
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import fleet, instances
 
 
-class WatchDuties:
+class ProbeAssignments:
     """The instances that one entry watches.
 
     Choosing among all entries for all instances costs the product of both numbers, so it is done
@@ -21,34 +21,34 @@
     :param own_name: name of the entry.
     """
 
-    __slots__ = ("_duties", "_own_name", "_watchers")
+    __slots__ = ("_assignments", "_own_name", "_watchers")
 
     def __init__(self, own_name: str) -> None:
         self._own_name = own_name
         self._watchers: list[tuple[str, str]] = []
-        self._duties: dict[str, bool] = {}
+        self._assignments: dict[str, bool] = {}
 
     def update(
         self, watchers: Sequence[fleet.Process], listed: Iterable[instances.Instance]
     ) -> None:
         """Set the present entries and instances."""
         described = [(watcher.name, watcher.hall) for watcher in watchers]
-        known = self._duties if described == self._watchers else {}
+        known = self._assignments if described == self._watchers else {}
         self._watchers = described
-        self._duties = {}
+        self._assignments = {}
         for instance in listed:
             incarnation_id = instance.incarnation_id
-            duty = known.get(incarnation_id)
-            if duty is None:
-                duty = is_watcher(self._own_name, watchers, instance)
-            self._duties[incarnation_id] = duty
+            assigned = known.get(incarnation_id)
+            if assigned is None:
+                assigned = is_assigned(self._own_name, watchers, instance)
+            self._assignments[incarnation_id] = assigned
 
     def has(self, instance: instances.Instance) -> bool:
         """Return whether the entry watches an instance."""
-        return self._duties.get(instance.incarnation_id, False)
+        return self._assignments.get(instance.incarnation_id, False)
 
 
-def is_watcher(
+def is_assigned(
     own_name: str, watchers: Sequence[fleet.Process], instance: instances.Instance
 ) -> bool:
     """Return whether an entry is the one that watches an instance.
--- a/src/spoolhead/_internal/policy/quarantine.py
+++ b/src/spoolhead/_internal/policy/quarantine.py
@@ -36,7 +36,7 @@
 example because its caller left."""
 PROVED_WAVES = WAVES_TO_HOLD + 1
 """Wave count set when an instance crashed during a trial; no further trial follows."""
-CLAIM_S = 0.5
+TRIAL_CLAIM_WAIT_S = 0.5
 """Time for which the entry that claims a trial waits for competing claims: ten times what a
 broadcast takes to reach all of 350 entries (45 ms at most, simulated), and twice the quarter of a
 second after which a lost report is repeated."""
@@ -50,7 +50,7 @@
     """What may be done with a request."""
 
     RUN = "run"
-    RUN_APART = "run apart"
+    RUN_ISOLATED = "run apart"
     """The content is suspect; it is run where the fewest other requests are in flight. In a series,
     3.7 other answers were cut off instead of 5.2, simulated as for :data:`WAVES_TO_HOLD`."""
     CLAIM = "claim"
@@ -92,7 +92,7 @@
         if record is None or not record.is_suspect:
             return Verdict.RUN
         if not is_held(record):
-            return Verdict.RUN_APART
+            return Verdict.RUN_ISOLATED
         if record.is_by_hand or record.trials >= MAX_TRIALS or record.waves >= PROVED_WAVES:
             return Verdict.REFUSE
         if now_s - self.registry.get_changed_s(content_id) < TRIAL_DELAY_S:
@@ -111,7 +111,10 @@
         return self._store(claimed, now_s)
 
     def may_run_trial(self, content_id: bytes) -> bool:
-        """Return whether this entry's claim stands after :data:`CLAIM_S`; True only once."""
+        """Return whether this entry's claim stands after :data:`TRIAL_CLAIM_WAIT_S`.
+
+        True only once.
+        """
         record = self.registry.get(content_id)
         if record is None or record.trier != self._name or content_id in self._started_trials:
             return False
@@ -192,7 +195,7 @@
         self._started_trials &= known
 
 
-def must_end_running(record: content_record.ContentRecord) -> bool:
+def must_cancel_running(record: content_record.ContentRecord) -> bool:
     """Return whether running requests of a held content must be cancelled too.
 
     Not if several instances crashed at the same time and nothing else is known: a run elsewhere may
@@ -202,7 +205,7 @@
     return record.is_by_hand or record.waves >= WAVES_TO_HOLD
 
 
-def shows_harmless(status: int, *, is_trial: bool) -> bool:
+def is_harmless_status(status: int, *, is_trial: bool) -> bool:
     """Return whether an instance's complete answer shows that a request did not harm it.
 
     An instance that rejects some requests, or finds one too large or past its deadline, may not
--- a/src/spoolhead/_internal/policy/requested_rest.py
+++ b/src/spoolhead/_internal/policy/requested_rest.py
@@ -65,7 +65,7 @@
         if self._needs_trial:
             self._trial_sent_s = now_s
 
-    def record_taken(self) -> None:
+    def record_accepted(self) -> None:
         """Record that the instance accepted a request."""
         self._needs_trial = False
         self._backoff_s = INITIAL_BACKOFF_S
--- a/src/spoolhead/_internal/policy/run_migration_policy.py
+++ b/src/spoolhead/_internal/policy/run_migration_policy.py
@@ -24,7 +24,7 @@
     service: route_table.Service,
     upstreams: Sequence[upstream_registry.Upstream],
     *,
-    running_at: upstream_registry.Upstream,
+    source: upstream_registry.Upstream,
     excluded: Collection[str],
     now_s: float,
     gate: upstream_gate.Gate,
@@ -36,7 +36,7 @@
     memory in use, the instance itself refuses a copy for which it has no room, and without a copy
     the run is lost.
 
-    :param running_at: instance of the run.
+    :param source: instance of the run.
     :param excluded: incarnation ids of instances that have just refused.
     :param gate: decides whether an instance is blocked for this entry.
     :param request_priority: rank and workspace of the request.
@@ -48,7 +48,7 @@
     candidates = [
         upstream
         for upstream in upstreams
-        if upstream is not running_at
+        if upstream is not source
         and upstream.instance.incarnation_id not in excluded
         and gate.get_block_reason(service, upstream, now_s, request_priority=request_priority)
         is None
@@ -56,26 +56,28 @@
 
     def _get_cost(upstream: upstream_registry.Upstream) -> float:
         cost = upstream.tokens / engine.memory_tokens
-        if upstream.instance.hall != running_at.instance.hall:
+        if upstream.instance.hall != source.instance.hall:
             cost += OTHER_HALL_COST
         return cost
 
     return min(candidates, key=_get_cost, default=None)
 
 
-def get_rank(prompt_tokens: int, expected_tokens: int, made_tokens: int) -> float:
+def get_migration_priority(
+    prompt_tokens: int, expected_tokens: int, generated_tokens: int
+) -> float:
     """Return the value saved by copying a run, relative to the duration of the copy.
 
     The value grows with the run's full size, in which a generated token counts more than a prompt
     token; the duration grows with the tokens in memory now.
 
     :param expected_tokens: total number of tokens that it is expected to generate.
-    :param made_tokens: tokens that it has generated.
+    :param generated_tokens: tokens that it has generated.
     """
-    value = prompt_tokens + GENERATED_TOKEN_VALUE * max(expected_tokens, made_tokens)
-    if 0 < expected_tokens - made_tokens < NEARLY_DONE_TOKENS:
+    value = prompt_tokens + GENERATED_TOKEN_VALUE * max(expected_tokens, generated_tokens)
+    if 0 < expected_tokens - generated_tokens < NEARLY_DONE_TOKENS:
         value *= NEARLY_DONE_FRACTION
-    return value / max(1, prompt_tokens + made_tokens)
+    return value / max(1, prompt_tokens + generated_tokens)
 
 
 def get_max_pause_ms(route: route_table.Route) -> int:
--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -12,7 +12,7 @@
 """Time for which an instance is reported as leaving; the list shows it long before that ends."""
 MAX_ALARMS = 64
 """Maximum number of stored alarms, the newest ones; a new reporter gets all in one datagram."""
-KEPT_KINDS = frozenset(
+STANDING_KINDS = frozenset(
     {shared_load.AlarmKind.COLD, shared_load.AlarmKind.RESTING, shared_load.AlarmKind.LEAVING}
 )
 """Kinds that hold for a time stated by the instance itself, or until it terminates."""
@@ -41,7 +41,7 @@
 
     def record(self, alarm: shared_load.Alarm, now_s: float) -> None:
         """Store an alarm if its kind holds for a time."""
-        if alarm.kind not in KEPT_KINDS:
+        if alarm.kind not in STANDING_KINDS:
             return
         name = get_name(alarm)
         known = self._standing.pop(name, None)
--- a/src/spoolhead/_internal/policy/upstream_choice.py
+++ b/src/spoolhead/_internal/policy/upstream_choice.py
@@ -80,7 +80,7 @@
         """Return the choice with the candidates that satisfy a predicate moved to the front."""
         return self._order(lambda upstream: not is_preferred(upstream))
 
-    def prefer_least_shared(self) -> "Choice":
+    def prefer_least_loaded(self) -> "Choice":
         """Return the choice ordered by the number of requests in flight, fewest first."""
         return self._order(lambda upstream: upstream.count)
 
@@ -94,7 +94,7 @@
         )
 
 
-class View:
+class ChoiceContext:
     """Input of a choice.
 
     :ivar hall: hall of the entry.
@@ -102,8 +102,8 @@
     :ivar cut_off_halls: halls that are currently unreachable.
     :ivar now_s: monotonic time in seconds.
     :ivar request_priority: rank and workspace of the request.
-    :ivar permitted: incarnation id of the rate-limited instance for which the request has a permit;
-        empty for none.
+    :ivar permitted_id: incarnation id of the rate-limited instance for which the request has a
+        permit; empty for none.
     :ivar gate: decides whether an instance is blocked for this entry.
     :ivar rng: source of random numbers.
     """
@@ -115,7 +115,7 @@
         "gate",
         "hall",
         "now_s",
-        "permitted",
+        "permitted_id",
         "silent_halls",
     )
 
@@ -128,7 +128,7 @@
         now_s: float,
         gate: upstream_gate.Gate,
         request_priority: upstream_gate.RequestPriority,
-        permitted: str = "",
+        permitted_id: str = "",
         rng: random.Random,
     ) -> None:
         self.hall = hall
@@ -137,7 +137,7 @@
         self.now_s = now_s
         self.gate = gate
         self.request_priority = request_priority
-        self.permitted = permitted
+        self.permitted_id = permitted_id
         self.rng = rng
 
 
@@ -147,7 +147,7 @@
     *,
     need_tokens: int,
     excluded: Collection[str],
-    view: View,
+    context: ChoiceContext,
 ) -> Choice:
     """Choose an instance.
 
@@ -160,7 +160,7 @@
     :param need_tokens: memory that the request will need at a model engine, in tokens.
     :param excluded: incarnation ids of the instances that must not be used.
     """
-    reasons = [_get_block_reason(service, upstream, view) for upstream in upstreams]
+    reasons = [_get_block_reason(service, upstream, context) for upstream in upstreams]
     untried = [
         (upstream, reason)
         for upstream, reason in zip(upstreams, reasons, strict=True)
@@ -173,42 +173,43 @@
             for upstream, reason in untried
             if reason is not None
             and not reason.is_binding
-            and upstream.instance.hall not in view.silent_halls
+            and upstream.instance.hall not in context.silent_halls
         ]
-    other_hall_cost = _get_other_hall_cost(usable, view.hall)
+    other_hall_cost = _get_other_hall_cost(usable, context.hall)
     candidates = [
-        Candidate(upstream, _get_cost(service, upstream, need_tokens, view, other_hall_cost))
+        Candidate(upstream, _get_cost(service, upstream, need_tokens, context, other_hall_cost))
         for upstream in usable
     ]
-    view.rng.shuffle(candidates)
+    context.rng.shuffle(candidates)
     candidates.sort(key=lambda candidate: candidate.cost)
     return Choice(
         candidates,
         is_cut_off=_is_cut_off(reasons),
         blocked=collections.Counter(reason for _, reason in untried if reason is not None),
-        retry_after_ms=_get_retry_after_ms(untried, view),
+        retry_after_ms=_get_retry_after_ms(untried, context),
     )
 
 
 def _get_block_reason(
-    service: route_table.Service, upstream: upstream_registry.Upstream, view: View
+    service: route_table.Service, upstream: upstream_registry.Upstream, context: ChoiceContext
 ) -> upstream_gate.BlockReason | None:
-    return view.gate.get_block_reason(
+    return context.gate.get_block_reason(
         service,
         upstream,
-        view.now_s,
-        request_priority=view.request_priority,
-        has_permit=upstream.instance.incarnation_id == view.permitted,
-        cut_off_halls=view.cut_off_halls,
+        context.now_s,
+        request_priority=context.request_priority,
+        has_permit=upstream.instance.incarnation_id == context.permitted_id,
+        cut_off_halls=context.cut_off_halls,
     )
 
 
 def _get_retry_after_ms(
     untried: Sequence[tuple[upstream_registry.Upstream, upstream_gate.BlockReason | None]],
-    view: View,
+    context: ChoiceContext,
 ) -> int | None:
     waits_ms = [
-        view.gate.get_retry_after_ms(upstream, reason, view.now_s) for upstream, reason in untried
+        context.gate.get_retry_after_ms(upstream, reason, context.now_s)
+        for upstream, reason in untried
     ]
     return min((wait_ms for wait_ms in waits_ms if wait_ms is not None), default=None)
 
@@ -228,7 +229,7 @@
     service: route_table.Service,
     upstream: upstream_registry.Upstream,
     need_tokens: int,
-    view: View,
+    context: ChoiceContext,
     other_hall_cost: float,
 ) -> float:
     instance = upstream.instance
@@ -236,12 +237,12 @@
         cost = (upstream.tokens + need_tokens) / service.engine.memory_tokens
         cost += upstream.prefill_tokens / PREFILL_TOKENS_PER_COST
     else:
-        known = max(upstream.count, upstream.get_reported_count(view.now_s))
+        known = max(upstream.count, upstream.get_reported_count(context.now_s))
         cost = known / max(1, instance.slots)
-    if instance.hall != view.hall:
+    if instance.hall != context.hall:
         cost += other_hall_cost
-    if instance.hall in view.silent_halls:
+    if instance.hall in context.silent_halls:
         cost += SILENT_HALL_COST
-    if upstream.is_cold(view.now_s):
+    if upstream.is_cold(context.now_s):
         cost += COLD_COST
     return cost
--- a/src/spoolhead/_internal/policy/upstream_registry.py
+++ b/src/spoolhead/_internal/policy/upstream_registry.py
@@ -64,7 +64,7 @@
     :ivar instance: the instance as listed.
     :ivar key: number that identifies it in datagrams.
     :ivar in_flight: this entry's requests there, by request id.
-    :ivar others: load of the other entries' requests there.
+    :ivar other_load: load of the other entries' requests there.
     :ivar is_leaving: it accepts no new requests.
     :ivar has_announced_leaving: it announced itself that it leaves, whatever the list shows.
     :ivar is_gone: it is no longer listed.
@@ -94,7 +94,7 @@
         "is_leaving",
         "key",
         "listed_cold",
-        "others",
+        "other_load",
         "rest",
         "in_flight",
     )
@@ -103,7 +103,7 @@
         self.instance = instance
         self.key = shared_load.get_key(instance.incarnation_id)
         self.in_flight: dict[str, InFlightRequest] = {}
-        self.others = shared_load.InstanceLoad()
+        self.other_load = shared_load.InstanceLoad()
         self.rest = requested_rest.RequestedRest()
         self.is_leaving = instance.is_leaving
         self.is_gone = False
@@ -128,12 +128,12 @@
     @property
     def tokens(self) -> int:
         """Memory that all known requests hold or will hold, in tokens."""
-        return self.others.tokens + self.own_tokens
+        return self.other_load.tokens + self.own_tokens
 
     @property
     def prefill_tokens(self) -> int:
         """Tokens of all known prompts that are not processed yet."""
-        return self.others.prefill_tokens + self.own_prefill_tokens
+        return self.other_load.prefill_tokens + self.own_prefill_tokens
 
     @property
     def own_tokens(self) -> int:
@@ -148,7 +148,7 @@
     @property
     def count(self) -> int:
         """Number of known requests of all entries."""
-        return self.others.count + len(self.in_flight)
+        return self.other_load.count + len(self.in_flight)
 
     def is_usable(self, now_s: float) -> bool:
         """Return whether new requests may be sent to it."""
@@ -216,7 +216,7 @@
         """Return whether it leaves, or has a current alarm, which may mean the same."""
         return self.is_leaving or self.is_alarmed(now_s)
 
-    def is_expected_to_end(self, now_s: float) -> bool:
+    def is_expected_to_terminate(self, now_s: float) -> bool:
         """Return whether it announced that it leaves, so that its termination proves nothing."""
         has_announced = self.instance.is_leaving or self.has_announced_leaving
         return has_announced or now_s - self._last_reported_s < ALARM_TTL_S
--- a/src/spoolhead/_internal/quorum/keeper.py
+++ b/src/spoolhead/_internal/quorum/keeper.py
@@ -135,7 +135,7 @@
             logger.warning("datagram that is not for a keeper", extra={"fields": fields})
             return
         self._hub_port.handle_datagram(message, sender)
-        self._saved_contents.record()
+        self._saved_contents.schedule_save()
 
     def _get_other_hubs(self) -> list[endpoints.Endpoint]:
         own_address = f"{self._config.host}:{self._config.peer_port}"
@@ -245,7 +245,7 @@
                 self._refuse(caller, refusal)
             else:
                 headers = [("Content-Type", "application/json")]
-                caller.send_whole(200, headers, register.document)
+                caller.send_answer(200, headers, register.document)
 
         self._pending_operations.confirm_read(_answer)
 
--- a/src/spoolhead/_internal/quorum/mesh.py
+++ b/src/spoolhead/_internal/quorum/mesh.py
@@ -8,7 +8,7 @@
 
 ROLE = "keeper"
 TIMING = peer_client.PeerTiming(
-    connect_ms=500, first_retry_ms=50, longest_retry_ms=500, heartbeat_ms=250, silence_ms=1_000
+    connect_ms=500, initial_retry_ms=50, max_retry_ms=500, heartbeat_ms=250, silence_ms=1_000
 )
 """A cut connection, and its end, must be noticed well within the second or so that operators wait.
 All the times are about ten to a hundred round trips between halls."""
@@ -87,7 +87,7 @@
             role=ROLE,
             name=self._name,
             shared_key=self._shared_key,
-            user=peer,
+            listener=peer,
             timing=TIMING,
         )
 
--- a/src/spoolhead/_internal/quorum/replicated_state.py
+++ b/src/spoolhead/_internal/quorum/replicated_state.py
@@ -54,7 +54,7 @@
             self.evacuations.restore(rest[0])
 
     def _apply_order(self, order: evacuations.HallOrder) -> None:
-        has_taken_effect = self.evacuations.carry_out(order)
+        has_taken_effect = self.evacuations.apply(order)
         # An order may be sent to two leaders and committed twice; its first outcome counts.
         self._outcomes.setdefault(order.order_id, has_taken_effect)
         while len(self._outcomes) > MAX_OUTCOMES:
--- a/src/spoolhead/_internal/relay/stream_relay.py
+++ b/src/spoolhead/_internal/relay/stream_relay.py
@@ -27,12 +27,13 @@
 class StreamRelay:
     """Relays one answer, over several consecutive connections if necessary.
 
-    :param order: checks the order of events; for a resumed answer, with its previous state.
+    :param event_sequencer: checks the order of events; for a resumed answer, with its previous
+        state.
     :ivar is_done: whether the answer is complete.
     """
 
-    def __init__(self, order: sequencer.Sequencer | None = None) -> None:
-        self.order = order if order is not None else sequencer.Sequencer()
+    def __init__(self, event_sequencer: sequencer.Sequencer | None = None) -> None:
+        self.sequencer = event_sequencer if event_sequencer is not None else sequencer.Sequencer()
         self.is_done = False
         self._splitter = event_stream.EventSplitter()
 
@@ -65,7 +66,7 @@
         if done_marker.event_id is None:
             return True
         _, _, digits = done_marker.event_id.rpartition(b":")
-        return digits == b"%d" % self.order.next_index
+        return digits == b"%d" % self.sequencer.next_index
 
     def _relay_event(
         self, event: event_stream.Event, parts: list[bytes], relayed: RelayResult
@@ -77,7 +78,7 @@
             parts.append(event.raw + b"\n\n")
             self.is_done = relayed.is_done = True
             return True
-        verdict = self.order.evaluate(event)
+        verdict = self.sequencer.evaluate(event)
         if verdict is sequencer.Verdict.DELIVER:
             parts.append(event.raw + b"\n\n")
             relayed.tokens += 1
--- a/src/spoolhead/_internal/utils/log_trace.py
+++ b/src/spoolhead/_internal/utils/log_trace.py
@@ -57,21 +57,21 @@
 class RequestTrace:
     """Log lines that explain a request.
 
-    :ivar own: lines of the request itself, by time.
-    :ivar beliefs: lines of the same processes about instances, halls and keepers that influenced
-        it, by time; after the lasting state of each process.
+    :ivar request_lines: lines of the request itself, by time.
+    :ivar context_lines: lines of the same processes about instances, halls and keepers that
+        influenced it, by time; after the lasting state of each process.
     """
 
-    __slots__ = ("beliefs", "own")
+    __slots__ = ("context_lines", "request_lines")
 
-    def __init__(self, own: list[Line], beliefs: list[Line]) -> None:
-        self.own = own
-        self.beliefs = beliefs
+    def __init__(self, request_lines: list[Line], context_lines: list[Line]) -> None:
+        self.request_lines = request_lines
+        self.context_lines = context_lines
 
     @property
     def has_end(self) -> bool:
         """Whether one of the lines states how the request ended."""
-        return any(line.text in END_TEXTS for line in self.own)
+        return any(line.text in END_TEXTS for line in self.request_lines)
 
 
 def read_line(process: str, text: str) -> Line | None:
@@ -98,22 +98,25 @@
     :param lines: lines of all processes, in any order.
     """
     ordered = sorted(lines, key=lambda line: line.time_s)
-    own = [line for line in ordered if line.fields.get("request") == request_id]
-    if not own:
+    request_lines = [line for line in ordered if line.fields.get("request") == request_id]
+    if not request_lines:
         return RequestTrace([], [])
-    processes = {line.process for line in own}
+    processes = {line.process for line in request_lines}
     involved = {
-        str(line.fields[name]) for line in own for name in _INSTANCE_FIELDS if name in line.fields
+        str(line.fields[name])
+        for line in request_lines
+        for name in _INSTANCE_FIELDS
+        if name in line.fields
     }
-    from_s = own[0].time_s - CONTEXT_BEFORE_S
-    to_s = own[-1].time_s + CONTEXT_AFTER_S
+    from_s = request_lines[0].time_s - CONTEXT_BEFORE_S
+    to_s = request_lines[-1].time_s + CONTEXT_AFTER_S
     lasting_state = {
         line.process: line
         for line in ordered
         if line.text == LASTING_STATE_TEXT and line.process in processes and line.time_s < from_s
     }
-    context = list(lasting_state.values())
-    context += [
+    context_lines = list(lasting_state.values())
+    context_lines += [
         line
         for line in ordered
         if line.process in processes
@@ -121,7 +124,7 @@
         and "request" not in line.fields
         and _is_about(line, involved)
     ]
-    return RequestTrace(own, context)
+    return RequestTrace(request_lines, context_lines)
 
 
 def _is_about(line: Line, involved: set[str]) -> bool:
--- a/src/spoolhead/_internal/utils/logs.py
+++ b/src/spoolhead/_internal/utils/logs.py
@@ -45,7 +45,7 @@
         """Return the line, followed by the lines of a traceback."""
         fields = getattr(record, "fields", {})
         parts = [_get_time(record), record.levelname, record.name, record.getMessage()]
-        parts.extend(f"{name}={get_text(value)}" for name, value in fields.items())
+        parts.extend(f"{name}={format_value(value)}" for name, value in fields.items())
         line = " ".join(parts)
         if record.exc_info:
             line = f"{line}\n{self.formatException(record.exc_info)}"
@@ -128,6 +128,6 @@
     return moment.isoformat(timespec="milliseconds")
 
 
-def get_text(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a field's value as the text format writes it."""
     return value if isinstance(value, str) else json.dumps(value, default=str)
--- a/src/spoolhead/_internal/utils/metrics.py
+++ b/src/spoolhead/_internal/utils/metrics.py
@@ -49,7 +49,7 @@
         self._gauges: dict[str, float] = {}
         self._times: dict[str, collections.Counter[int]] = {}
 
-    def count(self, metric: Metric, amount: int = 1, *, kind: str = "") -> None:
+    def increment(self, metric: Metric, amount: int = 1, *, kind: str = "") -> None:
         """Add to a counter.
 
         :param kind: suffix of the metric's name, to count kinds separately.
@@ -57,7 +57,7 @@
         name = f"{metric}.{kind}" if kind else str(metric)
         self._counts[name] = self._counts.get(name, 0) + amount
 
-    def time(self, metric: Metric, duration_ms: float) -> None:
+    def record_duration(self, metric: Metric, duration_ms: float) -> None:
         """Record a duration in milliseconds."""
         # Called for each token: counting whole milliseconds costs a tenth of recording them in a
         # histogram, and the durations of one second have few distinct values.
@@ -66,7 +66,7 @@
             times = self._times[metric] = collections.Counter()
         times[min(_MAX_DURATION_MS, max(1, int(duration_ms)))] += 1
 
-    def gauge(self, metric: Metric, value: float) -> None:
+    def set_gauge(self, metric: Metric, value: float) -> None:
         """Set a gauge."""
         self._gauges[metric] = value
 
--- a/src/spoolhead/platform/dialect.py
+++ b/src/spoolhead/platform/dialect.py
@@ -78,18 +78,18 @@
         return expression.Ok(head)
 
     def write_request(
-        self, head: dialects.RequestHead, orders: dialects.AttemptOrders
+        self, head: dialects.RequestHead, parameters: dialects.AttemptParameters
     ) -> dialects.Headers:
         """Return the headers of an attempt other than Host and Content-Length."""
         headers = list(head.headers)
-        headers.append((names.DEADLINE, str(orders.remaining_ms)))
-        headers.append((names.EXPECTED_INSTANCE, orders.instance_id))
-        if orders.workspace:
-            headers.append((names.WORKSPACE, orders.workspace))
-        if orders.urgency is not None:
-            headers.append((names.URGENCY, str(orders.urgency)))
-        if orders.resume is not None:
-            point = orders.resume
+        headers.append((names.DEADLINE, str(parameters.remaining_ms)))
+        headers.append((names.EXPECTED_INSTANCE, parameters.instance_id))
+        if parameters.workspace:
+            headers.append((names.WORKSPACE, parameters.workspace))
+        if parameters.urgency is not None:
+            headers.append((names.URGENCY, str(parameters.urgency)))
+        if parameters.resume is not None:
+            point = parameters.resume
             headers.append((names.RESUME_FROM, f"{point.address}/{point.handle}"))
             headers = [item for item in headers if item[0] != names.LAST_EVENT_ID]
             if point.last_event_id:
@@ -134,21 +134,21 @@
             headers.append((names.RETRY_AFTER, f"{retry_after_ms / 1000:.3f}"))
         return headers
 
-    def write_move(self, order: dialects.MoveOrder) -> dialects.UpstreamOrder:
+    def write_copy_order(self, order: dialects.CopyOrder) -> dialects.UpstreamOrder:
         """Return the encoded order to copy the memory of a run."""
         # In spite of its name, target_version holds the address of the other instance.
         value = {"id": order.request_id, "target_version": order.target_address}
         body = json.dumps(value).encode()
         return dialects.UpstreamOrder(method="POST", target=names.MOVE_PATH, body=body)
 
-    def read_move(self, status: int, body: bytes) -> dialects.MoveAnswer:
+    def read_copy_answer(self, status: int, body: bytes) -> dialects.CopyAnswer:
         """Decode the answer to such an order."""
         try:
             value = json.loads(body) if body else {}
         except ValueError:
             value = {}
         handle = value.get("handle", "") if isinstance(value, dict) else ""
-        return dialects.MoveAnswer(status=status, handle=str(handle or ""))
+        return dialects.CopyAnswer(status=status, handle=str(handle or ""))
 
     def write_release(self, handle: str) -> dialects.UpstreamOrder:
         """Return the encoded order to release a copy."""
--- a/tests/functional/test_stop.py
+++ b/tests/functional/test_stop.py
@@ -85,7 +85,7 @@
         settings.OperatorSettings, str(running.write_operator_settings())
     )
     with peer_call.PeerCall(config.entries[0], config) as call:
-        status = call.ask(messages.GetStatus(request=1), messages.StatusAnswer).status
+        status = call.request(messages.GetStatus(request=1), messages.StatusAnswer).status
     return status["running"] + status["waiting"]
 
 
--- a/tests/lib/consensus_group.py
+++ b/tests/lib/consensus_group.py
@@ -29,7 +29,7 @@
         self.changes.append(data)
         if not data.startswith(b"change-"):
             order = evacuations.unpack_order(msgpack.unpackb(data))
-            self.evacuations.carry_out(order)
+            self.evacuations.apply(order)
 
     def dump(self):
         return msgpack.packb(self.changes)
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -77,10 +77,11 @@
         elif verdict is quarantine.Verdict.CLAIM:
             entry.contents.claim_trial(content_id)
             self.clock.call_later(
-                quarantine.CLAIM_S, lambda: self._try(number, entry, content_id, lasting_s)
+                quarantine.TRIAL_CLAIM_WAIT_S,
+                lambda: self._try(number, entry, content_id, lasting_s),
             )
         else:
-            is_apart = verdict is quarantine.Verdict.RUN_APART
+            is_apart = verdict is quarantine.Verdict.RUN_ISOLATED
             self._run(number, content_id, lasting_s, is_apart=is_apart)
         return verdict
 
@@ -133,7 +134,7 @@
     def _ask(self, entry, incarnation_id):
         def _refused():
             entry.sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED)
-            entry.contents.record_ended(incarnation_id, "Connection refused")
+            entry.contents.record_terminated(incarnation_id, "Connection refused")
 
         self.clock.call_later(REFUSED_AFTER_S, _refused)
 
--- a/tests/lib/fakes.py
+++ b/tests/lib/fakes.py
@@ -11,9 +11,9 @@
 class FakeCall:
     """A call whose events a test triggers."""
 
-    def __init__(self, request, user):
+    def __init__(self, request, listener):
         self.head, _, self.body = request.partition(b"\r\n\r\n")
-        self.user = user
+        self.listener = listener
         self.is_over = False
         self.may_have_arrived = False
 
@@ -53,15 +53,15 @@
     def __init__(self):
         self.made = []
 
-    def open(self, address, request, user, *, fresh=False, is_head=False):
-        call = FakeCall(request, user)
+    def open(self, address, request, listener, *, fresh=False, is_head=False):
+        call = FakeCall(request, listener)
         self.made.append(call)
         return call
 
     def finish_in_background(self, call):
         assert not call.is_over
 
-    def forget(self, address):
+    def close_idle_to(self, address):
         pass
 
     @property
@@ -73,8 +73,8 @@
     """Records the answer that it is sent."""
 
     def __init__(self):
-        self.on_gone = None
-        self.is_gone = False
+        self.on_disconnect = None
+        self.is_disconnected = False
         self.is_started = False
         self.is_finished = False
         self.status = 0
@@ -87,14 +87,14 @@
         self.status = status
         self.data += first
 
-    def send_part(self, data):
+    def send_body_part(self, data):
         assert self.is_started
         assert not self.is_finished
         self.data += data
-        return -1 if self.is_gone else self.unread_bytes
+        return -1 if self.is_disconnected else self.unread_bytes
 
-    def send_whole(self, status, headers, body):
-        if self.is_gone:
+    def send_answer(self, status, headers, body):
+        if self.is_disconnected:
             return
         assert not self.is_started
         self.is_started = self.is_finished = True
@@ -223,9 +223,9 @@
 class FakeLink:
     """An outgoing connection that is connected immediately."""
 
-    def __init__(self, address, user):
+    def __init__(self, address, listener):
         self.address = address
-        self.user = user
+        self.listener = listener
         self.is_connected = True
         self.is_closed = False
         self.sent = []
@@ -247,10 +247,10 @@
     def __init__(self):
         self.opened = []
 
-    def open(self, address, user, *, connect_ms):
-        self.opened.append(FakeLink(address, user))
+    def open(self, address, listener, *, connect_ms):
+        self.opened.append(FakeLink(address, listener))
         return self.opened[-1]
 
     def abort(self, link, reason):
         link.close()
-        link.user.on_lost(reason)
+        link.listener.on_lost(reason)
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -88,8 +88,8 @@
 class GatewayCall(fakes.FakeCall):
     """A call to an instance, answered or lost by the test."""
 
-    def __init__(self, address, request, user, fresh):
-        super().__init__(request, user)
+    def __init__(self, address, request, listener, fresh):
+        super().__init__(request, listener)
         self.address = address
         self.fresh = fresh
         self.is_answer_complete = False
@@ -104,20 +104,20 @@
 
     def answer(self, status, headers, *parts, whole=True):
         self.send()
-        self.user.on_answer_head(status, headers)
+        self.listener.on_answer_head(status, headers)
         for part in parts:
-            self.user.on_answer_body(part)
+            self.listener.on_answer_body(part)
         if whole:
             self.end()
 
     def end(self):
         self.is_over = True
         self.is_answer_complete = True
-        self.user.on_answer_end()
+        self.listener.on_answer_end()
 
     def lose(self, reason="Connection reset by peer"):
         self.is_over = True
-        self.user.on_call_lost(reason)
+        self.listener.on_call_lost(reason)
 
 
 class GatewayCalls:
@@ -126,8 +126,8 @@
     def __init__(self):
         self.made = []
 
-    def open(self, address, request, user, *, fresh=False, is_head=False):
-        call = GatewayCall(address, request, user, fresh)
+    def open(self, address, request, listener, *, fresh=False, is_head=False):
+        call = GatewayCall(address, request, listener, fresh)
         self.made.append(call)
         return call
 
@@ -146,9 +146,9 @@
         self.request = wire
         self.headers = []
 
-    def send_whole(self, status, headers, body):
+    def send_answer(self, status, headers, body):
         self.headers = list(headers)
-        super().send_whole(status, headers, body)
+        super().send_answer(status, headers, body)
 
     def get_header(self, name):
         return dict(self.headers).get(name)
@@ -277,7 +277,7 @@
             if not fill:
                 upstream.in_flight.clear()
         for name, count in (busy or {}).items():
-            self.registry.get(name).others = shared_load.InstanceLoad(count=count)
+            self.registry.get(name).other_load = shared_load.InstanceLoad(count=count)
         self.ended = []
         self.lost = []
         self.replaced = []
@@ -342,7 +342,7 @@
             contents=self.contents,
             limits=self.limits,
             permits=self.permits,
-            query_end=self.asked.append,
+            query_termination=self.asked.append,
             get_silent_halls=frozenset,
             get_load_age_ms=lambda: 20,
             metrics=entry_metrics.EntryMetrics(prometheus_metrics.PrometheusMetrics()),
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -79,7 +79,7 @@
 class FakeContext:
     """What news need of an entry without requests."""
 
-    def query_end_if_abandoned(self, upstream):
+    def query_termination_if_abandoned(self, upstream):
         pass
 
 
@@ -281,7 +281,7 @@
         upstream = observer.registry.get(name)
 
         def _look():
-            if upstream.others.tokens == expected:
+            if upstream.other_load.tokens == expected:
                 self.ages_ms.append((self.clock.now_s - began_s) * 1000)
             elif self.get_held(name, except_by=observer) == expected:
                 self.clock.call_later(AGE_STEP_S, _look)
@@ -299,7 +299,7 @@
     def is_agreed(self):
         """Tell whether every living entry knows exactly what the others hold."""
         return all(
-            entry.registry.get(name).others.tokens == self.get_held(name, except_by=entry)
+            entry.registry.get(name).other_load.tokens == self.get_held(name, except_by=entry)
             for entry in self.entries
             if entry.process.is_up
             for name in self.instances
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -22,14 +22,14 @@
 
     :ivar per_s: how many begin in a second, in the whole fleet.
     :ivar prompt_tokens: its prompt.
-    :ivar made_tokens: tokens made, in the mean; the real ones spread by half.
+    :ivar generated_tokens: tokens made, in the mean; the real ones spread by half.
     :ivar token_ms: time for each of them.
     """
 
-    def __init__(self, per_s, *, prompt_tokens, made_tokens, token_ms=10):
+    def __init__(self, per_s, *, prompt_tokens, generated_tokens, token_ms=10):
         self.per_s = per_s
         self.prompt_tokens = prompt_tokens
-        self.made_tokens = made_tokens
+        self.generated_tokens = generated_tokens
         self.token_ms = token_ms
 
 
@@ -93,8 +93,8 @@
     def _arrive(self, kind):
         self._later(self.rng.expovariate(kind.per_s), lambda: self._arrive(kind))
         hall = self.rng.choice(self.halls)
-        made_tokens = int(kind.made_tokens * self.rng.uniform(0.5, 1.5))
-        need_tokens = kind.prompt_tokens + made_tokens
+        generated_tokens = int(kind.generated_tokens * self.rng.uniform(0.5, 1.5))
+        need_tokens = kind.prompt_tokens + generated_tokens
         request = run_admission.Request(
             rank=0,
             need_tokens=need_tokens,
@@ -102,7 +102,7 @@
             objective_ms=1_800,
             arrived_s=self.now_s,
         )
-        view = upstream_choice.View(
+        context = upstream_choice.ChoiceContext(
             hall=hall,
             silent_halls=(),
             cut_off_halls=(),
@@ -117,11 +117,11 @@
             self.registry.get_service("s"),
             need_tokens=need_tokens,
             excluded=(),
-            view=view,
+            context=context,
         ).prefer(lambda item: run_admission.has_room(engine, item, request))
-        self._begin(Run(hall, kind, choice.upstream, self.now_s), need_tokens, made_tokens)
+        self._begin(Run(hall, kind, choice.upstream, self.now_s), need_tokens, generated_tokens)
 
-    def _begin(self, run, need_tokens, made_tokens):
+    def _begin(self, run, need_tokens, generated_tokens):
         self.running.add(run)
         upstream = run.upstream
         work = upstream_registry.InFlightRequest(
@@ -143,7 +143,7 @@
             self.ended.append(run)
 
         self._later(read_s - self.now_s, _record_prefill_end)
-        self._later(read_s - self.now_s + made_tokens * run.kind.token_ms / 1000, _end)
+        self._later(read_s - self.now_s + generated_tokens * run.kind.token_ms / 1000, _end)
 
     def get_part_across(self):
         """Return the part of all runs that stood in another hall than their entry."""
--- a/tests/patterns/test_hall_cut.py
+++ b/tests/patterns/test_hall_cut.py
@@ -19,8 +19,8 @@
 
 def _play(halls, engines, long_per_s, short_per_s):
     kinds = (
-        placement_load.Kind(long_per_s, prompt_tokens=3_079, made_tokens=950),
-        placement_load.Kind(short_per_s, prompt_tokens=2_550, made_tokens=12),
+        placement_load.Kind(long_per_s, prompt_tokens=3_079, generated_tokens=950),
+        placement_load.Kind(short_per_s, prompt_tokens=2_550, generated_tokens=12),
     )
     load = placement_load.PlacementLoad(halls=halls, engines=engines, kinds=kinds)
     load.run(SECONDS)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -43,7 +43,7 @@
     def _ask(self, entry, kind):
         self._count += 1
         request_id = f"{self._prefix}-{self._count}"
-        asked = records.EndQuery(
+        asked = records.SentRequest(
             request_id=request_id, kind=kind, entry=entry, sent_s=time.monotonic()
         )
         if kind == "version":
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class EndQuery:
+class SentRequest:
     """One request of a caller.
 
     :ivar request_id: its id.
--- a/tests/unit/test_alarm_broadcast.py
+++ b/tests/unit/test_alarm_broadcast.py
@@ -91,7 +91,7 @@
 def test_reports_carry_an_alarm_while_it_holds_and_no_longer(kind, for_ms, carried):
     """Guards against a late report that ends or extends the cold state of an instance."""
     exchange = alarm_exchange.AlarmExchange(
-        "e1", 1, upstream_registry.UpstreamRegistry(), on_alarm=None, on_ended=None
+        "e1", 1, upstream_registry.UpstreamRegistry(), on_alarm=None, on_terminated=None
     )
     exchange.raise_alarm("i-1", kind, 0.0, for_ms=for_ms)
     times_s = [float(number) for number in range(8)]
--- a/tests/unit/test_content_fleet.py
+++ b/tests/unit/test_content_fleet.py
@@ -14,7 +14,9 @@
 POLL_STEP_S = 0.002
 MAX_LATE_RUNS = 3
 """Maximum number of runs later than three seconds after the third crash."""
-MISTAKE_CLEARED_S = quarantine.TRIAL_DELAY_S + quarantine.CLAIM_S + content_fleet.CONTACT_S
+MISTAKE_CLEARED_S = (
+    quarantine.TRIAL_DELAY_S + quarantine.TRIAL_CLAIM_WAIT_S + content_fleet.CONTACT_S
+)
 """Time after which a harmless request that was held by mistake, and is sent again, is served."""
 
 
@@ -223,7 +225,7 @@
         fleet.run(quarantine.TRIAL_DELAY_S)
         began_s = fleet.clock.now_s
         fleet.send(0, content, lasting_s=0.1)
-        fleet.run(quarantine.CLAIM_S + content_fleet.CONTACT_S)
+        fleet.run(quarantine.TRIAL_CLAIM_WAIT_S + content_fleet.CONTACT_S)
         assert any(run.content_id == content and run.sent_s >= began_s for run in fleet.sent)
 
 
--- a/tests/unit/test_evacuations.py
+++ b/tests/unit/test_evacuations.py
@@ -30,9 +30,9 @@
 def test_an_order_overtaken_by_its_withdrawal_comes_to_nothing():
     state = evacuations.Evacuations()
     delayed_order = _make_order(state, "a", True, "first")
-    assert state.carry_out(_make_order(state, "a", True, "again"))
-    assert state.carry_out(_make_order(state, "a", False))
-    assert not state.carry_out(delayed_order)
+    assert state.apply(_make_order(state, "a", True, "again"))
+    assert state.apply(_make_order(state, "a", False))
+    assert not state.apply(delayed_order)
     assert state.evacuated_halls == frozenset()
 
 
@@ -40,16 +40,16 @@
     """An operator gives an order up and withdraws it to be sure; the order arrives after that."""
     state = evacuations.Evacuations()
     delayed_order = _make_order(state, "a", True)
-    assert state.carry_out(_make_order(state, "a", False))
-    assert not state.carry_out(delayed_order)
+    assert state.apply(_make_order(state, "a", False))
+    assert not state.apply(delayed_order)
     assert not state.is_evacuated("a")
 
 
 def test_orders_on_other_halls_do_not_stand_in_the_way():
     state = evacuations.Evacuations()
     order = _make_order(state, "a", True)
-    state.carry_out(_make_order(state, "b", True))
-    assert state.carry_out(order)
+    state.apply(_make_order(state, "b", True))
+    assert state.apply(order)
     assert state.evacuated_halls == {"a", "b"}
 
 
@@ -69,9 +69,9 @@
     for number, (hall, is_evacuated, earlier) in enumerate(steps):
         order = _make_order(state, hall, is_evacuated, f"o-{number}")
         sent.append(order)
-        assert state.carry_out(order)
+        assert state.apply(order)
         wanted[hall] = is_evacuated
-        state.carry_out(sent[earlier % len(sent)])
+        state.apply(sent[earlier % len(sent)])
         assert {name: state.is_evacuated(name) for name in wanted} == wanted
 
 
@@ -135,11 +135,11 @@
 def test_a_run_in_a_hall_that_is_evacuated_ends_where_it_is():
     setting = gateway_setting.Setting(STREAM)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     _evacuate(setting, "hall-a")
     assert setting.calls.copies == []
-    setting.last.user.on_answer_body(gateway_setting.make_events(4, 2))
+    setting.last.listener.on_answer_body(gateway_setting.make_events(4, 2))
     setting.last.end()
     assert setting.caller.is_finished and setting.caller.status == 200
 
@@ -161,8 +161,8 @@
 def test_a_copy_in_a_hall_that_is_evacuated_is_given_up():
     setting = gateway_setting.Setting(STREAM)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     source = setting.exchange.upstream.instance.instance_id
     setting.leave(source)
     (order,) = setting.calls.copies
--- a/tests/unit/test_flow.py
+++ b/tests/unit/test_flow.py
@@ -65,10 +65,10 @@
             self.next_index[call] = call.first_index
         else:
             self.ended.add(call)
-        call.user.on_answer_head(status, EVENT_STREAM)
+        call.listener.on_answer_head(status, EVENT_STREAM)
         if status != 200:
-            call.user.on_answer_body(b'{"error": {}}')
-            call.user.on_answer_end()
+            call.listener.on_answer_body(b'{"error": {}}')
+            call.listener.on_answer_end()
 
     @stateful.rule(
         data=strategies.data(), back=strategies.integers(0, 3), count=strategies.integers(1, 5)
@@ -79,7 +79,7 @@
             return
         first = max(0, self.next_index[call] - back)
         last = min(LENGTH, first + count)
-        call.user.on_answer_body(
+        call.listener.on_answer_body(
             b"".join(_make_event(call.generation, n) for n in range(first, last))
         )
         self.next_index[call] = max(self.next_index[call], last)
@@ -88,13 +88,13 @@
     def gap(self, data):
         call = self._draw_attempt(data)
         if call is not None and call in self.next_index:
-            call.user.on_answer_body(_make_event(call.generation, self.next_index[call] + 2))
+            call.listener.on_answer_body(_make_event(call.generation, self.next_index[call] + 2))
 
     @stateful.rule(data=strategies.data())
     def foreign(self, data):
         call = self._draw_attempt(data)
         if call is not None and call in self.next_index and self.next_index[call]:
-            call.user.on_answer_body(_make_event("foreign", self.next_index[call]))
+            call.listener.on_answer_body(_make_event("foreign", self.next_index[call]))
 
     @stateful.rule(data=strategies.data())
     def done(self, data):
@@ -102,8 +102,8 @@
         if call is None or self.next_index.get(call, 0) < LENGTH:
             return
         self.ended.add(call)
-        call.user.on_answer_body(b"data: [DONE]\n\n")
-        call.user.on_answer_end()
+        call.listener.on_answer_body(b"data: [DONE]\n\n")
+        call.listener.on_answer_end()
 
     @stateful.rule(data=strategies.data(), clean=strategies.booleans())
     def lose(self, data, clean):
@@ -112,9 +112,9 @@
             return
         self.ended.add(call)
         if clean and call in self.next_index:
-            call.user.on_answer_end()
+            call.listener.on_answer_end()
         else:
-            call.user.on_call_lost("reset")
+            call.listener.on_call_lost("reset")
 
     @stateful.rule(passed_s=strategies.sampled_from([0.2, 0.2, 2.0, 2.0, 40.0]))
     def pass_time(self, passed_s):
@@ -124,9 +124,9 @@
     @stateful.rule(does_leave=strategies.sampled_from([False, False, False, True]))
     def leave(self, does_leave):
         caller = self.harness.caller
-        if does_leave and not caller.is_gone and not caller.is_finished:
-            caller.is_gone = True
-            caller.on_gone()
+        if does_leave and not caller.is_disconnected and not caller.is_finished:
+            caller.is_disconnected = True
+            caller.on_disconnect()
 
     @stateful.invariant()
     def delivered_is_a_prefix_of_one_generation(self):
@@ -158,7 +158,7 @@
         if results[0].ran is codes.Ran.NO:
             assert not acted
         caller = self.harness.caller
-        if not caller.is_gone:
+        if not caller.is_disconnected:
             assert caller.is_finished
             if results[0].code is not codes.ResultCode.OK:
                 text = caller.data[caller.data.index(b'{"error"') :]
@@ -198,7 +198,7 @@
         if not call.is_over and not self.harness.flow.is_over:
             call.may_have_arrived = call.may_have_arrived or arrives
             call.is_over = True
-            call.user.on_call_lost("reset")
+            call.listener.on_call_lost("reset")
 
     @stateful.rule(status=strategies.sampled_from([200, 429, 500, 503]))
     def answer(self, status):
@@ -206,10 +206,10 @@
         if call.is_over or self.harness.flow.is_over:
             return
         call.may_have_arrived = True
-        call.user.on_answer_head(status, [])
-        call.user.on_answer_body(b"abc")
+        call.listener.on_answer_head(status, [])
+        call.listener.on_answer_body(b"abc")
         call.is_over = True
-        call.user.on_answer_end()
+        call.listener.on_answer_end()
 
     @stateful.rule(passed_s=strategies.sampled_from([1.0, 35.0, 200.0]))
     def pass_time(self, passed_s):
@@ -233,16 +233,16 @@
     harness = fakes.FlowHarness(fakes.make_request())
     first = harness.calls.attempts[0]
     first.may_have_arrived = True
-    first.user.on_answer_head(200, EVENT_STREAM)
-    first.user.on_call_lost("reset")
+    first.listener.on_answer_head(200, EVENT_STREAM)
+    first.listener.on_call_lost("reset")
     second = harness.calls.attempts[1]
     assert first.generation != second.generation
-    first.user.on_answer_body(_make_event(first.generation, 0))
+    first.listener.on_answer_body(_make_event(first.generation, 0))
     assert harness.caller.data == b""
-    second.user.on_answer_head(200, EVENT_STREAM)
-    second.user.on_answer_body(_make_event(second.generation, 0))
-    first.user.on_answer_body(_make_event(first.generation, 1))
-    first.user.on_answer_end()
+    second.listener.on_answer_head(200, EVENT_STREAM)
+    second.listener.on_answer_body(_make_event(second.generation, 0))
+    first.listener.on_answer_body(_make_event(first.generation, 1))
+    first.listener.on_answer_end()
     assert harness.caller.data == _make_event(second.generation, 0)
     assert not harness.flow.is_over
 
@@ -252,11 +252,11 @@
     for _ in range(2):
         call = harness.calls.attempts[-1]
         call.may_have_arrived = True
-        call.user.on_answer_head(200, EVENT_STREAM)
-        call.user.on_answer_body(_make_event(call.generation, call.first_index))
-        call.user.on_call_lost("reset")
+        call.listener.on_answer_head(200, EVENT_STREAM)
+        call.listener.on_answer_body(_make_event(call.generation, call.first_index))
+        call.listener.on_call_lost("reset")
     assert len({call.generation for call in harness.calls.attempts}) == 1
-    harness.calls.attempts[-1].user.on_answer_head(404, [])
+    harness.calls.attempts[-1].listener.on_answer_head(404, [])
     assert harness.result.code is codes.ResultCode.GENERATION_LOST
     assert len({call.generation for call in harness.calls.attempts}) == 1
 
@@ -265,25 +265,25 @@
     harness = fakes.FlowHarness(fakes.make_request())
     call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    call.user.on_answer_head(200, EVENT_STREAM)
-    call.user.on_answer_body(_make_event(call.generation, 0))
-    call.user.on_call_lost("reset")
+    call.listener.on_answer_head(200, EVENT_STREAM)
+    call.listener.on_answer_body(_make_event(call.generation, 0))
+    call.listener.on_call_lost("reset")
     for _ in range(10):
         if harness.flow.is_over:
             break
-        harness.calls.attempts[-1].user.on_call_lost("refused")
+        harness.calls.attempts[-1].listener.on_call_lost("refused")
     assert harness.result.code is codes.ResultCode.GENERATION_LOST
 
 
 def test_an_attempt_that_never_arrived_does_not_count():
     harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False, once=True))
     for _ in range(10):
-        harness.calls.attempts[-1].user.on_call_lost("refused")
+        harness.calls.attempts[-1].listener.on_call_lost("refused")
     assert not harness.flow.is_over
     call = harness.calls.attempts[-1]
     call.may_have_arrived = True
-    call.user.on_answer_head(200, [])
-    call.user.on_answer_end()
+    call.listener.on_answer_head(200, [])
+    call.listener.on_answer_end()
     assert harness.result.code is codes.ResultCode.OK
 
 
@@ -291,16 +291,16 @@
     harness = fakes.FlowHarness(fakes.make_request())
     call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    harness.caller.is_gone = True
-    harness.caller.on_gone()
+    harness.caller.is_disconnected = True
+    harness.caller.on_disconnect()
     assert [item.generation for item in harness.calls.made if item.is_cancel_order] == ["r.1"]
 
 
 def test_a_whole_answer_beyond_bounds_is_refused():
     harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False))
     call = harness.calls.attempts[0]
-    call.user.on_answer_head(200, [])
-    call.user.on_answer_body(b"x" * 1_001)
+    call.listener.on_answer_head(200, [])
+    call.listener.on_answer_body(b"x" * 1_001)
     assert harness.result.code is codes.ResultCode.ANSWER_TOO_LARGE
     assert call.is_over
 
@@ -309,9 +309,9 @@
     harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False, once=True))
     call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    call.user.on_answer_head(200, [])
-    call.user.on_answer_body(b"half")
-    call.user.on_call_lost("reset")
+    call.listener.on_answer_head(200, [])
+    call.listener.on_answer_body(b"half")
+    call.listener.on_call_lost("reset")
     assert b"half" not in harness.caller.data
     assert (harness.result.code, harness.ran) == (codes.ResultCode.UPSTREAM_LOST, codes.Ran.UNKNOWN)
 
@@ -339,7 +339,7 @@
     call = harness.calls.made[-1]
     call.may_have_arrived = True
     call.is_over = True
-    call.user.on_call_lost("Connection reset by peer")
+    call.listener.on_call_lost("Connection reset by peer")
     assert harness.contents.lost == ["u1@entry.0"]
     assert [item for item in harness.calls.made if not item.is_cancel_order] == [call]
     assert harness.result.code is codes.ResultCode.UPSTREAM_LOST
@@ -348,13 +348,13 @@
 def test_a_request_abandoned_is_remembered_where_it_may_run():
     harness = fakes.FlowHarness(fakes.make_request())
     harness.calls.made[-1].may_have_arrived = True
-    harness.caller.on_gone()
+    harness.caller.on_disconnect()
     assert harness.contents.abandoned == ["u1@entry.0"]
 
 
 def test_a_request_abandoned_before_it_arrived_is_not_remembered():
     harness = fakes.FlowHarness(fakes.make_request())
-    harness.caller.on_gone()
+    harness.caller.on_disconnect()
     assert not harness.contents.abandoned
 
 
@@ -362,7 +362,7 @@
     harness = fakes.FlowHarness(fakes.make_request())
     call = harness.calls.made[-1]
     call.is_over = True
-    call.user.on_call_lost(links.REFUSED)
+    call.listener.on_call_lost(links.REFUSED)
     assert harness.contents.unreachable == ["u1"]
 
 
@@ -371,8 +371,8 @@
     harness = fakes.FlowHarness(fakes.make_request(kind="plain", stream=False))
     call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    call.user.on_answer_head(status, [])
-    call.user.on_answer_end()
+    call.listener.on_answer_head(status, [])
+    call.listener.on_answer_end()
     assert harness.caller.status == status
     assert bool(harness.contents.harmless) is is_harmless
 
@@ -387,6 +387,6 @@
     replica = harness.flow.replica
     call = harness.calls.attempts[0]
     call.may_have_arrived = True
-    call.user.on_answer_head(503, [("retry-after", text)])
+    call.listener.on_answer_head(503, [("retry-after", text)])
     assert replica.health.is_ejected(rest_s / 2) is bool(rest_s)
     assert not replica.health.is_ejected(rest_s + 0.01)
--- a/tests/unit/test_gateway_plain.py
+++ b/tests/unit/test_gateway_plain.py
@@ -100,8 +100,8 @@
 def test_a_caller_that_leaves_ends_the_work():
     setting = gateway_setting.Setting(ONCE)
     setting.last.send()
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
+    setting.caller.is_disconnected = True
+    setting.caller.on_disconnect()
     assert setting.last.is_over
     assert len(setting.ended) == 1
     assert not any(upstream.in_flight for upstream in setting.registry.get_all())
--- a/tests/unit/test_gateway_streams.py
+++ b/tests/unit/test_gateway_streams.py
@@ -171,8 +171,8 @@
 def test_a_caller_that_leaves_ends_the_run_and_frees_the_copy():
     setting = _start(tokens="3000,2000")
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
+    setting.caller.is_disconnected = True
+    setting.caller.on_disconnect()
     assert setting.last.is_over
     assert not any(upstream.in_flight for upstream in setting.registry.get_all())
 
@@ -182,8 +182,8 @@
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
     setting.leave(setting.last.address.removesuffix(":80"))
     copy = setting.calls.copies[-1]
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
+    setting.caller.is_disconnected = True
+    setting.caller.on_disconnect()
     assert not copy.is_over
     assert not _get_release_calls(setting)
     copy.answer(200, [], b'{"handle": "h-1", "made": 3}')
@@ -198,8 +198,8 @@
     setting.last.answer(200, SIGNED, make_events(1, 3), whole=False)
     setting.leave(setting.last.address.removesuffix(":80"))
     copies = setting.calls.copies
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
+    setting.caller.is_disconnected = True
+    setting.caller.on_disconnect()
     copies[-1].lose()
     assert len(setting.calls.copies) == len(copies)
     assert not _get_release_calls(setting)
@@ -238,8 +238,8 @@
 def test_a_caller_that_leaves_while_its_generation_waits_reaches_no_instance():
     setting = _start(fill=34_000)
     assert not setting.calls.attempts
-    setting.caller.is_gone = True
-    setting.caller.on_gone()
+    setting.caller.is_disconnected = True
+    setting.caller.on_disconnect()
     for upstream in setting.registry.get_all():
         upstream.in_flight.clear()
     setting.timers.run_due(60.0)
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -6,7 +6,7 @@
 from spoolhead._internal.gateway import health_watch
 from spoolhead._internal.models import fleet, route_table
 from spoolhead._internal.network import links
-from spoolhead._internal.policy import upstream_registry, watch_duty
+from spoolhead._internal.policy import probe_assignment, upstream_registry
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 from spoolhead.platform import dialect
@@ -127,7 +127,7 @@
     expected = 0
     for other in names:
         watchers = [fleet.Process(name=n, hall="hall-a", address="") for n in ("entry-1", other)]
-        expected += watch_duty.is_watcher("entry-1", watchers, instance)
+        expected += probe_assignment.is_assigned("entry-1", watchers, instance)
     assert probe_count == expected
 
 
--- a/tests/unit/test_held_contents.py
+++ b/tests/unit/test_held_contents.py
@@ -152,12 +152,12 @@
     second = entry.submit(fakes.make_request(kind="plain", stream=False))
     assert not entry.calls.attempts
     assert second.status == 503
-    entry.timers.run(quarantine.CLAIM_S + 0.01)
+    entry.timers.run(quarantine.TRIAL_CLAIM_WAIT_S + 0.01)
     entry.dispatcher.reject_held(content_id)
     (call,) = entry.calls.attempts
     call.may_have_arrived = True
-    call.user.on_answer_head(200, [])
-    call.user.on_answer_end()
+    call.listener.on_answer_head(200, [])
+    call.listener.on_answer_end()
     assert caller.status == 200
     assert not entry.contents.is_held(content_id)
 
@@ -167,5 +167,5 @@
     request = fakes.make_request(kind="plain", stream=False)
     entry.hold(request, since_s=0.0)
     assert entry.submit(request).status == 503
-    entry.timers.run(quarantine.CLAIM_S + 0.01)
+    entry.timers.run(quarantine.TRIAL_CLAIM_WAIT_S + 0.01)
     assert not entry.calls.made
--- a/tests/unit/test_held_requests.py
+++ b/tests/unit/test_held_requests.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lib import gateway_setting
-from spoolhead._internal.contents import end_watch
+from spoolhead._internal.contents import termination_watch
 from spoolhead._internal.gateway import stream_exchange, upstream_events
 from spoolhead._internal.models import codes, route_table
 from spoolhead._internal.network import links
@@ -34,7 +34,7 @@
     for number in numbers:
         clock.now_s += 1.0
         contents.record_lost(f"former-{number}", content_id, clock.now_s - 0.1)
-        contents.record_ended(f"former-{number}", "Connection refused")
+        contents.record_terminated(f"former-{number}", "Connection refused")
 
 
 @pytest.fixture
@@ -132,7 +132,7 @@
     _crash(contents, clock, _get_content_id(), 1, 2)
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
-    setting.timers.run_due(quarantine.CLAIM_S)
+    setting.timers.run_due(quarantine.TRIAL_CLAIM_WAIT_S)
     setting.last.answer(status, SIGNED, gateway_setting.make_events(1, 3))
     assert contents.is_held(setting.exchange.job.content_id) is not is_cleared
 
@@ -149,7 +149,7 @@
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
     assert not setting.calls.attempts
-    setting.timers.run_due(quarantine.CLAIM_S)
+    setting.timers.run_due(quarantine.TRIAL_CLAIM_WAIT_S)
     assert len(setting.calls.attempts) == 1
     again = gateway_setting.Setting(STREAM, contents=contents)
     assert again.caller.status == 503
@@ -164,8 +164,8 @@
     _crash(contents, clock, _get_content_id(), 1, 2)
     clock.now_s += quarantine.TRIAL_DELAY_S
     setting = gateway_setting.Setting(STREAM, contents=contents)
-    setting.caller.on_gone()
-    setting.timers.run_due(quarantine.CLAIM_S)
+    setting.caller.on_disconnect()
+    setting.timers.run_due(quarantine.TRIAL_CLAIM_WAIT_S)
     assert not setting.calls.attempts
 
 
@@ -175,7 +175,7 @@
     setting.leave("i-1")
     setting.last.send()
     setting.last.lose()
-    contents.record_ended("i-1", "no longer listed")
+    contents.record_terminated("i-1", "no longer listed")
     assert not contents.is_suspect(setting.exchange.job.content_id)
     assert not setting.asked
 
@@ -187,7 +187,7 @@
     setting.last.lose()
     (upstream,) = setting.asked
     assert not contents.is_suspect(setting.exchange.job.content_id)
-    contents.record_ended(upstream.instance.incarnation_id, "Connection refused")
+    contents.record_terminated(upstream.instance.incarnation_id, "Connection refused")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -196,7 +196,7 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.lose(links.REFUSED)
     assert not setting.asked
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -213,19 +213,21 @@
         setting.last.send()
         setting.last.lose()
         (self.upstream,) = setting.asked
-        self.watch = end_watch.EndWatch(
+        self.watch = termination_watch.TerminationWatch(
             self.calls,
             self.timers,
             self.contents,
             read_instance_id=lambda status, headers: dialect.Dialect()
             .read_answer(status, headers)
             .instance_id,
-            on_ended=self.told.append,
+            on_terminated=self.told.append,
         )
         self.ask()
 
     def ask(self):
-        asked = end_watch.EndQuery("i-1", instance_id="i-1", address="i-1:80", path="/healthz")
+        asked = termination_watch.TerminationQuery(
+            "i-1", instance_id="i-1", address="i-1:80", path="/healthz"
+        )
         self.watch.query(asked)
 
     @property
@@ -251,7 +253,7 @@
 def test_an_instance_that_answers_lost_the_request_by_something_else(clock):
     entry = QueryingEntry(clock)
     entry.calls.made[0].answer(503, [("x-replica-id", "i-1")])
-    entry.contents.record_ended("i-1", "no longer listed")
+    entry.contents.record_terminated("i-1", "no longer listed")
     assert not entry.is_suspect
     assert not entry.told
 
@@ -261,7 +263,7 @@
     entry = QueryingEntry(clock)
     entry.calls.made[0].lose(reason)
     assert not entry.is_suspect
-    entry.contents.record_ended("i-1", "no longer listed")
+    entry.contents.record_terminated("i-1", "no longer listed")
     assert entry.is_suspect
 
 
@@ -272,7 +274,7 @@
     entry = QueryingEntry(clock)
     entry.calls.made[0].lose("Connection reset by peer")
     assert not entry.is_suspect
-    entry.timers.run_due(end_watch.RETRY_INTERVAL_S)
+    entry.timers.run_due(termination_watch.RETRY_INTERVAL_S)
     entry.calls.made[1].lose(links.REFUSED)
     assert entry.is_suspect
 
@@ -283,14 +285,14 @@
         if len(entry.calls.made) == number:
             break
         entry.calls.made[number].lose("Connection reset by peer")
-        entry.timers.run_due(end_watch.RETRY_INTERVAL_S)
-    assert len(entry.calls.made) == end_watch.MAX_QUERIES
+        entry.timers.run_due(termination_watch.RETRY_INTERVAL_S)
+    assert len(entry.calls.made) == termination_watch.MAX_QUERIES
     assert not entry.is_suspect
 
 
 def test_silence_leaves_it_open_and_it_may_be_asked_again(clock):
     entry = QueryingEntry(clock)
-    entry.timers.run_due(end_watch.ANSWER_TIMEOUT_S)
+    entry.timers.run_due(termination_watch.ANSWER_TIMEOUT_S)
     assert entry.calls.made[0].is_over
     assert not entry.is_suspect
     entry.ask()
@@ -346,7 +348,7 @@
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1", "i-2"))
     clock.now_s += 1.0
     setting.exchange._attempt.sent_s = clock.now_s
-    contents.record_ended(setting.last.address.removesuffix(":80"), "told")
+    contents.record_terminated(setting.last.address.removesuffix(":80"), "told")
     clock.now_s += 1.0
     setting.last.send()
     setting.last.lose()
@@ -365,7 +367,7 @@
     for name in ("x-1", "x-2", "x-3"):
         contents.record_lost(name, content_id, clock.now_s - 1.0)
     for name in ("x-1", "x-2", "x-3"):
-        contents.record_ended(name, "Connection refused")
+        contents.record_terminated(name, "Connection refused")
     assert contents.is_held(content_id)
     assert not setting.last.is_over
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 3))
@@ -382,10 +384,10 @@
     if abandon == "deadline":
         setting.exchange._on_deadline()
     else:
-        setting.caller.on_gone()
+        setting.caller.on_disconnect()
     assert setting.last.is_over
     clock.now_s += 0.2
-    contents.record_ended("i-1", "told by another entry")
+    contents.record_terminated("i-1", "told by another entry")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -393,17 +395,17 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     clock.now_s += lost_runs.ABANDONED_TTL_S + 0.1
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
 def test_a_request_that_never_arrived_does_not_count_when_it_is_abandoned(clock):
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
-    setting.caller.on_gone()
-    contents.record_ended("i-1", "Connection refused")
+    setting.caller.on_disconnect()
+    contents.record_terminated("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -412,8 +414,8 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
     setting.leave("i-1")
-    setting.caller.on_gone()
-    contents.record_ended("i-1", "no longer listed")
+    setting.caller.on_disconnect()
+    contents.record_terminated("i-1", "no longer listed")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -422,7 +424,7 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(kind, contents=contents, names=("i-1",))
     setting.last.answer(200, SIGNED, gateway_setting.make_events(1, 3))
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     assert not contents.is_suspect(setting.exchange.job.content_id)
 
 
@@ -430,16 +432,16 @@
     contents = _make_contents(clock)
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     contents.record_alive("i-1")
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     assert contents.is_suspect(setting.exchange.job.content_id)
 
 
 def _abandon(contents, *, leave=()):
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     setting.last.send()
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     setting.list(leaving=leave)
     return setting
 
@@ -480,13 +482,13 @@
     setting = gateway_setting.Setting(STREAM, contents=contents, names=("i-1",))
     content_id = setting.exchange.job.content_id
     setting.last.send()
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     sent_s = clock.now_s + 0.1
     clock.now_s += 0.2
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     clock.now_s += 0.2
     contents.record_lost("i-2", content_id, sent_s)
-    contents.record_ended("i-2", "Connection refused")
+    contents.record_terminated("i-2", "Connection refused")
     assert not contents.is_held(content_id)
 
 
@@ -496,6 +498,6 @@
     clock.now_s += lost_runs.ABANDONED_TTL_S
     contents.record_abandoned("i-1", b"late", clock.now_s - 0.1)
     clock.now_s += 0.1
-    contents.record_ended("i-1", "Connection refused")
+    contents.record_terminated("i-1", "Connection refused")
     assert contents.is_suspect(b"late")
     assert not contents.is_suspect(b"early")
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_words.py
@@ -93,7 +93,7 @@
     assert not rest.is_likely_to_reject(2.1)
     rest.record_sent(2.1)
     assert rest.is_likely_to_reject(2.2)
-    rest.record_taken()
+    rest.record_accepted()
     assert not rest.is_likely_to_reject(2.3)
 
 
@@ -141,7 +141,7 @@
     """Guards against an entry that waits for a list that is late or unreadable."""
     setting = gateway_setting.Setting(kind, names=("i-1",))
     (upstream,) = setting.registry.get_all()
-    setting.last.user.on_answer_head(200, LEAVING)
+    setting.last.listener.on_answer_head(200, LEAVING)
     setting.list()
     now_s = clocks.get_s()
     for later_s in (0.0, 5.0, 600.0):
@@ -157,8 +157,8 @@
 def test_a_run_leaves_an_instance_that_says_that_it_leaves():
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 2))
     name = setting.last.address.removesuffix(":80")
     setting.news.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
     assert len(setting.calls.copies) == 1
@@ -167,16 +167,16 @@
 def test_the_end_of_an_instance_that_said_that_it_leaves_is_no_requests_fault():
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
     (upstream,) = setting.registry.get_all()
-    assert not upstream.is_expected_to_end(0.0)
-    setting.last.user.on_answer_head(200, LEAVING)
-    assert upstream.is_expected_to_end(clocks.get_s() + 60.0)
+    assert not upstream.is_expected_to_terminate(0.0)
+    setting.last.listener.on_answer_head(200, LEAVING)
+    assert upstream.is_expected_to_terminate(clocks.get_s() + 60.0)
     setting.last.lose()
     assert setting.asked == []
 
 
 def test_an_instance_that_starts_again_under_its_id_does_not_leave():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), started_ms=1)
-    setting.last.user.on_answer_head(200, LEAVING)
+    setting.last.listener.on_answer_head(200, LEAVING)
     setting.started_ms = 2
     setting.list()
     (upstream,) = setting.registry.get_all()
@@ -298,7 +298,7 @@
             now_s += 0.01
         backoffs_s.append(round(now_s - began_s, 1))
     assert backoffs_s == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-    rest.record_taken()
+    rest.record_accepted()
     rest.record_rejection(now_s)
     assert not rest.is_likely_to_reject(now_s + requested_rest.INITIAL_BACKOFF_S + 0.01)
 
--- a/tests/unit/test_load_fleet.py
+++ b/tests/unit/test_load_fleet.py
@@ -120,7 +120,7 @@
     fleet = _make()
     fleet.entries[0].hold(fleet.instances[5], "r", 700)
     fleet.run(1.0)
-    assert fleet.entries[7].registry.get(fleet.instances[5]).others.tokens == 700
+    assert fleet.entries[7].registry.get(fleet.instances[5]).other_load.tokens == 700
     fleet.kill("entry-000")
     fleet.run(EXPIRED_S)
     assert fleet.is_agreed()
@@ -155,7 +155,9 @@
     inside = [entry for entry in fleet.entries if entry.process.hall == "hall-3"]
     inside[0].hold(fleet.instances[0], "r", 90)
     fleet.run(6.0)
-    assert {entry.registry.get(fleet.instances[0]).others.tokens for entry in inside[1:]} == {90}
+    assert {entry.registry.get(fleet.instances[0]).other_load.tokens for entry in inside[1:]} == {
+        90
+    }
     assert all(entry.sharing.is_isolated() for entry in inside)
 
 
--- a/tests/unit/test_load_hub.py
+++ b/tests/unit/test_load_hub.py
@@ -346,7 +346,7 @@
 
     def report(self):
         self.sequence += 1
-        rows = self.view.get_own()
+        rows = self.view.get_own_load()
         self.view.record_report(self.sequence, rows)
         report = _make_report(sender="me", sequence=self.sequence)
         report.rows = rows
@@ -377,7 +377,7 @@
     side = _EntrySide()
     _handle_report(side.hub, sender="other", tokens=100)
     assert not side.view.handle_update(side.update(counted=99), 0.0)
-    assert side.upstream.others == shared_load.InstanceLoad()
+    assert side.upstream.other_load == shared_load.InstanceLoad()
 
 
 def test_an_instance_listed_later_gets_what_was_told_before():
--- a/tests/unit/test_log_trace.py
+++ b/tests/unit/test_log_trace.py
@@ -46,8 +46,8 @@
 
 def test_the_story_has_the_request_and_what_its_process_believed():
     trace = _trace(reversed(LINES), "r1")
-    assert [line.text for line in trace.own] == ["attempt", "copy ordered"]
-    assert [line.text for line in trace.beliefs] == [
+    assert [line.text for line in trace.request_lines] == ["attempt", "copy ordered"]
+    assert [line.text for line in trace.context_lines] == [
         "table in force",
         "upstream says that it is not well",
     ]
@@ -93,4 +93,4 @@
         _line(30.0, "refused", request="r1", code=2005),
     )
     trace = _trace(lines, "r1")
-    assert [line.fields["revision"] for line in trace.beliefs] == [2]
+    assert [line.fields["revision"] for line in trace.context_lines] == [2]
--- a/tests/unit/test_peer_streams.py
+++ b/tests/unit/test_peer_streams.py
@@ -21,7 +21,7 @@
         self.scheduler = gateway_setting.FakeTimers()
 
 
-class _User:
+class _Listener:
     def __init__(self):
         self.received = []
         self.lost = 0
@@ -49,25 +49,25 @@
 
 @pytest.fixture
 def setting():
-    links, user = fakes.FakeLinks(), _User()
+    links, listener = fakes.FakeLinks(), _Listener()
     client = peer_client.PeerClient(
-        _Loop(), links, ["a:1"], role="entry", name="e", shared_key=KEY, user=user
+        _Loop(), links, ["a:1"], role="entry", name="e", shared_key=KEY, listener=listener
     )
-    return client, links, user
+    return client, links, listener
 
 
 def test_a_message_that_cannot_be_handled_ends_the_stream(setting):
     """Later messages build on the lost one; a new stream starts with the complete state."""
-    client, links, user = setting
+    client, links, listener = setting
     link = _connect(client, links)
     data = b"".join(messages.encode(messages.Current(version=version)) for version in (12, 13, 14))
     with pytest.raises(RuntimeError):
         client.on_data(data)
     assert link.is_closed
-    assert (user.lost, client.is_ready) == (1, False)
-    assert [message.version for message in user.received] == [12]
+    assert (listener.lost, client.is_ready) == (1, False)
+    assert [message.version for message in listener.received] == [12]
     (reconnection,) = client._scheduler.timers
-    assert reconnection.delay_s >= peer_client.DEFAULT_TIMING.longest_retry_ms / 2_000
+    assert reconnection.delay_s >= peer_client.DEFAULT_TIMING.max_retry_ms / 2_000
 
 
 class _Service:
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -259,7 +259,7 @@
 
 def test_a_permit_that_comes_after_its_request_ended_is_not_used():
     setting = _make(ONCE)
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     _reply(setting, V.GRANTED)
     assert setting.calls.attempts == []
 
@@ -288,8 +288,8 @@
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     other = {"i-1", "i-2"} - {setting.last.address.removesuffix(":80")}
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 2))
     (name,) = other
     setting.limits.registry.record(setting.registry.get(name).key, 2.0, clocks.get_s())
     setting.leave(setting.last.address.removesuffix(":80"))
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -35,7 +35,7 @@
 def test_one_end_makes_a_suspect_that_still_runs():
     entry = _make()
     entry.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
-    assert entry.evaluate(DEADLY, NOW_S) is Verdict.RUN_APART
+    assert entry.evaluate(DEADLY, NOW_S) is Verdict.RUN_ISOLATED
 
 
 def test_a_second_end_of_a_run_that_was_sent_later_has_it_held():
@@ -49,7 +49,7 @@
     entry = _make()
     entry.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
     entry.record_crash(DEADLY, 2, NOW_S - 1.0, NOW_S + 0.01)
-    assert entry.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART
+    assert entry.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_ISOLATED
 
 
 def test_three_instances_have_it_held_in_any_case():
@@ -63,7 +63,7 @@
     entry = _make()
     for number in range(5):
         entry.record_crash(DEADLY, 1, NOW_S + number, NOW_S + number + 0.5)
-    assert entry.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_APART
+    assert entry.evaluate(DEADLY, NOW_S + 9.0) is Verdict.RUN_ISOLATED
 
 
 def test_an_end_that_another_entry_told_makes_the_next_one_a_second():
@@ -71,7 +71,7 @@
     one.record_crash(DEADLY, 1, NOW_S - 1.0, NOW_S)
     _send_records(one, other, NOW_S + 0.1)
     other.record_crash(DEADLY, 2, NOW_S + 0.05, NOW_S + 1.0)
-    assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_APART, "sent before that was known"
+    assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.RUN_ISOLATED, "sent before that was known"
     other.record_crash(DEADLY, 3, NOW_S + 0.2, NOW_S + 1.0)
     assert other.evaluate(DEADLY, NOW_S + 1.0) is Verdict.REFUSE
 
@@ -134,7 +134,7 @@
     assert entry.may_run_trial(DEADLY)
     _order(entry, is_held=False)
     entry.record_crash(DEADLY, 9, NOW_S + 90.0, NOW_S + 91.0)
-    assert entry.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_APART
+    assert entry.evaluate(DEADLY, NOW_S + 91.0) is Verdict.RUN_ISOLATED
 
 
 def test_a_trial_that_showed_nothing_is_made_up_for_once():
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_reborn_instances.py
@@ -28,7 +28,7 @@
     _update_list(registry, _make(1_000))
     (previous,) = registry.get_all()
     previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    previous.others = shared_load.InstanceLoad(9_000, 3, 0)
+    previous.other_load = shared_load.InstanceLoad(9_000, 3, 0)
     previous.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
     previous.record_sent(100.0)
     assert _update_list(registry, _make(2_000)) == [previous]
@@ -80,8 +80,8 @@
     """Behind a cut its connection is never reset."""
     setting = gateway_setting.Setting(STREAM, names=("i-1",), started_ms=1_000)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     _restart(setting, "i-1")
     assert setting.caller.is_finished
     assert setting.ended == [setting.exchange]
@@ -108,8 +108,8 @@
 def test_a_handle_of_the_former_run_is_not_freed_at_the_present_one():
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"), started_ms=1_000)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     source = setting.exchange.upstream.instance.instance_id
     other = "i-2" if source == "i-1" else "i-1"
     leaving = [_make(1_000, source, is_leaving=True), _make(1_000, other)]
@@ -203,9 +203,9 @@
     _list_everywhere(fleet, early, 2_000)
     fleet.run(1.0)
     for entry in early:
-        assert entry.registry.get(f"{name}@2000").others.tokens == 0
+        assert entry.registry.get(f"{name}@2000").other_load.tokens == 0
     for entry in late:
-        assert entry.registry.get(f"{name}@1000").others.tokens <= 500 * 11
+        assert entry.registry.get(f"{name}@1000").other_load.tokens <= 500 * 11
     _list_everywhere(fleet, late, 2_000)
     fleet.run(4.0)
     for entry in fleet.entries:
--- a/tests/unit/test_relay.py
+++ b/tests/unit/test_relay.py
@@ -55,7 +55,7 @@
     done = b"data: [DONE]\n\n"
     for loss, replayed in [*losses, (10**9, 0)]:
         relay.begin_connection()
-        first = max(0, relay.order.next_index - replayed)
+        first = max(0, relay.sequencer.next_index - replayed)
         sent = (_make_events(count, first=first) + done)[:loss]
         for part in _split(sent, cuts):
             relayed = relay.feed(part)
@@ -101,8 +101,8 @@
 def test_an_unnumbered_answer_is_relayed_and_cannot_resume():
     relay = stream_relay.StreamRelay()
     assert relay.feed(b"data: a\n\ndata: b\n\n").data == b"data: a\n\ndata: b\n\n"
-    assert relay.order.has_delivered
-    assert not relay.order.can_resume
+    assert relay.sequencer.has_delivered
+    assert not relay.sequencer.can_resume
 
 
 def test_an_unnumbered_event_in_a_numbered_answer_is_refused():
--- a/tests/unit/test_run_admission.py
+++ b/tests/unit/test_run_admission.py
@@ -123,7 +123,7 @@
     setting = gateway_setting.Setting(
         STREAM, attempts=1, names=("i-1",), tokens="3000,800", fill=33_000
     )
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     setting.registry.get("i-1").in_flight.clear()
     setting.exchange._context.queue.schedule_check()
     setting.timers.run_due(5.0)
--- a/tests/unit/test_saved_contents.py
+++ b/tests/unit/test_saved_contents.py
@@ -37,7 +37,7 @@
         self.save()
 
     def save(self):
-        self.saved.record()
+        self.saved.schedule_save()
         assert self.saved.wait_until_synced(WAIT_S)
 
 
@@ -128,7 +128,7 @@
     for number in range(200):
         record = content_record.ContentRecord(content_id=b"%016d" % number, ends=(1,), waves=1)
         process.registry.set(record, process.clock.now_s)
-        process.saved.record()
+        process.saved.schedule_save()
         process.clock.run(0.01)
     assert process.saved.wait_until_synced(WAIT_S)
     assert len(made) <= 2.0 / saved_contents.MIN_SAVE_INTERVAL_S + 2
--- a/tests/unit/test_shared_load.py
+++ b/tests/unit/test_shared_load.py
@@ -108,7 +108,7 @@
         limits=limits,
         hub="k",
     )
-    data = shared_load.address_update(shared_load.encode_update(update), counted)
+    data = shared_load.complete_update(shared_load.encode_update(update), counted)
     read = shared_load.decode(data)
     update.counted = counted
     assert isinstance(read, shared_load.Update)
--- a/tests/unit/test_soak_checks.py
+++ b/tests/unit/test_soak_checks.py
@@ -26,7 +26,7 @@
         "body": b"r",
         "is_whole": True,
     }
-    return records.EndQuery(**{**fields, **changes})
+    return records.SentRequest(**{**fields, **changes})
 
 
 def _run(at_s=50.5, instance="p-1", **headers):
--- a/tests/unit/test_table_feed.py
+++ b/tests/unit/test_table_feed.py
@@ -39,7 +39,7 @@
         self.later.append(call)
 
 
-class _User:
+class _Listener:
     def __init__(self):
         self.tables = []
         self.unusable = set()
@@ -84,7 +84,7 @@
 def feed():
     config = gateway_setting.make_settings()
     config.keepers = ["a:1", "b:1", "c:1"]
-    made = _Feed(_Loop(), None, gateway_setting.GatewayCalls(), config, _Dialect(), _User())
+    made = _Feed(_Loop(), None, gateway_setting.GatewayCalls(), config, _Dialect(), _Listener())
     for address in config.keepers:
         made.on_keeper_ready(made._keepers[address])
     return made
@@ -125,7 +125,7 @@
     )
     _deliver(feed, "a:1", route_messages.RouteTableVersion(version=5, is_confirmed=True))
     assert _client(feed, "a:1").count(route_messages.GetRouteTable) == 0
-    assert feed._user.tables == [5]
+    assert feed._listener.tables == [5]
 
 
 def test_a_keeper_that_is_behind_never_takes_the_table_back(feed):
@@ -139,34 +139,34 @@
     _deliver(
         feed, "c:1", route_messages.RouteTableDocument(version=9, packed=deflate.pack(b"nine"))
     )
-    assert feed._user.tables == [9]
+    assert feed._listener.tables == [9]
     assert _client(feed, "b:1").count(route_messages.GetRouteTable) == 0
 
 
 def test_the_list_of_a_former_reader_does_not_replace_a_later_ones(feed):
     _deliver(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
     _deliver(feed, "b:1", _make_list(["i-0"], term=3))
-    assert feed._user.lists == [["i-1", "i-2"]]
+    assert feed._listener.lists == [["i-1", "i-2"]]
 
 
 def test_an_unchanged_list_stands_for_that_keepers_last_one(feed):
     _deliver(feed, "a:1", _make_list(["i-1"], term=4))
     _deliver(feed, "a:1", _make_list([], term=4, sequence=2, is_whole=False))
-    assert feed._user.lists == [["i-1"], ["i-1"]]
+    assert feed._listener.lists == [["i-1"], ["i-1"]]
     # An incremental list is ignored until a complete one has arrived on the stream.
     _deliver(feed, "b:1", _make_list([], term=4, sequence=3, is_whole=False))
-    assert len(feed._user.lists) == 2
+    assert len(feed._listener.lists) == 2
 
 
 def test_a_changed_list_is_that_keepers_last_one_with_the_change(feed):
     _deliver(feed, "a:1", _make_list(["i-1", "i-2"], term=4))
     _deliver(feed, "a:1", _make_list(["i-3"], term=4, sequence=2, is_whole=False, gone=["i-1"]))
-    assert feed._user.lists[-1] == ["i-2", "i-3"]
+    assert feed._listener.lists[-1] == ["i-2", "i-3"]
     feed._keepers["a:1"].on_peer_lost()
     _deliver(feed, "a:1", _make_list(["i-4"], term=4, sequence=3, is_whole=False))
-    assert len(feed._user.lists) == 2
+    assert len(feed._listener.lists) == 2
     _deliver(feed, "a:1", _make_list(["i-4"], term=4, sequence=3))
-    assert feed._user.lists[-1] == ["i-4"]
+    assert feed._listener.lists[-1] == ["i-4"]
 
 
 def test_keepers_come_and_go_with_what_the_others_say(feed):
@@ -177,10 +177,10 @@
     )
     assert set(feed._keepers) == {"a:1", "b:1", "c:1", "d:1"}
     gone = _client(feed, "c:1")
-    feed.set_seeds(["a:1", "b:1"])
+    feed.set_keeper_addresses(["a:1", "b:1"])
     assert set(feed._keepers) == {"a:1", "b:1", "d:1"}
     assert gone.is_closed
-    (known,) = feed._user.fleets
+    (known,) = feed._listener.fleets
     assert known.keepers == (fleet.Process(name="a:1", hall="h", address="a:1"),)
     assert known.entries == (fleet.Process(name="e", hall="h", address="x:1"),)
 
@@ -191,13 +191,13 @@
     many = [[f"e{number}", "h", "x:1"] for number in range(3)]
     _deliver(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=many))
     _deliver(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
-    assert len(feed._user.fleets[-1].entries) == 3
-    assert {item.hall for item in feed._user.fleets[-1].keepers} == {"g", "h"}
+    assert len(feed._listener.fleets[-1].entries) == 3
+    assert {item.hall for item in feed._listener.fleets[-1].keepers} == {"g", "h"}
     feed._keepers["a:1"].on_peer_lost()
-    assert feed._user.lost_keepers == ["a:1"]
+    assert feed._listener.lost_keepers == ["a:1"]
     _deliver(feed, "b:1", _make_fleet(hall="g", keepers=keepers, entries=many[:1]))
-    assert len(feed._user.fleets[-1].entries) == 1
-    assert {item.hall for item in feed._user.fleets[-1].keepers} == {"g"}
+    assert len(feed._listener.fleets[-1].entries) == 1
+    assert {item.hall for item in feed._listener.fleets[-1].keepers} == {"g"}
 
 
 def test_a_changed_fleet_is_that_keepers_last_one_with_the_change(feed):
@@ -206,7 +206,7 @@
     _deliver(feed, "a:1", _make_fleet(hall="h", keepers=keepers, entries=rows[:3]))
     change = _make_fleet(hall="h", keepers=keepers, entries=rows[3:], gone=["e0"], is_whole=False)
     _deliver(feed, "a:1", change)
-    assert {item.name for item in feed._user.fleets[-1].entries} == {"e1", "e2", "e3"}
+    assert {item.name for item in feed._listener.fleets[-1].entries} == {"e1", "e2", "e3"}
 
 
 @pytest.mark.parametrize("packed", [b"", b"junk", deflate.pack(b"five")[:-2]], ids=repr)
@@ -315,7 +315,7 @@
     feed.accept_unconfirmed(False)
     _deliver_version(feed, "a:1", 6, is_confirmed=False)
     assert _count_requests(feed, "a:1") == 1
-    assert feed._user.tables == [5]
+    assert feed._listener.tables == [5]
 
 
 def test_sure_is_who_has_what_more_than_half_of_the_keepers_confirm(feed):
@@ -349,7 +349,7 @@
 
 
 def test_a_table_that_failed_on_its_way_into_force_is_taken_again(feed):
-    feed._user.failing = {5}
+    feed._listener.failing = {5}
     _deliver_version(feed, "a:1", 5)
     _deliver_table(feed, "a:1", 5)
     assert feed.version == 0
@@ -357,13 +357,13 @@
     feed._check()
     assert _count_requests(feed, "a:1") == 2
     _deliver_table(feed, "a:1", 5)
-    assert feed._user.tables == [5]
+    assert feed._listener.tables == [5]
 
 
 def test_an_unusable_table_leaves_the_former_and_is_not_asked_for_again(feed):
     _deliver_version(feed, "a:1", 4)
     _deliver_table(feed, "a:1", 4)
-    feed._user.unusable = {5}
+    feed._listener.unusable = {5}
     _deliver_version(feed, "a:1", 5)
     _deliver_table(feed, "a:1", 5)
     feed._check()
@@ -371,7 +371,7 @@
     assert _count_requests(feed, "a:1") == 2
     _deliver_version(feed, "a:1", 6)
     _deliver_table(feed, "a:1", 6)
-    assert feed._user.tables == [4, 6]
+    assert feed._listener.tables == [4, 6]
 
 
 @pytest.mark.parametrize(("entries", "reads"), [(8, 3), (350, 1)])
--- a/tests/unit/test_upstream_calls.py
+++ b/tests/unit/test_upstream_calls.py
@@ -17,7 +17,7 @@
             pass
 
 
-class _User:
+class _Listener:
     def __init__(self):
         self.end_count = 0
         self.losses = []
@@ -46,11 +46,11 @@
 
 
 def _call(calls, outgoing, answer=WHOLE, *, fresh=False):
-    user = _User()
-    call = calls.open(ADDRESS, b"GET / HTTP/1.1\r\n\r\n", user, fresh=fresh)
+    listener = _Listener()
+    call = calls.open(ADDRESS, b"GET / HTTP/1.1\r\n\r\n", listener, fresh=fresh)
     if answer is not None:
-        outgoing.opened[-1].user.on_data(answer)
-        assert user.end_count == 1
+        outgoing.opened[-1].listener.on_data(answer)
+        assert listener.end_count == 1
     return call
 
 
@@ -101,12 +101,12 @@
     _call(calls, outgoing)
     link = outgoing.opened[0]
     link.is_closed = True
-    link.user.on_lost(links.CLOSED_CLEANLY)
+    link.listener.on_lost(links.CLOSED_CLEANLY)
     _call(calls, outgoing)
     assert len(outgoing.opened) == 2
 
 
 def test_bytes_on_a_connection_without_a_call_end_it(calls, outgoing):
     _call(calls, outgoing)
-    outgoing.opened[0].user.on_data(WHOLE)
+    outgoing.opened[0].listener.on_data(WHOLE)
     assert outgoing.opened[0].is_closed
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -89,7 +89,7 @@
 def test_no_last_resort_overrides_what_binds(reason):
     upstream, gate = _make(limit_per_s=None)
     BLOCKERS[reason](upstream)
-    view = upstream_choice.View(
+    context = upstream_choice.ChoiceContext(
         hall="hall-a",
         silent_halls=(),
         cut_off_halls=(),
@@ -98,7 +98,9 @@
         request_priority=gateway_setting.CLAIM,
         rng=random.Random(1),
     )
-    choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
+    choice = upstream_choice.choose(
+        SERVICE, [upstream], need_tokens=0, excluded=(), context=context
+    )
     assert choice.upstream is None
     assert choice.blocked == {reason: 1}
 
