--- a/tests/unit/test_upstream_policy.py
+++ b/tests/unit/test_upstream_policy.py
@@ -8,11 +8,11 @@
 from lib import gateway_setting
 from spoolhead._internal.models import fleet, route_table, shared_load
 from spoolhead._internal.policy import (
+    probe_assignment,
     retry_allowance,
     run_migration_policy,
     upstream_choice,
     upstream_registry,
-    watch_duty,
 )
 
 MODEL = route_table.Service(
@@ -30,7 +30,7 @@
 
 
 def _choose(registry, service=PLAIN, *, silent=(), cut=(), excluded=(), now_s=100.0):
-    view = upstream_choice.View(
+    context = upstream_choice.ChoiceContext(
         hall="hall-a",
         silent_halls=silent,
         cut_off_halls=cut,
@@ -40,7 +40,7 @@
         rng=random.Random(1),
     )
     return upstream_choice.choose(
-        service, registry.get_service("s"), need_tokens=1_000, excluded=excluded, view=view
+        service, registry.get_service("s"), need_tokens=1_000, excluded=excluded, context=context
     )
 
 
@@ -149,11 +149,11 @@
     ]
     for number in range(30):
         instance = gateway_setting.make_instance(f"i-{number}", hall="hall-b")
-        on_duty = [w for w in watchers if watch_duty.is_watcher(w.name, watchers, instance)]
-        assert len(on_duty) == 1
-        assert on_duty[0].hall == "hall-b"
-        others = [w for w in watchers if w is not on_duty[0]]
-        assert sum(watch_duty.is_watcher(w.name, others, instance) for w in others) == 1
+        assigned = [w for w in watchers if probe_assignment.is_assigned(w.name, watchers, instance)]
+        assert len(assigned) == 1
+        assert assigned[0].hall == "hall-b"
+        others = [w for w in watchers if w is not assigned[0]]
+        assert sum(probe_assignment.is_assigned(w.name, others, instance) for w in others) == 1
 
 
 def _make_fleet_of_two_halls(entries, instances):
@@ -171,23 +171,23 @@
 def test_duties_are_worked_out_again_only_where_something_changed(monkeypatch):
     """Guards against a cost of instances times entries at each check."""
     asked = []
-    decide = watch_duty.is_watcher
+    decide = probe_assignment.is_assigned
 
     def _record(own_name, watchers, instance):
         asked.append(instance.instance_id)
         return decide(own_name, watchers, instance)
 
-    monkeypatch.setattr(watch_duty, "is_watcher", _record)
+    monkeypatch.setattr(probe_assignment, "is_assigned", _record)
     watchers, listed = _make_fleet_of_two_halls(6, 30)
-    duties = watch_duty.WatchDuties("e1")
-    duties.update(watchers, listed)
+    assignments = probe_assignment.ProbeAssignments("e1")
+    assignments.update(watchers, listed)
     assert len(asked) == 30
-    duties.update(list(watchers), list(listed))
+    assignments.update(list(watchers), list(listed))
     assert len(asked) == 30
     came = gateway_setting.make_instance("i-new", hall="hall-b")
-    duties.update(watchers, [*listed[1:], came])
+    assignments.update(watchers, [*listed[1:], came])
     assert asked[30:] == ["i-new"]
-    duties.update(watchers[:-1], listed[1:])
+    assignments.update(watchers[:-1], listed[1:])
     assert len(asked) == 31 + 29
 
 
@@ -200,19 +200,21 @@
 )
 def test_kept_duties_are_those_that_a_fresh_look_gives(steps):
     watchers, listed = _make_fleet_of_two_halls(6, 12)
-    duties = watch_duty.WatchDuties("e0")
+    assignments = probe_assignment.ProbeAssignments("e0")
     for entries, numbers in steps:
         present = watchers[:entries]
         shown = [listed[number] for number in sorted(numbers)]
-        duties.update(present, shown)
+        assignments.update(present, shown)
         for instance in listed:
-            expected = instance in shown and watch_duty.is_watcher("e0", present, instance)
-            assert duties.has(instance) is expected
+            expected = instance in shown and probe_assignment.is_assigned("e0", present, instance)
+            assert assignments.has(instance) is expected
 
 
 def test_a_hall_without_entries_is_watched_from_another():
     watchers = [fleet.Process(name="e", hall="hall-a", address="")]
-    assert watch_duty.is_watcher("e", watchers, gateway_setting.make_instance("i", hall="hall-z"))
+    assert probe_assignment.is_assigned(
+        "e", watchers, gateway_setting.make_instance("i", hall="hall-z")
+    )
 
 
 def test_an_instance_that_could_not_be_reached_is_still_believed_when_it_speaks():
@@ -258,7 +260,7 @@
         return run_migration_policy.choose_copy_target(
             MODEL,
             registry.get_service("s"),
-            running_at=registry.get("here"),
+            source=registry.get("here"),
             excluded=(),
             now_s=100.0,
             gate=gateway_setting.make_gate("entry-1", "hall-a"),
