--- a/src/spoolhead/_internal/policy/standing_alarms.py
+++ b/src/spoolhead/_internal/policy/standing_alarms.py
@@ -14,7 +14,7 @@
 """Time for which an instance is reported as leaving, far longer than the instance list lags."""
 MAX_ALARMS = 64
 """Maximum number of stored alarms, the newest ones; a new reporter gets all in one datagram."""
-KEPT_KINDS = frozenset(
+STANDING_KINDS = frozenset(
     {shared_load.AlarmKind.COLD, shared_load.AlarmKind.RESTING, shared_load.AlarmKind.LEAVING}
 )
 """Kinds that stay in force for a time stated by the instance, or until it terminates."""
@@ -43,7 +43,7 @@
 
     def record(self, alarm: shared_load.Alarm, now_s: float) -> None:
         """Store an alarm if its kind stays in force for some time."""
-        if alarm.kind not in KEPT_KINDS:
+        if alarm.kind not in STANDING_KINDS:
             return
         name = get_name(alarm)
         known = self._standing.pop(name, None)
--- a/tests/lib/content_fleet.py
+++ b/tests/lib/content_fleet.py
@@ -79,10 +79,11 @@
         elif verdict is quarantine.Verdict.CLAIM:
             entry.contents.claim_trial(content_id)
             self.clock.call_later(
-                quarantine.CLAIM_S, lambda: self._run_trial(number, entry, content_id, duration_s)
+                quarantine.TRIAL_CLAIM_WAIT_S,
+                lambda: self._run_trial(number, entry, content_id, duration_s),
             )
         else:
-            is_isolated = verdict is quarantine.Verdict.RUN_APART
+            is_isolated = verdict is quarantine.Verdict.RUN_ISOLATED
             self._run(number, content_id, duration_s, is_isolated=is_isolated)
         return verdict
 
@@ -137,7 +138,7 @@
     def _connect_to_crashed(self, entry, incarnation_id):
         def _refused():
             entry.sharing.broadcast_alarm(incarnation_id, shared_load.AlarmKind.ENDED)
-            entry.contents.record_ended(incarnation_id, "Connection refused")
+            entry.contents.record_terminated(incarnation_id, "Connection refused")
 
         self.clock.call_later(REFUSAL_DELAY_S, _refused)
 
--- a/tests/lib/load_fleet.py
+++ b/tests/lib/load_fleet.py
@@ -79,7 +79,7 @@
 class FakeContext:
     """The context that upstream events need at an entry without requests."""
 
-    def query_end_if_abandoned(self, upstream):
+    def query_termination_if_abandoned(self, upstream):
         pass
 
 
@@ -284,7 +284,7 @@
         upstream = observer.registry.get(name)
 
         def _poll():
-            if upstream.others.tokens == expected:
+            if upstream.other_load.tokens == expected:
                 self.ages_ms.append((self.clock.now_s - began_s) * 1000)
             elif self.get_tokens_in_flight(name, excluding=observer) == expected:
                 self.clock.call_later(AGE_POLL_INTERVAL_S, _poll)
@@ -302,7 +302,7 @@
     def is_consistent(self):
         """Return whether every running entry knows the exact load of the others."""
         return all(
-            entry.registry.get(name).others.tokens
+            entry.registry.get(name).other_load.tokens
             == self.get_tokens_in_flight(name, excluding=entry)
             for entry in self.entries
             if entry.process.is_up
--- a/tests/lib/placement_load.py
+++ b/tests/lib/placement_load.py
@@ -102,7 +102,7 @@
             objective_ms=1_800,
             arrived_s=self.now_s,
         )
-        view = upstream_choice.View(
+        context = upstream_choice.ChoiceContext(
             hall=hall,
             silent_halls=(),
             cut_off_halls=(),
@@ -117,7 +117,7 @@
             self.registry.get_service("s"),
             need_tokens=need_tokens,
             excluded=(),
-            view=view,
+            context=context,
         ).prefer(lambda item: run_admission.has_room(engine, item, request))
         self._begin(Run(hall, kind, choice.upstream, self.now_s), need_tokens, output_tokens)
 
