--- a/src/spoolhead/_internal/entry/flow.py
+++ b/src/spoolhead/_internal/entry/flow.py
@@ -1,9 +1,9 @@
 """Runs one request, from its first attempt at an upstream to the end of its answer.
 
-A flow makes attempts, relays their answers to the caller, and asks
-:mod:`~spoolhead._internal.policy.retry` what to do after a failed one. It reaches sockets and the
-clock only through :class:`~spoolhead._internal.entry.flow_context.FlowContext`, so that tests can
-replace them with fakes.
+A flow makes attempts and relays their answers to the caller. After a failed attempt,
+:mod:`~spoolhead._internal.policy.retry` decides the next step. A flow uses sockets and the clock
+only through :class:`~spoolhead._internal.entry.flow_context.FlowContext`, so that tests can replace
+them with fakes.
 """
 
 import logging
@@ -18,11 +18,11 @@
 logger = logging.getLogger(__name__)
 
 RETRY_AFTER_MS = 1_000
-"""``Retry-After`` of a request that upstreams failed before they could act on it."""
+"""``Retry-After`` of a request that failed before any upstream could run it."""
 
 _OK = 200
-_SERVER_ERRORS = range(500, 600)
-_REFUSALS = frozenset({429, 503})
+_SERVER_ERROR_STATUSES = range(500, 600)
+_REFUSAL_STATUSES = frozenset({429, 503})
 
 
 class Flow:
@@ -59,7 +59,7 @@
         self._body_bytes = 0
         self._first_token_s: float | None = None
         self._pace = context.policies.make_pace(context.clock())
-        caller.on_gone = self._on_caller_gone
+        caller.on_disconnect = self._on_caller_disconnect
 
     @property
     def replica(self) -> replicas.Replica | None:
@@ -74,7 +74,7 @@
     def start(self, choice: placement.Choice) -> None:
         """Start a new generation at the chosen upstream."""
         assert choice.replica is not None
-        self.caller.on_gone = self._on_caller_gone
+        self.caller.on_disconnect = self._on_caller_disconnect
         self._attempts_made += 1
         request = self.request
         self._generations_made += 1
@@ -89,8 +89,8 @@
         attempt = self._begin(replica, generation, 0.0)
         self._relay.begin_connection()
         headers = [("accept", relayed_answers.EVENT_STREAM)]
-        if self._relay.order.next_index:
-            last = f"{generation}:{self._relay.order.next_index - 1}"
+        if self._relay.sequencer.next_index:
+            last = f"{generation}:{self._relay.sequencer.next_index - 1}"
             headers.append((api.LAST_EVENT_HEADER, last))
         self._open(attempt, "GET", f"{api.STREAMS_PATH}{generation}", headers, b"")
 
@@ -109,10 +109,11 @@
 
     def reject_held(self) -> None:
         """Abort the request because its content crashes upstreams, unless a part was delivered."""
-        if self.is_over or self._relay.order.has_delivered or self.request.resume is not None:
+        if self.is_over or self._relay.sequencer.has_delivered or self.request.resume is not None:
             return
         held, ran = fault.make_held_fault(), self._get_ran_now()
-        # REQUEST_HELD states that the request did not run, so it must not be sent otherwise.
+        # REQUEST_HELD states that the request did not run, so it must not be sent if the request
+        # may have run.
         code = held.code if ran is codes.Ran.NO else codes.ResultCode.UPSTREAM_LOST
         self._give_up(code, held.text, ran, may_retry=False)
 
@@ -129,22 +130,22 @@
         self._pace.last_s = self._context.clock()
         attempt.status = status
         attempt.headers = headers
-        if status in _REFUSALS:
+        if status in _REFUSAL_STATUSES:
             self._record_rest(attempt)
         if not self.request.is_model or status == _OK:
             return
-        if self.request.resume is not None or self._relay.order.has_delivered:
+        if self.request.resume is not None or self._relay.sequencer.has_delivered:
             text = f"the upstream no longer has the generation (status {status})"
             self._fail_attempt(codes.ResultCode.GENERATION_LOST, text, is_final=True)
-        elif status in _REFUSALS:
+        elif status in _REFUSAL_STATUSES:
             text = f"the upstream refused with status {status}"
             self._fail_attempt(codes.ResultCode.UPSTREAM_REFUSED, text, refused=True)
-        elif status in _SERVER_ERRORS:
+        elif status in _SERVER_ERROR_STATUSES:
             text = f"the upstream failed with status {status}"
             self._fail_attempt(codes.ResultCode.UPSTREAM_LOST, text)
 
     def _record_rest(self, attempt: flow_attempt.Attempt) -> None:
-        """Stop sending to an upstream for the time that its ``Retry-After`` asks for."""
+        """Send no requests to an upstream for the time stated in its ``Retry-After``."""
         text = dict(attempt.headers).get("retry-after", "")
         rest_s = decimals.parse(text)
         if rest_s is None:
@@ -193,7 +194,7 @@
                 attempt.replica, attempt.incarnation_id, self.request.content_id, attempt.sent_s
             )
         if attempt is not self._attempt:
-            # Recording the loss got the content held, and that aborted this attempt.
+            # The recorded loss caused the content to be held, which aborted this attempt.
             return
         self._fail_attempt(code, f"upstream {attempt.replica.name}: {reason}")
 
@@ -239,7 +240,7 @@
             return
         if relayed.fault is not None:
             code, text = relayed.fault.code, relayed.fault.text
-            self._fail_attempt(code, text, is_final=not self._relay.order.can_resume)
+            self._fail_attempt(code, text, is_final=not self._relay.sequencer.can_resume)
         elif relayed.is_done:
             self._finish_stream(attempt)
 
@@ -254,7 +255,7 @@
             )
             self.caller.start_stream(_OK, headers, data)
             return not self.is_over
-        unsent = self.caller.send_part(data)
+        unsent = self.caller.send_body_part(data)
         if unsent <= self._context.unread_bytes:
             return not self.is_over
         self.caller.abort()
@@ -269,10 +270,10 @@
         if self._first_token_s is None:
             self._first_token_s = now_s
             waited_s = now_s - self.request.arrived_s
-            collector.time(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
+            collector.record_duration(metrics.Metric.FIRST_TOKEN_MS, waited_s * 1000)
             self._pace.stalled_s = 0.0
         else:
-            collector.time(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
+            collector.record_duration(metrics.Metric.BETWEEN_TOKENS_MS, gap_s * 1000)
         self.running_request.generated_tokens += count
         self._context.host.charge(self, count)
 
@@ -285,15 +286,15 @@
 
     def _has_stalled(self, now_s: float) -> bool:
         return (
-            self._relay.order.has_delivered
-            and self._relay.order.can_resume
+            self._relay.sequencer.has_delivered
+            and self._relay.sequencer.can_resume
             and self._attempts_made < self._context.attempts
             and self._pace.is_stalled(now_s)
         )
 
     def _record_whole_answer(self, status: int) -> None:
-        """Mark the content as harmless if the status of a complete answer shows it."""
-        if quarantine.shows_harmless(status, is_trial=self.request.is_trial):
+        """Record the content as harmless if the status of a complete answer shows that it is."""
+        if quarantine.is_harmless_status(status, is_trial=self.request.is_trial):
             self._context.contents.record_harmless(self.request.content_id)
 
     def _finish_stream(self, attempt: flow_attempt.Attempt) -> None:
@@ -318,7 +319,7 @@
             self.running_request.generated_tokens = relayed_answers.get_usage_tokens(body)
             self._context.host.charge(self, self.running_request.generated_tokens)
         headers = relayed_answers.make_whole_headers(attempt.headers, self.request.request_id)
-        self.caller.send_whole(attempt.status, headers, body)
+        self.caller.send_answer(attempt.status, headers, body)
         attempt.replica.health.record_success(self._context.clock())
         self._release_attempt(cancel=False)
         result = flow_context.FlowResult(
@@ -342,12 +343,12 @@
         assert attempt is not None and attempt.call is not None
         now_s = self._context.clock()
         arrived = attempt.call.may_have_arrived
-        order = self._relay.order
-        has_begun = order.has_delivered or self.request.resume is not None
+        event_sequencer = self._relay.sequencer
+        has_begun = event_sequencer.has_delivered or self.request.resume is not None
         if not arrived:
-            # An attempt that did not reach an upstream cost it nothing, so it is not counted.
-            # Attempts to resume are counted: a generation can be resumed at one upstream only,
-            # which may be gone for good.
+            # An attempt that did not reach an upstream caused no load there, so it is not counted.
+            # Attempts to resume are counted: a generation can be resumed only at the upstream that
+            # runs it, which may be gone for good.
             self._attempts_made -= 0 if has_begun else 1
             attempt.replica.health.record_unreachable(now_s)
         elif not refused:
@@ -357,7 +358,7 @@
             may_have_arrived=self._may_have_run or arrived,
             refused=refused and not self._may_have_run,
             has_delivered=has_begun,
-            can_resume=order.can_resume or self.request.resume is not None,
+            can_resume=event_sequencer.can_resume or self.request.resume is not None,
             is_once=self.request.is_once,
             attempts_left=0 if is_final else self._get_attempts_left(),
         )
@@ -378,19 +379,19 @@
     def _reconnect(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> None:
         choice = placement.Choice(attempt.replica, 0.0, ())
         self._context.host.record_attempt(self, "resume", choice, code)
-        self._context.collector.count(metrics.Metric.RESUMES)
+        self._context.collector.increment(metrics.Metric.RESUMES)
         self._pace.record_resume(self._context.clock())
         self.resume(attempt.replica, attempt.generation)
 
     def _retry_elsewhere(self, attempt: flow_attempt.Attempt, code: codes.ResultCode) -> bool:
         self._failed_upstreams.add(attempt.replica.name)
         self._relay = stream_relay.StreamRelay()
-        self._context.collector.count(metrics.Metric.RETRIES)
+        self._context.collector.increment(metrics.Metric.RETRIES)
         excluded = frozenset(self._failed_upstreams)
         choice = self._context.host.choose_upstream(self, excluded)
         if choice.replica is None:
-            # An upstream that lost one connection may be healthy, and an unhealthy one has been
-            # ejected by now. So all of them may be tried again after a wait.
+            # An upstream that lost one connection may be healthy, and an unhealthy upstream has
+            # been ejected by now. So all upstreams may be tried again after a wait.
             self._failed_upstreams.clear()
             return self._context.host.requeue(self, code)
         self._context.host.record_attempt(self, "retry", choice, code)
@@ -398,7 +399,7 @@
         return True
 
     def _get_ran_now(self) -> codes.Ran:
-        if self._relay.order.has_delivered or self.request.resume is not None:
+        if self._relay.sequencer.has_delivered or self.request.resume is not None:
             return codes.Ran.YES
         call = self._attempt.call if self._attempt is not None else None
         arrived = call is not None and call.may_have_arrived
@@ -418,7 +419,7 @@
         )
         self._end(flow_context.FlowResult(code, ran, self.running_request.generated_tokens))
 
-    def _on_caller_gone(self) -> None:
+    def _on_caller_disconnect(self) -> None:
         if self.is_over:
             return
         ran = self._get_ran_now()
@@ -449,8 +450,8 @@
             self._cancel_generation(attempt)
 
     def _cancel_generation(self, attempt: flow_attempt.Attempt) -> None:
-        # Closing the connection is not enough: an engine that supports resuming keeps a
-        # generation for some time after that, and it would take memory from others unread.
+        # Closing the connection is not enough: an engine that supports resuming keeps the
+        # generation for some time, and its memory would be missing to other requests.
         address = attempt.replica.row.address
         target = f"{api.STREAMS_PATH}{attempt.generation}/cancel"
         request = upstream_calls.make_request("POST", target, address, [], b"")
--- a/src/spoolhead/_internal/entry/keeper_link.py
+++ b/src/spoolhead/_internal/entry/keeper_link.py
@@ -26,7 +26,7 @@
     """Result of a claim.
 
     :ivar state: state of the key; None if no keeper answered in time.
-    :ivar outcome: answer of the first run, if it is known.
+    :ivar outcome: stored answer of the first run; None if it is unknown.
     """
 
     __slots__ = ("outcome", "state")
@@ -72,7 +72,7 @@
     :param outgoing: the program's outgoing connections.
     :param config: the entry's settings.
     :param table: view that is updated with each version.
-    :param user: receives the callbacks.
+    :param listener: receives the callbacks.
     :param control_address: ``IP:PORT`` at which other entries of the hall reach this one.
     """
 
@@ -82,22 +82,22 @@
         outgoing: links.Links,
         config: settings.EntrySettings,
         table: view.TableView,
-        user: TableListener,
+        listener: TableListener,
         control_address: str,
     ) -> None:
         self._hall = config.hall
         self._control_address = control_address
         self._scheduler = loop.scheduler
         self._table = table
-        self._user = user
+        self._listener = listener
         self._followed = following.FollowedTable()
         self._saved_copy: saved_copy.SavedCopy | None = None
         self._folder_lock: files.FolderLock | None = None
-        self._numbers = itertools.count(1)
+        self._claim_numbers = itertools.count(1)
         self._claims: dict[int, _PendingClaim] = {}
         self._unconfirmed: dict[str, messages.FinishOnce] = {}
         self._unconfirmed_since_s: float | None = clocks.get_s()
-        self._save_scheduled = False
+        self._is_save_scheduled = False
         if config.data_dir is not None:
             self._load_saved_copy(pathlib.Path(config.data_dir))
         self._client = peer_client.PeerClient(
@@ -107,7 +107,7 @@
             role=ROLE,
             name=config.name,
             shared_key=config.shared_key,
-            user=self,
+            listener=self,
         )
 
     @property
@@ -117,12 +117,12 @@
 
     @property
     def keeper_address(self) -> str:
-        """``IP:PORT`` of the connected keeper, or of the last one tried."""
+        """``IP:PORT`` of the connected keeper, or of the keeper that was tried last."""
         return self._client.address
 
     @property
     def unconfirmed_ms(self) -> int:
-        """Milliseconds since a keeper last confirmed the table; 0 while one does."""
+        """Milliseconds without a keeper that confirms the table; 0 while a keeper confirms it."""
         if self._unconfirmed_since_s is None:
             return 0
         return int((clocks.get_s() - self._unconfirmed_since_s) * 1000)
@@ -139,7 +139,7 @@
         :param fingerprint: digest of the request.
         :param on_answer: called exactly once, never before this method returns.
         """
-        number = next(self._numbers)
+        number = next(self._claim_numbers)
         pending = _PendingClaim(key, on_answer)
         self._claims[number] = pending
         message = messages.ClaimOnce(request=number, key=key, fingerprint=fingerprint)
@@ -150,7 +150,7 @@
         )
 
     def finish(self, key: str, ran: codes.Ran, outcome: once_journal.Outcome | None) -> None:
-        """Report the end of a claimed request; resent until a keeper has stored it on disk.
+        """Report the end of a claimed request; the report is resent until a keeper has stored it.
 
         :param outcome: the answer; its body is not sent if it exceeds
             :data:`MAX_STORED_BODY_BYTES`.
@@ -169,13 +169,13 @@
     def send_contents(self, records: held_contents.Records) -> None:
         """Send records of contents for the keeper to relay.
 
-        Nothing is queued without a keeper: on connecting, all records are sent anyway.
+        Without a connected keeper, nothing is queued: all records are sent on connecting anyway.
         """
         if records:
             self._client.send(messages.Contents(items=content_record.pack(records)))
 
     def on_peer_ready(self) -> None:
-        """Introduce this entry, request newer versions and resend unconfirmed ends of claims."""
+        """Introduce this entry, request newer versions and resend unconfirmed claim results."""
         logger.info("connected to keeper at %s", self._client.address)
         self._client.send(messages.Introduce(hall=self._hall, address=self._control_address))
         self._client.send(
@@ -183,7 +183,7 @@
         )
         for message in self._unconfirmed.values():
             self._client.send(message)
-        self._user.on_keeper_ready()
+        self._listener.on_keeper_ready()
 
     def on_peer_lost(self) -> None:
         """Continue with the last known table."""
@@ -202,7 +202,7 @@
             case messages.Current():
                 self._confirm()
             case messages.Members():
-                self._user.on_members([neighbours.Member(*entry) for entry in message.entries])
+                self._listener.on_members([neighbours.Member(*entry) for entry in message.entries])
             case messages.Contents():
                 self._handle_contents(message)
             case messages.ClaimAnswer():
@@ -218,7 +218,7 @@
         except (TypeError, ValueError) as error:
             self._client.reconnect(f"records of contents: {error}")
             return
-        self._user.on_contents(records)
+        self._listener.on_contents(records)
 
     def _load_saved_copy(self, folder: pathlib.Path) -> None:
         self._folder_lock = files.FolderLock(folder)
@@ -261,15 +261,15 @@
 
     def _activate_version(self) -> None:
         self._table.version = self._followed.version
-        self._user.on_table()
+        self._listener.on_table()
         logger.info("table in force", extra={"fields": {"version": self._table.version}})
-        if self._saved_copy is not None and not self._save_scheduled:
+        if self._saved_copy is not None and not self._is_save_scheduled:
             # Changes arrive in bursts; one write covers all that arrive in the same loop iteration.
-            self._save_scheduled = True
+            self._is_save_scheduled = True
             self._scheduler.call_later(0, self._save)
 
     def _save(self) -> None:
-        self._save_scheduled = False
+        self._is_save_scheduled = False
         if self._saved_copy is not None:
             self._saved_copy.save(self._followed)
 
--- a/src/spoolhead/_internal/entry/neighbours.py
+++ b/src/spoolhead/_internal/entry/neighbours.py
@@ -50,10 +50,10 @@
         self.client = owner.make_client(member, self)
 
     def on_peer_ready(self) -> None:
-        """Do nothing: the peer sends reports without being asked."""
+        """Do nothing: the peer sends its reports without a request."""
 
     def on_peer_lost(self) -> None:
-        """Do nothing: a neighbour is judged by the time of its last message."""
+        """Do nothing: :meth:`Neighbours.get_live_entries` skips a lost or silent neighbour."""
 
     def on_peer_message(self, message: messages.Message) -> None:
         """Handle a message with reports."""
@@ -85,7 +85,7 @@
         self._sessions: set[peer_server.PeerSession] = set()
 
     def set_members(self, members: Sequence[Member]) -> None:
-        """Connect to the entries of this hall and close connections to those that have left."""
+        """Connect to new entries of this hall, and close connections to entries that have left."""
         wanted = {
             item.name: item
             for item in members
@@ -99,7 +99,7 @@
             if name not in self._neighbours:
                 self._neighbours[name] = _Neighbour(self, member)
 
-    def make_client(self, member: Member, user: _Neighbour) -> peer_client.PeerClient:
+    def make_client(self, member: Member, listener: _Neighbour) -> peer_client.PeerClient:
         """Connect to a neighbour."""
         return peer_client.PeerClient(
             self._loop,
@@ -108,7 +108,7 @@
             role=ROLE,
             name=self._config.name,
             shared_key=self._config.shared_key,
-            user=user,
+            listener=listener,
         )
 
     def get_live_entries(self, now_s: float) -> list[str]:
--- a/src/spoolhead/_internal/entry/once_requests.py
+++ b/src/spoolhead/_internal/entry/once_requests.py
@@ -1,8 +1,8 @@
 """Requests with an idempotency key, which run at most once across all entries.
 
 An entry claims the key from a keeper before it sends the request, and the keeper stores the claim
-on disk before granting it. A resend through any entry finds the claim: it gets the first answer or
-an error that the outcome is unknown, and never runs again.
+on disk before granting it. A resend through any entry finds the claim: the caller receives the
+first answer, or an error that the outcome is unknown, and the request does not run again.
 """
 
 import hashlib
@@ -19,7 +19,7 @@
 REPLAYED_HEADER = "x-spoolhead-replayed"
 CLAIM_RETRY_AFTER_MS = 2_000
 
-_REFUSALS = {
+_REFUSAL_CODES = {
     once_journal.ClaimState.IN_PROGRESS: codes.ResultCode.ONCE_IN_PROGRESS,
     once_journal.ClaimState.UNKNOWN: codes.ResultCode.ONCE_OUTCOME_UNKNOWN,
     once_journal.ClaimState.KEY_REUSED: codes.ResultCode.ONCE_KEY_REUSED,
@@ -27,7 +27,7 @@
 
 
 class OnceRequests:
-    """Runs requests whose keys were claimed successfully.
+    """Claims the keys of requests, and runs the requests whose claims are granted.
 
     :param dispatcher: runs the requests.
     :param decisions: records refusals.
@@ -72,7 +72,7 @@
             self._refuse(request, caller, result)
 
     def _run(self, request: requests.CallerRequest, caller: caller_front.Caller, key: str) -> None:
-        if caller.is_gone:
+        if caller.is_disconnected:
             self._keeper.finish(key, codes.Ran.NO, None)
             return
 
@@ -96,7 +96,7 @@
         ]
         if outcome.content_type:
             headers.append(("Content-Type", outcome.content_type))
-        caller.send_whole(outcome.status, headers, outcome.body)
+        caller.send_answer(outcome.status, headers, outcome.body)
 
     def _refuse(
         self,
@@ -110,7 +110,7 @@
             state = result.state
             if state is once_journal.ClaimState.FINISHED:
                 state = once_journal.ClaimState.UNKNOWN
-            code, ran = _REFUSALS[state], codes.Ran.UNKNOWN
+            code, ran = _REFUSAL_CODES[state], codes.Ran.UNKNOWN
         if code is codes.ResultCode.ONCE_KEY_REUSED:
             ran = codes.Ran.NO
         cause = fault.Fault(code, codes.CODE_INFO[code].meaning, path=api.ONCE_KEY_HEADER)
--- a/src/spoolhead/_internal/gateway/health_watch.py
+++ b/src/spoolhead/_internal/gateway/health_watch.py
@@ -12,7 +12,7 @@
 from spoolhead._internal.models import dialects, fleet, settings, shared_load
 from spoolhead._internal.network import links, upstream_calls
 from spoolhead._internal.network import loop as loops
-from spoolhead._internal.policy import upstream_registry, watch_duty
+from spoolhead._internal.policy import probe_assignment, upstream_registry
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 
@@ -22,8 +22,8 @@
 """Timeout of a probe; many times the usual few milliseconds."""
 
 MIN_SILENT_PROBES = 2
-"""Consecutive probes without any answer after which an alarm is raised. With one, a stall of half a
-second of this entry or its link would have every engine drained at once."""
+"""Consecutive probes without any answer after which an alarm is raised. If a single probe sufficed,
+half a second's stall of this entry or its link would cause all engines to be drained at once."""
 
 LIMITED_PROBE_INTERVAL_S = 1.0
 """Minimum interval between two probes of an instance that states a rate limit."""
@@ -125,7 +125,7 @@
         self._registry = registry
         self._get_table = get_table
         self._get_entries = get_entries
-        self._assignments = watch_duty.WatchDuties(config.name)
+        self._assignments = probe_assignment.ProbeAssignments(config.name)
         self._get_silent_halls = get_silent_halls
         self._on_alarm = on_alarm
         self._on_cold = on_cold
@@ -179,7 +179,7 @@
         self._on_replaced(upstream)
 
     def _handle_cold(self, upstream: upstream_registry.Upstream, cold_ms: int) -> None:
-        """Record that an instance reports to be cold, and notify of it if that is new."""
+        """Record that an instance reports to be cold, and pass it on if it was not known to be."""
         if not upstream.record_cold(cold_ms, clocks.get_s()):
             return
         fields = {"upstream": upstream.instance.incarnation_id, "for_ms": cold_ms}
--- a/src/spoolhead/_internal/gateway/run_migration.py
+++ b/src/spoolhead/_internal/gateway/run_migration.py
@@ -78,7 +78,7 @@
         self._excluded_targets: set[str] = set()
 
     def check(self) -> None:
-        """Start, keep or release a copy, depending on the state of the instances involved."""
+        """Start, keep or release a copy, depending on the state of the source and the target."""
         source = self._run.upstream
         if self._run.is_over or source is None:
             return
@@ -206,7 +206,7 @@
             target_address=target.instance.address,
             calls=self._context.calls,
             dialect=self._context.dialect,
-            user=self,
+            owner=self,
         )
         self._copy.start()
 
@@ -229,7 +229,7 @@
         return run_migration_policy.choose_copy_target(
             self._job.service,
             self._context.registry.get_service(self._job.service.name),
-            running_at=source,
+            source=source,
             excluded=self._excluded_targets,
             now_s=clocks.get_s(),
             gate=self._context.gate,
--- a/src/spoolhead/_internal/keeper/content_relay.py
+++ b/src/spoolhead/_internal/keeper/content_relay.py
@@ -1,4 +1,4 @@
-"""Relays between entries what they learn about contents that crash instances."""
+"""Relays records of contents that crash instances between entries."""
 
 import logging
 import pathlib
@@ -42,13 +42,13 @@
             session.send(messages.Contents(items=items))
 
     def handle_contents(self, session: peer_server.PeerSession, message: messages.Contents) -> None:
-        """Merge the records of an entry and relay those that changed."""
+        """Merge the records of an entry, and relay the changed records."""
         try:
             records = content_record.unpack(message.items)
         except (TypeError, ValueError) as error:
             raise messages.MessageError(f"records of contents: {error}") from error
         changed = self._registry.merge(records, clocks.get_s())
-        self._saved.record()
+        self._saved.schedule_save()
         self._broadcast([record.content_id for record in changed], except_to=session)
 
     def handle_hold_order(
@@ -64,7 +64,7 @@
             is_by_hand=message.is_held,
         )
         self._registry.set(record, clocks.get_s())
-        self._saved.record()
+        self._saved.schedule_save()
         fields = {
             "content": message.content_id.hex(),
             "is_held": message.is_held,
--- a/src/spoolhead/_internal/models/dialects.py
+++ b/src/spoolhead/_internal/models/dialects.py
@@ -159,7 +159,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True)
-class AttemptOrders:
+class AttemptParameters:
     """Parameters that an entry adds to a request for one attempt.
 
     :ivar instance_id: the only instance that may run the request.
@@ -196,7 +196,7 @@
 
     :ivar status: HTTP status.
     :ivar headers: headers that are passed on to the caller.
-    :ivar request_id: id of the request that it answers; empty for none.
+    :ivar request_id: id of the answered request; empty for none.
     :ivar is_signed: the instance signed the answer.
     :ivar has_not_run: the instance states that it did not run the request.
     :ivar is_encoded: the body has a content encoding that was not requested.
@@ -205,12 +205,12 @@
     :ivar is_misdirected: a different instance than the intended one answers at the address.
     :ivar instance_id: id of the instance that answers; empty if not stated.
     :ivar cold_ms: remaining time for which the instance is cold; None if not stated.
-    :ivar limit_per_s: requests a second that it accepts from all entries together; None if it
-        states no limit.
-    :ivar is_limit_unreadable: it states a limit that is not a number.
-    :ivar rest_ms: time for which this entry must send it no requests; None if not stated.
-    :ivar is_rest_unreadable: it states that time, but not as a number of seconds.
-    :ivar is_leaving: it is leaving and accepts no new requests.
+    :ivar limit_per_s: requests a second that the instance accepts from all entries together; None
+        if not stated.
+    :ivar is_limit_unreadable: the instance states a limit that is not a number.
+    :ivar rest_ms: time for which this entry must send the instance no requests; None if not stated.
+    :ivar is_rest_unreadable: the instance states that time, but not as a number of seconds.
+    :ivar is_leaving: the instance is leaving and accepts no new requests.
     """
 
     status: int
@@ -246,7 +246,7 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class MoveOrder:
+class CopyOrder:
     """Order to copy the memory of a run to another instance.
 
     :ivar request_id: id of the running request.
@@ -258,8 +258,8 @@
 
 
 @dataclasses.dataclass(slots=True, kw_only=True, frozen=True)
-class MoveAnswer:
-    """Answer to a :class:`MoveOrder`.
+class CopyAnswer:
+    """Answer to a :class:`CopyOrder`.
 
     :ivar status: HTTP status.
     :ivar handle: handle of the copy; empty if none was made.
@@ -280,7 +280,7 @@
     ) -> expression.Result[RequestHead, fault.Fault]:
         """Decode the head of a caller's request."""
 
-    def write_request(self, head: RequestHead, orders: AttemptOrders) -> Headers:
+    def write_request(self, head: RequestHead, parameters: AttemptParameters) -> Headers:
         """Return the headers of an attempt other than Host and Content-Length."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
@@ -289,11 +289,11 @@
     def write_refusal(self, request_id: str, retry_after_ms: int | None) -> Headers:
         """Return the headers of an answer that the entry itself creates."""
 
-    def write_move(self, order: MoveOrder) -> UpstreamOrder:
+    def write_copy_order(self, order: CopyOrder) -> UpstreamOrder:
         """Return the encoded order to copy the memory of a run."""
 
-    def read_move(self, status: int, body: bytes) -> MoveAnswer:
-        """Decode the answer to such an order."""
+    def read_copy_answer(self, status: int, body: bytes) -> CopyAnswer:
+        """Decode the answer to an order to copy the memory of a run."""
 
     def write_release(self, handle: str) -> UpstreamOrder:
         """Return the encoded order to release a copy."""
--- a/src/spoolhead/_internal/policy/changed_rows.py
+++ b/src/spoolhead/_internal/policy/changed_rows.py
@@ -8,23 +8,23 @@
 from spoolhead._internal.models import shared_load
 
 MAX_CHANGED_ROWS_PER_DATAGRAM = 20
-"""Maximum number of changed rows per batch, those that wait longest first: 240 bytes, so that 40
+"""Maximum number of changed rows per batch, the longest waiting first: 240 bytes, so that 40
 datagrams a second stay under 10 KB/s however many instances there are. 195 entries with 80 requests
 a second change an estimated five rows in 25 ms."""
 MAX_REPEATED_ROWS_PER_DATAGRAM = 3
 """Unchanged rows sent in rotation with each batch, to repair lost datagrams: within half a second
 with 37 instances and ten datagrams a second or more."""
 EMPTY_ROW_SEND_COUNT = 3
-"""How often a row without load is still sent before it is removed."""
+"""Number of times that a row without load is sent before it is removed."""
 
 
 class ChangedRows:
-    """Load totals by instance, and which of them are still to be sent."""
+    """Load totals by instance, and the set of rows that are still to be sent."""
 
     __slots__ = ("_changed", "_empty_send_counts", "_rows", "_rotation")
 
     def __init__(self) -> None:
-        self._rows: shared_load.Rows = {}
+        self._rows: shared_load.LoadByInstance = {}
         self._changed: dict[int, None] = {}
         self._rotation: collections.deque[int] = collections.deque()
         self._empty_send_counts: dict[int, int] = {}
@@ -56,9 +56,9 @@
             self.add(key, old, -1)
         self.add(key, new)
 
-    def pop_batch(self) -> shared_load.Rows:
+    def pop_batch(self) -> shared_load.LoadByInstance:
         """Return the rows to send next, and count them as sent."""
-        rows: shared_load.Rows = {}
+        rows: shared_load.LoadByInstance = {}
         for key in list(self._changed)[:MAX_CHANGED_ROWS_PER_DATAGRAM]:
             del self._changed[key]
             rows[key] = self._rows[key].copy()
@@ -73,7 +73,7 @@
                 self._rotation.append(key)
         return rows
 
-    def get_all(self) -> shared_load.Rows:
+    def get_all(self) -> shared_load.LoadByInstance:
         """Return all rows."""
         return {key: row.copy() for key, row in self._rows.items()}
 
--- a/src/spoolhead/_internal/quorum/pending_operations.py
+++ b/src/spoolhead/_internal/quorum/pending_operations.py
@@ -63,7 +63,7 @@
 
 
 class _Read:
-    """A read that waits until this keeper is known to hold the newest version.
+    """A read that waits until this keeper is known to have the newest version.
 
     :ivar round_number: if this keeper is the leader, number of the broadcast that must be answered;
         None before it started.
@@ -84,8 +84,8 @@
 class PendingOperations:
     """Pending orders and reads of one keeper.
 
-    An order is done once its own version or a higher one is committed here, whoever proposed it. It
-    can therefore be sent to several leaders without harm.
+    A table order is complete once its version or a higher version is committed here, regardless of
+    which keeper proposed it. So it can be sent to several leaders without harm.
 
     :param timers: scheduler for periodic checks.
     :param peers: streams to other keepers.
@@ -102,8 +102,8 @@
     ) -> None:
         self._peers = peers
         self._member = own_member
-        self._answer_s = config.answer_ms / 1000
-        self._numbers = itertools.count(1)
+        self._answer_timeout_s = config.answer_ms / 1000
+        self._request_numbers = itertools.count(1)
         self._table_orders: list[_TableOrder] = []
         self._hall_orders: list[_HallOrder] = []
         self._reads: list[_Read] = []
@@ -117,16 +117,18 @@
     def put_table(self, version: int, document: bytes, answer: AnswerCallback) -> None:
         """Have a table committed.
 
-        :param answer: called with whether this or a higher version is committed.
+        :param answer: called with True once this or a higher version is committed, or with False on
+            a timeout.
         """
-        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_s)
+        order = _TableOrder(version, document, answer, clocks.get_s() + self._answer_timeout_s)
         self._table_orders.append(order)
         self._check()
 
     def put_hall_order(self, hall: str, is_evacuated: bool, answer: AnswerCallback) -> None:
         """Have an order on a hall committed.
 
-        :param answer: called with whether the order had taken effect when it was committed.
+        :param answer: called with whether the order had taken effect when it was committed; with
+            False on a timeout.
         """
         order = evacuations.HallOrder(
             hall=hall,
@@ -139,11 +141,11 @@
         self._check()
 
     def confirm_read(self, answer: AnswerCallback) -> None:
-        """Confirm that this keeper holds the newest committed version.
+        """Confirm that this keeper has the newest committed version.
 
-        :param answer: called with whether it does.
+        :param answer: called with True once this is confirmed, or with False on a timeout.
         """
-        read = _Read(next(self._numbers), answer, clocks.get_s() + self._answer_s)
+        read = _Read(next(self._request_numbers), answer, clocks.get_s() + self._answer_timeout_s)
         self._reads.append(read)
         self._check()
 
--- a/src/spoolhead/coordination/once_journal.py
+++ b/src/spoolhead/coordination/once_journal.py
@@ -1,9 +1,9 @@
 """Journal of requests that may run only once, by a key that the caller chose.
 
 A key is claimed before its request is sent to any upstream, and finished with the outcome. A later
-request with a claimed key receives the first outcome or learns that it is unknown; it is never run
-again. The journal is a state machine without I/O: the caller makes each claim durable before acting
-on it.
+request with a claimed key receives the first outcome, or the state that it is unknown, and is not
+run again. The journal is a state machine without I/O: the caller makes each claim durable before
+acting on it.
 """
 
 import collections
@@ -71,8 +71,7 @@
 
         :param key: the key, unique to its workspace and service.
         :param fingerprint: digest of the request.
-        :param owner_is_gone: whether the owner of an unfinished claim will not report its end any
-            more.
+        :param owner_is_gone: whether the owner of an unfinished claim can no longer report its end.
         """
         claim = self.claims.get(key)
         if claim is None:
@@ -121,7 +120,7 @@
     def drop_expired(self, now_ms: int) -> int:
         """Remove claims that are older than the retention time.
 
-        :returns: how many were removed.
+        :returns: the number of removed claims.
         """
         dropped = 0
         while self.claims:
--- a/tests/lib/gateway_setting.py
+++ b/tests/lib/gateway_setting.py
@@ -88,8 +88,8 @@
 class GatewayCall(fakes.FakeCall):
     """A call to an instance, answered or lost by the test."""
 
-    def __init__(self, address, request, user, fresh):
-        super().__init__(request, user)
+    def __init__(self, address, request, listener, fresh):
+        super().__init__(request, listener)
         self.address = address
         self.fresh = fresh
         self.is_answer_complete = False
@@ -104,20 +104,20 @@
 
     def answer(self, status, headers, *parts, whole=True):
         self.send()
-        self.user.on_answer_head(status, headers)
+        self.listener.on_answer_head(status, headers)
         for part in parts:
-            self.user.on_answer_body(part)
+            self.listener.on_answer_body(part)
         if whole:
             self.end()
 
     def end(self):
         self.is_over = True
         self.is_answer_complete = True
-        self.user.on_answer_end()
+        self.listener.on_answer_end()
 
     def lose(self, reason="Connection reset by peer"):
         self.is_over = True
-        self.user.on_call_lost(reason)
+        self.listener.on_call_lost(reason)
 
 
 class GatewayCalls:
@@ -126,8 +126,8 @@
     def __init__(self):
         self.made = []
 
-    def open(self, address, request, user, *, fresh=False, is_head=False):
-        call = GatewayCall(address, request, user, fresh)
+    def open(self, address, request, listener, *, fresh=False, is_head=False):
+        call = GatewayCall(address, request, listener, fresh)
         self.made.append(call)
         return call
 
@@ -146,9 +146,9 @@
         self.request = wire
         self.headers = []
 
-    def send_whole(self, status, headers, body):
+    def send_answer(self, status, headers, body):
         self.headers = list(headers)
-        super().send_whole(status, headers, body)
+        super().send_answer(status, headers, body)
 
     def get_header(self, name):
         return dict(self.headers).get(name)
@@ -210,7 +210,7 @@
     )
 
 
-CLAIM = upstream_gate.RequestPriority(1, "w")
+REQUEST_PRIORITY = upstream_gate.RequestPriority(1, "w")
 
 
 def make_gate(name, hall):
@@ -268,7 +268,7 @@
         self.hall = hall
         self.cold_ms = cold_ms
         self.started_ms = started_ms
-        self.list()
+        self.apply_list()
         self.registry.set_evacuated(frozenset(evacuated_halls))
         for upstream in self.registry.get_all():
             upstream.in_flight["other"] = upstream_registry.InFlightRequest(
@@ -277,11 +277,11 @@
             if not fill:
                 upstream.in_flight.clear()
         for name, count in (busy or {}).items():
-            self.registry.get(name).others = shared_load.InstanceLoad(count=count)
+            self.registry.get(name).other_load = shared_load.InstanceLoad(count=count)
         self.ended = []
         self.lost = []
         self.replaced = []
-        self.asked = []
+        self.end_queries = []
         self.sent = []
         self.contents = contents or make_contents()
         is_stream = kind is route_table.RequestKind.STREAM
@@ -311,7 +311,7 @@
         workspace = route_table.Workspace(name="w", api_keys=("k",), priority=None)
         config = make_settings(retry_slack=slack)
         self.alarms = []
-        self.news = None
+        self.events = None
         self.limits = upstream_limits.UpstreamLimits(
             self.registry.get_by_key, request_broadcast=lambda: None, on_change=lambda key: None
         )
@@ -337,18 +337,18 @@
             rng=random.Random(1),
             on_change=lambda: None,
             on_lost_request=self.lost.append,
-            on_answer=lambda *answer: self.news.handle_answer(*answer),
+            on_answer=lambda *answer: self.events.handle_answer(*answer),
             on_replaced=self.replaced.append,
             contents=self.contents,
             limits=self.limits,
             permits=self.permits,
-            query_end=self.asked.append,
+            query_termination=self.end_queries.append,
             get_silent_halls=frozenset,
             get_load_age_ms=lambda: 20,
             metrics=entry_metrics.EntryMetrics(prometheus_metrics.PrometheusMetrics()),
         )
         self.exchanges = set()
-        self.news = upstream_events.UpstreamEvents(
+        self.events = upstream_events.UpstreamEvents(
             context, FakeSharing(self.alarms), self.exchanges, get_table=lambda: None
         )
         self.caller = RoutedCaller(wire)
@@ -361,7 +361,7 @@
         self.exchanges.add(self.exchange)
         self.exchange.begin()
 
-    def list(self, *, leaving=(), gone=()):
+    def apply_list(self, *, leaving=(), gone=()):
         """Apply an instance list in which some instances leave or are missing."""
         listed = [
             make_instance(
@@ -377,7 +377,7 @@
         return self.registry.update_instances(listed, clocks.get_s())
 
     def leave(self, name):
-        self.list(leaving=[name])
+        self.apply_list(leaving=[name])
         self.exchange.on_instances_changed()
 
     @property
--- a/tests/lib/table_fleet.py
+++ b/tests/lib/table_fleet.py
@@ -1,8 +1,7 @@
-"""Keepers that agree and entries that follow them, in one process, driven by hand.
+"""Simulates keepers and the entries that follow them in one process, step by step.
 
-The keepers are a :class:`consensus_group.Group` whose table is the list of changes; what they
-tell the entries and how entries take it are the programs' own feeds. Streams keep their order
-and are lost as a whole.
+The keepers are a :class:`consensus_group.Group` whose table is the list of changes. Keepers and
+entries use the real feeds. Streams preserve the order of messages and are lost as a whole.
 """
 
 from lib import consensus_group, gateway_setting, simulated_clock
@@ -17,15 +16,15 @@
 
 
 def get_evacuations(changes):
-    """Return what holds for halls after some changes."""
+    """Return the state of the halls after some changes."""
     machine = consensus_group.ListMachine()
     for data in changes:
         machine.apply(data)
     return machine.evacuations
 
 
-class KeeperSide:
-    """What one life of a keeper tells its followers."""
+class KeeperIncarnation:
+    """The feed of a keeper to its followers, from its start until it stops."""
 
     def __init__(self, group, node):
         self.node = node
@@ -34,7 +33,7 @@
         self.feed = feed.Feed(
             self.timers, "h", self._get_keepers, self._get_table, self._get_evacuations
         )
-        self._told = self._get_state()
+        self._last_broadcast = self._get_state()
 
     def _get_keepers(self):
         return [consensus_messages.get_address(item) for item in self.consensus.members]
@@ -51,12 +50,12 @@
     def _get_state(self):
         return (len(self.node.machine.changes), self.consensus.has_caught_up)
 
-    def note_changes(self):
-        if self._told != self._get_state():
-            self._told = self._get_state()
+    def broadcast_changes(self):
+        if self._last_broadcast != self._get_state():
+            self._last_broadcast = self._get_state()
             self.feed.broadcast_version()
 
-    def take(self, session, message):
+    def handle_message(self, session, message):
         match message:
             case route_messages.Subscribe():
                 self.feed.add_follower(session, message)
@@ -65,13 +64,13 @@
 
 
 class Stream:
-    """A stream of an entry to one life of a keeper, and both its ends."""
+    """A stream between an entry and a keeper, with the messages in transit."""
 
-    def __init__(self, entry, followed, side):
+    def __init__(self, entry, followed, keeper):
         self.name = entry.name
         self.entry = entry
         self.followed = followed
-        self.side = side
+        self.keeper = keeper
         self.to_keeper = []
         self.to_entry = []
 
@@ -82,9 +81,9 @@
         self.to_entry.extend(messages.MessageReader().feed(data))
 
     def deliver(self):
-        """Hand on the oldest message of each direction."""
+        """Deliver the oldest message of each direction."""
         if self.to_keeper:
-            self.side.take(self, self.to_keeper.pop(0))
+            self.keeper.handle_message(self, self.to_keeper.pop(0))
         if self.to_entry:
             self.entry.feed.on_keeper_message(self.followed, self.to_entry.pop(0))
 
@@ -111,10 +110,10 @@
         self.end()
 
     def end(self):
-        """Lose the stream, and with it what is on its way."""
+        """Lose the stream and the messages in transit."""
         stream, self.stream = self.stream, None
         if stream is not None:
-            stream.side.feed.remove_follower(stream)
+            stream.keeper.feed.remove_follower(stream)
 
 
 class _Feed(table_feed.TableFeed):
@@ -132,10 +131,11 @@
 
 
 class Entry:
-    """One life of an entry.
+    """One entry from its start until it stops.
 
-    :ivar acknowledged_before: changes acknowledged before its start.
-    :ivar failures: tables that fail on their way into force from now on.
+    :ivar acknowledged_before: number of changes acknowledged before its start.
+    :ivar failures: number of next tables that it fails to put in force.
+    :ivar order_revision_before: revision of the orders on halls acknowledged before its start.
     """
 
     def __init__(self, fleet, name):
@@ -145,7 +145,7 @@
         self.failures = 0
         self.version = 0
         self.evacuated_halls = frozenset()
-        self.orders_before = get_evacuations(fleet.group.acknowledged).revision
+        self.order_revision_before = get_evacuations(fleet.group.acknowledged).revision
         self.timers = simulated_clock.Clock()
         config = gateway_setting.make_settings()
         config.keepers = fleet.draw_seeds()
@@ -156,8 +156,10 @@
         if self.failures:
             self.failures -= 1
             raise RuntimeError("cannot be put in force")
-        assert version > self.version, "an entry went back"
-        assert document == make_document(self.fleet.group.longest[:version]), "another table"
+        assert version > self.version, "an entry returned to an older table"
+        assert document == make_document(
+            self.fleet.group.longest[:version]
+        ), "the table differs from the committed one"
         self.version = version
         return True
 
@@ -183,7 +185,7 @@
 
 
 class _Group(consensus_group.Group):
-    """Tells the fleet when time passes."""
+    """Calls the fleet after each step of time."""
 
     def __init__(self, fleet, seed, size):
         self.on_advance = fleet.on_advance
@@ -198,83 +200,83 @@
 class Fleet:
     """Keepers and entries.
 
-    :param seed: seed of every choice.
-    :param size: founding keepers.
-    :ivar closed: pairs of an entry's name and a keeper's address between which nothing passes.
+    :param seed: seed of all random choices.
+    :param size: number of initial keepers.
+    :ivar cut_links: pairs of an entry's name and a keeper's address that are not connected.
     """
 
     def __init__(self, seed, size):
         self.group = _Group(self, seed, size)
-        self.closed = set()
-        self.sides = {}
+        self.cut_links = set()
+        self.keeper_incarnations = {}
         self.entries = {}
-        self._note_lives()
+        self._update_incarnations()
         for name in ("entry-1", "entry-2"):
             self.start_entry(name)
 
     def get_s(self):
-        """Stand for the clock of the modules under test."""
+        """Return the time; replaces the clock of the modules under test."""
         return self.group.now_s
 
     def draw_seeds(self):
         return self.group.draw_seeds()
 
     def start_entry(self, name):
-        """Start an entry, or start it again with an empty memory."""
+        """Start an entry, or restart it with empty state."""
         if name in self.entries:
             self.entries[name].stop()
         self.entries[name] = Entry(self, name)
 
     def crash_keeper(self, address):
         self.group.nodes[address].crash()
-        self._note_lives()
+        self._update_incarnations()
 
     def on_advance(self):
-        self._note_lives()
+        self._update_incarnations()
         for entry in self.entries.values():
             self._connect(entry)
             entry.timers.run(consensus_group.STEP_S)
-        for side in self.sides.values():
-            side.timers.run(consensus_group.STEP_S)
-        if not self.closed:
+        for keeper in self.keeper_incarnations.values():
+            keeper.timers.run(consensus_group.STEP_S)
+        if not self.cut_links:
             self.deliver_all()
 
-    def _note_lives(self):
-        """End the streams of keepers that died, and begin the lives of those that started."""
+    def _update_incarnations(self):
+        """End the streams of crashed keepers and create the feeds of started ones."""
         up = {node.address: node for node in self.group.up()}
-        for address, side in list(self.sides.items()):
+        for address, keeper in list(self.keeper_incarnations.items()):
             node = up.get(address)
-            if node is None or node.consensus is not side.consensus:
-                del self.sides[address]
-                self._end_streams(lambda stream, side=side: stream.side is side)
+            if node is None or node.consensus is not keeper.consensus:
+                del self.keeper_incarnations[address]
+                self._end_streams(lambda stream, keeper=keeper: stream.keeper is keeper)
         for address, node in up.items():
-            if address not in self.sides:
-                self.sides[address] = KeeperSide(self.group, node)
-        for side in self.sides.values():
-            side.note_changes()
+            if address not in self.keeper_incarnations:
+                self.keeper_incarnations[address] = KeeperIncarnation(self.group, node)
+        for keeper in self.keeper_incarnations.values():
+            keeper.broadcast_changes()
 
-    def _end_streams(self, is_meant):
+    def _end_streams(self, matches):
         for entry in self.entries.values():
             for stream in entry.get_streams():
-                if is_meant(stream):
+                if matches(stream):
                     stream.followed.client.end()
                     stream.followed.on_peer_lost()
 
-    def close(self, name, address):
+    def cut_link(self, name, address):
         """Cut an entry off from a keeper."""
-        self.closed.add((name, address))
+        self.cut_links.add((name, address))
         self._end_streams(lambda stream: stream.name == name and stream.followed.address == address)
 
     def _connect(self, entry):
         for address, followed in list(entry.feed._keepers.items()):
-            is_closed = (entry.name, address) in self.closed
-            if followed.client.is_ready or is_closed or address not in self.sides:
+            is_cut = (entry.name, address) in self.cut_links
+            if followed.client.is_ready or is_cut or address not in self.keeper_incarnations:
                 continue
-            followed.client.stream = Stream(entry, followed, self.sides[address])
+            followed.client.stream = Stream(entry, followed, self.keeper_incarnations[address])
             followed.on_peer_ready()
 
     def deliver(self, entry):
-        """Hand on one message of each of an entry's streams."""
+        """Deliver one message in each direction of each of an entry's streams."""
         for stream in entry.get_streams():
             stream.deliver()
 
@@ -292,16 +294,20 @@
                 return
 
     def check(self):
-        self._note_lives()
+        self._update_incarnations()
         for entry in self.entries.values():
             assert entry.version == entry.feed.version
             if entry.feed.is_sure:
-                assert entry.version >= entry.acknowledged_before, "sure of an old table"
+                assert (
+                    entry.version >= entry.acknowledged_before
+                ), "an older table counts as confirmed"
                 known = entry.feed.evacuation_revision
-                assert known >= entry.orders_before, "sure without an order on a hall"
+                assert (
+                    known >= entry.order_revision_before
+                ), "counts as confirmed without an order on a hall"
 
     def settle(self, seconds):
-        """Let everything be reached and time pass."""
-        self.closed.clear()
+        """Remove all cuts and let time pass."""
+        self.cut_links.clear()
         self.group.settle(seconds)
         self.check()
--- a/tests/unit/test_health_watch.py
+++ b/tests/unit/test_health_watch.py
@@ -6,7 +6,7 @@
 from spoolhead._internal.gateway import health_watch
 from spoolhead._internal.models import fleet, route_table
 from spoolhead._internal.network import links
-from spoolhead._internal.policy import upstream_registry, watch_duty
+from spoolhead._internal.policy import probe_assignment, upstream_registry
 from spoolhead._internal.routing import matcher
 from spoolhead._internal.utils import clocks
 from spoolhead.platform import dialect
@@ -56,7 +56,7 @@
                 fleet.Process(name=n, hall="hall-a", address="") for n in watchers
             ],
             get_silent_halls=lambda: self.silent,
-            on_alarm=lambda upstream, is_said: self.alarms.append(upstream),
+            on_alarm=lambda upstream, kind: self.alarms.append(upstream),
             on_cold=lambda upstream, cold_ms: self.cold_reports.append(cold_ms),
             on_replaced=self.replaced_ids.append,
             on_answer=lambda upstream, head: self.heads.append(head),
@@ -127,7 +127,7 @@
     expected = 0
     for other in names:
         watchers = [fleet.Process(name=n, hall="hall-a", address="") for n in ("entry-1", other)]
-        expected += watch_duty.is_watcher("entry-1", watchers, instance)
+        expected += probe_assignment.is_assigned("entry-1", watchers, instance)
     assert probe_count == expected
 
 
--- a/tests/unit/test_instance_words.py
+++ b/tests/unit/test_instance_announcements.py
@@ -56,7 +56,7 @@
 def _get_block_reason(setting, upstream, now_s):
     service = setting.exchange.job.service
     return setting.context.gate.get_block_reason(
-        service, upstream, now_s, request_priority=gateway_setting.CLAIM
+        service, upstream, now_s, request_priority=gateway_setting.REQUEST_PRIORITY
     )
 
 
@@ -93,7 +93,7 @@
     assert not rest.is_likely_to_reject(2.1)
     rest.record_sent(2.1)
     assert rest.is_likely_to_reject(2.2)
-    rest.record_taken()
+    rest.record_accepted()
     assert not rest.is_likely_to_reject(2.3)
 
 
@@ -129,7 +129,7 @@
 def test_a_word_of_another_instance_at_the_address_is_none_of_this_one():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), attempts=1)
     (upstream,) = setting.registry.get_all()
-    setting.news.handle_answer(upstream, _read(421, retry_after="3"), 0.0)
+    setting.events.handle_answer(upstream, _read(421, retry_after="3"), 0.0)
     assert not upstream.rest.is_resting(0.1)
 
 
@@ -141,8 +141,8 @@
     """Guards against an entry that waits for a list that is late or unreadable."""
     setting = gateway_setting.Setting(kind, names=("i-1",))
     (upstream,) = setting.registry.get_all()
-    setting.last.user.on_answer_head(200, LEAVING)
-    setting.list()
+    setting.last.listener.on_answer_head(200, LEAVING)
+    setting.apply_list()
     now_s = clocks.get_s()
     for later_s in (0.0, 5.0, 600.0):
         assert (
@@ -150,35 +150,35 @@
             is upstream_gate.BlockReason.LEAVING
         )
     assert setting.alarms == [("i-1", shared_load.AlarmKind.LEAVING, 0)]
-    setting.news.handle_answer(upstream, _read(200), now_s)
+    setting.events.handle_answer(upstream, _read(200), now_s)
     assert _get_block_reason(setting, upstream, now_s) is upstream_gate.BlockReason.LEAVING
 
 
 def test_a_run_leaves_an_instance_that_says_that_it_leaves():
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 2))
     name = setting.last.address.removesuffix(":80")
-    setting.news.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
+    setting.events.handle_answer(setting.registry.get(name), _read(200, server_leaving="1"), 0.0)
     assert len(setting.calls.copies) == 1
 
 
 def test_the_end_of_an_instance_that_said_that_it_leaves_is_no_requests_fault():
     setting = gateway_setting.Setting(ONCE, names=("i-1",))
     (upstream,) = setting.registry.get_all()
-    assert not upstream.is_expected_to_end(0.0)
-    setting.last.user.on_answer_head(200, LEAVING)
-    assert upstream.is_expected_to_end(clocks.get_s() + 60.0)
+    assert not upstream.is_expected_to_terminate(0.0)
+    setting.last.listener.on_answer_head(200, LEAVING)
+    assert upstream.is_expected_to_terminate(clocks.get_s() + 60.0)
     setting.last.lose()
-    assert setting.asked == []
+    assert setting.end_queries == []
 
 
 def test_an_instance_that_starts_again_under_its_id_does_not_leave():
     setting = gateway_setting.Setting(ONCE, names=("i-1",), started_ms=1)
-    setting.last.user.on_answer_head(200, LEAVING)
+    setting.last.listener.on_answer_head(200, LEAVING)
     setting.started_ms = 2
-    setting.list()
+    setting.apply_list()
     (upstream,) = setting.registry.get_all()
     assert _get_block_reason(setting, upstream, clocks.get_s()) is None
 
@@ -187,7 +187,7 @@
     fleet = limit_fleet.LimitFleet(entries=8)
     entry = fleet.entries[0]
     name, *_ = fleet.instances
-    entry.news.handle_answer(
+    entry.events.handle_answer(
         entry.registry.get(name), _read(200, server_leaving="1"), fleet.clock()
     )
     fleet.run(0.3)
@@ -207,24 +207,24 @@
 
 def _handle_answer(fleet, number, name, status, **headers):
     entry = fleet.entries[number]
-    entry.news.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
+    entry.events.handle_answer(entry.registry.get(name), _read(status, **headers), fleet.clock())
 
 
-@pytest.mark.parametrize("said_to", [0, 1])
-def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(said_to):
+@pytest.mark.parametrize("receiver", [0, 1])
+def test_an_entry_that_starts_later_sends_nothing_to_one_that_leaves(receiver):
     """Guards against announcements that reach only entries that were running at the time."""
     fleet, name = _make_fleet()
-    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, receiver, name, 200, server_leaving="1")
     fleet.run(5.0)
     started = fleet.restart_entry(0)
     fleet.run(0.5)
     assert started.registry.get(name).is_leaving
 
 
-@pytest.mark.parametrize("said_to", [0, 1])
-def test_so_it_is_where_the_list_comes_after_the_word(said_to):
+@pytest.mark.parametrize("receiver", [0, 1])
+def test_so_it_is_where_the_list_comes_after_the_word(receiver):
     fleet, name = _make_fleet()
-    _handle_answer(fleet, said_to, name, 200, server_leaving="1")
+    _handle_answer(fleet, receiver, name, 200, server_leaving="1")
     fleet.run(1.0)
     started = fleet.restart_entry(0, is_listed=False)
     fleet.run(LIST_LATE_S)
@@ -298,7 +298,7 @@
             now_s += 0.01
         backoffs_s.append(round(now_s - began_s, 1))
     assert backoffs_s == [0.1, 0.2, 0.4, 0.8, 1.0, 1.0]
-    rest.record_taken()
+    rest.record_accepted()
     rest.record_rejection(now_s)
     assert not rest.is_likely_to_reject(now_s + requested_rest.INITIAL_BACKOFF_S + 0.01)
 
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -219,7 +219,7 @@
         kind, names=("i-1",), limits_per_s={"i-1": 2.0}, objective_ms=objective_ms
     )
     (pending,) = setting.permits._pending_requests.values()
-    assert min(wait_ms, objective_ms) - 20 <= pending.request.wait_ms <= min(wait_ms, objective_ms)
+    assert min(wait_ms, objective_ms) - 20 <= pending.terms.wait_ms <= min(wait_ms, objective_ms)
 
 
 def test_a_request_that_is_rejected_at_one_instance_asks_for_another():
@@ -234,7 +234,7 @@
         ONCE, names=("i-1", "i-2"), limits_per_s={"i-1": 2.0}, busy={"i-2": 3}
     )
     (pending,) = setting.permits._pending_requests.values()
-    assert pending.request.wait_ms == 0
+    assert pending.terms.wait_ms == 0
     _reply(setting, V.REJECTED, backoff_ms=200)
     assert [call.address for call in setting.calls.attempts] == ["i-2:80"]
 
@@ -259,7 +259,7 @@
 
 def test_a_permit_that_comes_after_its_request_ended_is_not_used():
     setting = _make(ONCE)
-    setting.caller.on_gone()
+    setting.caller.on_disconnect()
     _reply(setting, V.GRANTED)
     assert setting.calls.attempts == []
 
@@ -268,7 +268,7 @@
     setting = _make(ONCE, names=("i-1", "i-2"))
     (pending,) = setting.permits._pending_requests.values()
     name = pending.upstream.instance.instance_id
-    setting.list(leaving=[name])
+    setting.apply_list(leaving=[name])
     _reply(setting, V.GRANTED)
     assert f"{name}:80" not in [call.address for call in setting.calls.attempts]
 
@@ -288,8 +288,8 @@
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"))
     other = {"i-1", "i-2"} - {setting.last.address.removesuffix(":80")}
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 2))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 2))
     (name,) = other
     setting.limits.registry.record(setting.registry.get(name).key, 2.0, clocks.get_s())
     setting.leave(setting.last.address.removesuffix(":80"))
--- a/tests/unit/test_reborn_instances.py
+++ b/tests/unit/test_restarted_instances.py
@@ -28,7 +28,7 @@
     _update_list(registry, _make(1_000))
     (previous,) = registry.get_all()
     previous.in_flight["r"] = upstream_registry.InFlightRequest("r", 50, prefill_tokens=0)
-    previous.others = shared_load.InstanceLoad(9_000, 3, 0)
+    previous.other_load = shared_load.InstanceLoad(9_000, 3, 0)
     previous.raise_alarm(100.0, shared_load.AlarmKind.UNHEALTHY)
     previous.record_sent(100.0)
     assert _update_list(registry, _make(2_000)) == [previous]
@@ -37,7 +37,7 @@
     assert present is not previous
     assert (present.tokens, present.count, present.count_sent(0.0)) == (0, 0, 0)
     assert present.is_usable(100.1)
-    assert present.key != previous.key, "news of the former would count for it"
+    assert present.key != previous.key, "reports about the previous incarnation would apply to it"
 
 
 def test_news_of_the_former_run_that_comes_late_changes_nothing():
@@ -49,7 +49,7 @@
     assert not present.is_leaving and not present.is_gone
     _update_list(registry)
     assert _update_list(registry, _make(1_000)) == []
-    assert registry.get_all() == [], "a former run came back"
+    assert registry.get_all() == [], "a previous incarnation is listed again"
 
 
 def test_a_start_that_is_not_told_any_more_names_no_run():
@@ -80,12 +80,12 @@
     """Behind a cut its connection is never reset."""
     setting = gateway_setting.Setting(STREAM, names=("i-1",), started_ms=1_000)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     _restart(setting, "i-1")
     assert setting.caller.is_finished
     assert setting.ended == [setting.exchange]
-    assert len(setting.calls.attempts) == 1, "the stream went on as if it still ran"
+    assert len(setting.calls.attempts) == 1, "the stream was resumed at the new incarnation"
 
 
 @pytest.mark.parametrize(("kind", "status"), [(ONCE, 502), (STREAM, 502)])
@@ -108,8 +108,8 @@
 def test_a_handle_of_the_former_run_is_not_freed_at_the_present_one():
     setting = gateway_setting.Setting(STREAM, names=("i-1", "i-2"), started_ms=1_000)
     setting.last.send()
-    setting.last.user.on_answer_head(200, gateway_setting.SIGNED)
-    setting.last.user.on_answer_body(gateway_setting.make_events(1, 3))
+    setting.last.listener.on_answer_head(200, gateway_setting.SIGNED)
+    setting.last.listener.on_answer_body(gateway_setting.make_events(1, 3))
     source = setting.exchange.upstream.instance.instance_id
     other = "i-2" if source == "i-1" else "i-1"
     leaving = [_make(1_000, source, is_leaving=True), _make(1_000, other)]
@@ -167,7 +167,9 @@
     def nothing_of_a_former_run(self):
         for upstream in self.registry.get_all():
             item = upstream.instance
-            assert item.started_ms == self.seen_ms[item.instance_id], "a former run is taken"
+            assert (
+                item.started_ms == self.seen_ms[item.instance_id]
+            ), "a previous incarnation is used"
             assert all(self.began[int(key)] == item.incarnation_id for key in upstream.in_flight)
             assert not upstream.has_restarted
             assert self.registry.get_by_key(upstream.key) is upstream
@@ -196,16 +198,16 @@
     fleet = _make_fleet(1_000)
     name = fleet.instances[0]
     for number, entry in enumerate(fleet.entries):
-        entry.hold(f"{name}@1000", f"r{number}", 500)
+        entry.begin_request(f"{name}@1000", f"r{number}", 500)
     fleet.run(1.0)
     late = rng.sample(fleet.entries, 5)
     early = [entry for entry in fleet.entries if entry not in late]
     _list_everywhere(fleet, early, 2_000)
     fleet.run(1.0)
     for entry in early:
-        assert entry.registry.get(f"{name}@2000").others.tokens == 0
+        assert entry.registry.get(f"{name}@2000").other_load.tokens == 0
     for entry in late:
-        assert entry.registry.get(f"{name}@1000").others.tokens <= 500 * 11
+        assert entry.registry.get(f"{name}@1000").other_load.tokens <= 500 * 11
     _list_everywhere(fleet, late, 2_000)
     fleet.run(4.0)
     for entry in fleet.entries:
@@ -284,7 +286,7 @@
     _update_list(registry, _make(0))
     (upstream,) = registry.get_all()
     assert upstream.record_replaced(100.0)
-    assert not upstream.record_replaced(100.5), "no news"
+    assert not upstream.record_replaced(100.5), "the same replacement is recorded twice"
     assert not upstream.is_usable(104.4)
     assert upstream.is_usable(104.6)
 
@@ -297,4 +299,4 @@
     fleet.run(0.1)
     for entry in fleet.entries[1:]:
         assert entry.registry.get(name).is_replaced(fleet.clock())
-        assert entry.alarms == [], "its runs are not moved: there are none any more"
+        assert entry.alarms == [], "a replaced instance has no runs to migrate"
--- a/tests/unit/test_upstream_gate.py
+++ b/tests/unit/test_upstream_gate.py
@@ -68,7 +68,7 @@
 
 
 def _get_block_reason(gate, upstream, **options):
-    request_priority = gateway_setting.CLAIM
+    request_priority = gateway_setting.REQUEST_PRIORITY
     return gate.get_block_reason(
         SERVICE, upstream, NOW_S, request_priority=request_priority, **options
     )
@@ -89,16 +89,18 @@
 def test_no_last_resort_overrides_what_binds(reason):
     upstream, gate = _make(limit_per_s=None)
     BLOCKERS[reason](upstream)
-    view = upstream_choice.View(
+    context = upstream_choice.ChoiceContext(
         hall="hall-a",
         silent_halls=(),
         cut_off_halls=(),
         now_s=NOW_S,
         gate=gate,
-        request_priority=gateway_setting.CLAIM,
+        request_priority=gateway_setting.REQUEST_PRIORITY,
         rng=random.Random(1),
     )
-    choice = upstream_choice.choose(SERVICE, [upstream], need_tokens=0, excluded=(), view=view)
+    choice = upstream_choice.choose(
+        SERVICE, [upstream], need_tokens=0, excluded=(), context=context
+    )
     assert choice.upstream is None
     assert choice.blocked == {reason: 1}
 
@@ -112,7 +114,7 @@
 
 def test_a_limited_instance_bars_whom_it_just_rejected_and_none_more_urgent():
     upstream, gate = _make()
-    request_priority = gateway_setting.CLAIM
+    request_priority = gateway_setting.REQUEST_PRIORITY
     gate.backoff.record(
         upstream.key,
         request_priority.rank,
